--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! The decisions, pure: no clock, no socket, no async, no global random numbers.
+//! Scheduling policy as pure state machines: no clock, sockets, async code or global random number
+//! generator.
 //!
-//! [`PoolScheduler`] takes [`PoolEvent`]s with the time and gives [`PoolAction`]s; [`Exchange`] does
-//! the same for one request's dispatch. The traffic code around them only carries bytes.
+//! [`PoolScheduler`] consumes timestamped [`PoolEvent`]s and emits [`PoolAction`]s. [`Exchange`]
+//! does the same for the dispatch of one request. The surrounding traffic code performs the I/O.
 
 mod caller_returns;
 mod crowd_meter;
@@ -71,19 +72,19 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A point in monotonic time, in microseconds since an arbitrary start.
+/// A monotonic timestamp in microseconds since an arbitrary epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// `milliseconds` after the start.
+    /// The timestamp `milliseconds` after the epoch.
     pub const fn from_millis(milliseconds: u64) -> Self {
         Moment(milliseconds * 1_000)
     }
 
-    /// The time from `earlier` to `self`; zero if `earlier` is later.
+    /// The time elapsed from `earlier` to `self`; zero if `earlier` is later.
     pub fn since(self, earlier: Moment) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -97,18 +98,18 @@
     }
 }
 
-/// A request's id, unique in one daemon's life.
+/// Identifies a request; unique for the lifetime of the daemon process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// A tier's place in the order of importance; 0 is the highest.
+/// The priority of a tier; 0 is the highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TierRank(pub u8);
 
-/// An organisation's number, unique in one daemon's life.
+/// Identifies an organisation; unique for the lifetime of the daemon process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrganisationIndex(pub u32);
 
-/// An upstream's number in its pool; never reused for another incarnation.
+/// Identifies one incarnation of an upstream within its pool; never reused for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamIndex(pub u32);
