--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream for a request, behind a trait object with three implementations.
+//! Placement policies, which choose an upstream for a request, behind one trait.
 
 use super::earliest::EarliestPlacement;
 use super::{EngineSpeed, Moment, RoomKind, UpstreamIndex, UpstreamSet, UpstreamStatus};
@@ -8,30 +8,30 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt in one hashed block.
+/// Prompt bytes per hashed block.
 const BLOCK_BYTES: usize = 512;
-/// Most blocks hashed of one prompt.
+/// Maximum number of blocks hashed per prompt.
 const MOST_BLOCKS: usize = 64;
-/// Tokens in a block, for the worth of a cached one.
+/// Tokens assumed per block when valuing cached blocks.
 const BLOCK_TOKENS: f64 = 128.0;
-/// Points of each upstream on the ring.
+/// Points per upstream on the consistent-hashing ring.
 const RING_POINTS: u64 = 16;
-/// Pools with at most this many open upstreams are searched whole.
+/// Pools with at most this many open upstreams are searched exhaustively.
 const SEARCH_ALL: usize = 32;
-/// Random candidates in larger pools.
+/// Random candidates considered in larger pools.
 const RANDOM_CANDIDATES: usize = 6;
-/// Ring successors tried in larger pools.
+/// Ring successors considered in larger pools.
 const RING_CANDIDATES: usize = 2;
-/// Entries of one generation of the prefix index.
+/// Maximum entries in one generation of the prefix index.
 const INDEX_ENTRIES: usize = 16_384;
-/// An upstream holds on to its prefixes up to this many times the pool's mean load.
+/// An upstream keeps its prefixes while its load is at most this multiple of the pool's mean.
 const LOAD_BOUND: f64 = 1.25;
-/// Added to the bound, so that a nearly idle pool does not spread its prefixes.
+/// Added to the load bound so that a nearly idle pool does not spread its prefixes.
 const LOAD_SLACK: f64 = 0.1;
-/// A straggler costs this many times its estimate.
+/// Factor applied to the estimated time of a straggler.
 const STRAGGLER_PRICE: f64 = 4.0;
 
-/// Cumulative hashes of a prompt's leading blocks: equal hashes mean equal prefixes.
+/// Returns cumulative hashes of the prompt's leading blocks: equal hashes mean equal prefixes.
 pub fn prefix_hashes(prompt: &[u8]) -> Box<[u64]> {
     let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MOST_BLOCKS);
     blocks
@@ -42,58 +42,59 @@
         .collect()
 }
 
-/// How well a place must fit a request, or the request waits for another one.
+/// How much of a safety margin an upstream must have for a request to be sent there instead of
+/// waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlaceFit {
-    /// The answer ends in the caller's time even if it is twice as long as guessed.
+    /// The answer meets the caller's deadline even if it is twice as long as estimated.
     Safe,
-    /// It ends in time if it is about as long as guessed.
+    /// The answer meets the deadline if it is about as long as estimated.
     Likely,
-    /// Any place will do.
+    /// No requirement.
     Any,
 }
 
-/// What a placement is asked for.
+/// The request and pool properties that a placement decision depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementQuery<'a> {
-    /// Hashes of the prompt's leading blocks, shortest prefix first.
+    /// Cumulative hashes of the prompt's leading blocks, shortest prefix first.
     pub prefix: &'a [u64],
     /// Estimated prompt tokens.
     pub prompt_tokens: u32,
     /// Estimated output tokens.
     pub output_tokens: u32,
-    /// The pool's learned speed.
+    /// The learned engine speed of the pool.
     pub speed: EngineSpeed,
-    /// Which room it may take.
+    /// Which share of an upstream's capacity the request may use.
     pub room: RoomKind,
-    /// How well a place must fit, or the request waits for another one.
+    /// The margin an upstream must have for the request not to wait for another one.
     pub fit: PlaceFit,
-    /// Tokens in one event of a stream.
+    /// Tokens per streamed event.
     pub event_tokens: u32,
-    /// The longest good pause between events, of the routes that use the pool as this request's does.
+    /// The longest acceptable pause between events on routes that use the pool in the same way as
+    /// this request's route.
     pub pause: Option<Duration>,
-    /// What is left of the caller's time.
+    /// Time left until the caller's deadline.
     pub left: Duration,
-    /// Now.
     pub now: Moment,
 }
 
-/// A way to choose an upstream among the open ones.
+/// Chooses an upstream among the open ones.
 pub trait PlacementPolicy: Send {
-    /// The upstream to use, or none if none is open.
+    /// Returns the chosen upstream, or `None` if none is open or the request should wait.
     fn place(
         &mut self,
         set: &UpstreamSet,
         query: &PlacementQuery<'_>,
         rng: &mut dyn RngCore,
     ) -> Option<UpstreamIndex>;
-    /// Learns that a prompt with these blocks went to an upstream.
+    /// Records that a prompt with these blocks was sent to an upstream.
     fn dispatched(&mut self, _prefix: &[u64], _upstream: UpstreamIndex) {}
-    /// Learns that an upstream has dropped a block from its cache.
+    /// Records that an upstream evicted a block from its cache.
     fn evicted(&mut self, _block: u64, _upstream: UpstreamIndex) {}
 }
 
-/// The policy a table asks for.
+/// Builds the policy that the table selects.
 pub fn placement_policy(choice: PlacementChoice) -> Box<dyn PlacementPolicy> {
     match choice {
         PlacementChoice::Affinity => Box::new(AffinityPlacement::default()),
@@ -103,7 +104,7 @@
     }
 }
 
-/// Each open upstream in turn.
+/// Cycles through the open upstreams.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     last: Option<UpstreamIndex>,
@@ -127,7 +128,7 @@
     }
 }
 
-/// The least load as last reported.
+/// Chooses the upstream with the least load in its latest report.
 #[derive(Debug)]
 pub struct LeastReported;
 
@@ -145,8 +146,9 @@
     }
 }
 
-/// Which upstream was last sent each prefix. Two generations of bounded size stand in for an exact
-/// least-recently-used order; a wrong entry costs a prefill, never an answer.
+/// Maps each prefix to the upstream it was last sent to. Two generations of bounded size
+/// approximate a least-recently-used order; a stale entry costs an extra prefill but never affects
+/// an answer.
 #[derive(Debug, Default)]
 struct PrefixIndex {
     young: HashMap<u64, UpstreamIndex>,
@@ -173,7 +175,7 @@
         }
     }
 
-    /// The upstream with the longest known prefix, and the number of its blocks.
+    /// The upstream with the longest known prefix, and the length of that prefix in blocks.
     fn longest(&self, prefix: &[u64]) -> Option<(UpstreamIndex, usize)> {
         let lengths = (1..=prefix.len()).rev();
         lengths
@@ -182,11 +184,12 @@
     }
 }
 
-/// Prefix affinity under a load bound, then the least estimated time among a few candidates.
+/// Prefix affinity under a load bound, falling back to the least estimated time among a few
+/// candidates.
 ///
-/// New prefixes are spread by a consistent-hashing ring (Karger et al., 1997), so that several daemons
-/// choose alike without talking; the load term keeps a hot prefix from filling one upstream (compare
-/// consistent hashing with bounded loads, Mirrokni et al., 2016).
+/// New prefixes are distributed by consistent hashing (Karger et al., 1997), so that several
+/// daemons make the same choice without communicating. The load bound keeps a hot prefix from
+/// filling one upstream (compare consistent hashing with bounded loads, Mirrokni et al., 2016).
 #[derive(Debug, Default)]
 pub struct AffinityPlacement {
     index: PrefixIndex,
@@ -220,8 +223,9 @@
     }
 }
 
-/// Estimated microseconds to answer on `status`, given how many tokens of the prompt it has cached.
-/// Load enters as the slowing of steps by what already runs there, this daemon's or others'.
+/// Estimates the microseconds until the answer ends on `status`, given how many prompt tokens are
+/// cached there. Load enters as the slowdown of each step caused by requests already running,
+/// whether sent by this daemon or by others.
 fn estimated_micros(
     status: &UpstreamStatus,
     query: &PlacementQuery<'_>,
@@ -238,12 +242,12 @@
     if status.is_straggler { total * STRAGGLER_PRICE } else { total }
 }
 
-/// Requests at an upstream, this daemon's and others', as a part of what it may hold.
+/// Requests at an upstream, from this daemon and others, relative to its request limit.
 fn request_load(status: &UpstreamStatus, now: Moment) -> f64 {
     status.corrected_requests(now) / status.limit.requests().max(1.0)
 }
 
-/// Mean load of a pool's open upstreams; of a few taken at random where there are many.
+/// Mean load of the open upstreams of a pool, estimated from a random sample in larger pools.
 fn mean_load(set: &UpstreamSet, query: &PlacementQuery<'_>, rng: &mut dyn RngCore) -> f64 {
     let open = set.open(query.room);
     let load =
@@ -256,10 +260,11 @@
 }
 
 impl AffinityPlacement {
-    /// The upstream that holds the prompt's prefix, or the first on the ring that should, unless it is
-    /// loaded beyond the bound. What goes wrong without this rule: the estimates below weigh the time of
-    /// this request alone, in which a little less load outweighs the prefill saved, although the prefill
-    /// holds up the whole batch; prefixes then wander over the pool and are computed again everywhere.
+    /// Returns the upstream that holds the prompt's prefix, or else the first suitable ring
+    /// successor, unless its load exceeds the bound. The time estimates alone would not keep
+    /// prefixes in place: they consider only this request, for which slightly lower load outweighs
+    /// the saved prefill, although the prefill delays the whole batch. Prefixes would then move
+    /// around the pool and be recomputed everywhere.
     fn holder(
         &self,
         set: &UpstreamSet,
@@ -301,7 +306,8 @@
             };
             let cached = match known {
                 Some((upstream, blocks)) if upstream == index => blocks as f64 * BLOCK_TOKENS,
-                // Nobody is known to have the prefix: lean to its home, where other daemons send it too.
+                // No upstream is known to have the prefix: prefer its ring owner, where other
+                // daemons send it as well.
                 None if home == Some(index) => 0.5 * BLOCK_TOKENS,
                 _ => 0.0,
             };
