--- a/src/policy/upstream_hash.rs
+++ b/src/policy/upstream_hash.rs
@@ -1,16 +1,18 @@
-//! A short name of one incarnation of an upstream.
+//! A compact hash that identifies one incarnation of an upstream.
 
 use crate::table::{ServiceName, UpstreamName};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Stands for an upstream in messages, in four bytes instead of its names. Two of 11,000 upstreams have the same hash in
-/// one fleet of 70; each then counts with the other's work, which costs a worse placement now and then.
+/// Identifies an upstream in messages by four bytes instead of its names. In a fleet, about one in
+/// 70 has two of its 11,000 upstreams share a hash; each is then credited with the other's work,
+/// which occasionally leads to a worse placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamHash(u32);
 
 impl UpstreamHash {
-    /// The hash of one incarnation of an upstream: what is said of another one of the same name says nothing of it.
+    /// Hashes one incarnation of an upstream: information about one incarnation does not apply to
+    /// another one of the same name.
     pub fn of(service: &ServiceName, upstream: &UpstreamName, incarnation: u64) -> Self {
         let seed = xxh3_64_with_seed(service.as_str().as_bytes(), incarnation);
         UpstreamHash(xxh3_64_with_seed(upstream.as_str().as_bytes(), seed) as u32)
