--- a/src/policy/caller_returns.rs
+++ b/src/policy/caller_returns.rs
@@ -1,30 +1,33 @@
-//! Which callers have been here before, by the time that they still have.
+//! Detects retries by the time that callers have left.
 //!
-//! A caller who was refused and comes back counts its time from its first attempt: most often its objective has passed.
-//! What goes wrong without knowing it: in a burst those who return are taken for newcomers and are served, late, in the
-//! stead of others who could have been in time.
+//! A caller that retries after a refusal counts its time from its first attempt, so its objective
+//! has usually passed. Unless retries are detected, a burst's retries are treated as new requests
+//! and are served late, in place of requests that could still have been on time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Attempts that are looked back upon.
+/// Number of recent attempts considered.
 const ATTEMPTS: usize = 64;
-/// Fewer say nothing of what is usual.
+/// Below this number of attempts the typical time is unknown.
 const LEAST_ATTEMPTS: usize = 8;
-/// The place of the usual time in the order of all: most callers that return name less, a few may name much more.
+/// Quantile of the recent times taken as typical: most retries have less time, and a few callers
+/// may have much more.
 const USUAL_PART: f64 = 0.9;
-/// A caller with less than this part of the usual time has spent some of it already. Callers of one kind differ a little
-/// in their patience, and refusals name a fifth of what is left as the earliest return.
+/// A caller with less than this share of the typical time has already used some of it. Callers of
+/// the same kind differ slightly in patience, and a refusal suggests a retry after a fifth of the
+/// remaining time at the earliest.
 const FIRST_PART: f64 = 0.81;
 
-/// The time that callers of one route have when they come.
+/// The recent times that callers of one route allowed for an answer.
 #[derive(Clone, Debug, Default)]
 pub struct CallerTimes {
     recent: VecDeque<Duration>,
 }
 
 impl CallerTimes {
-    /// Takes the time that a caller says it will wait. True if it has been here before.
+    /// Records the time that a caller will wait for an answer, and returns true if the request
+    /// looks like a retry.
     pub fn has_returned(&mut self, time: Duration) -> bool {
         if self.recent.len() == ATTEMPTS {
             self.recent.pop_front();
