--- a/src/policy/crowd_meter.rs
+++ b/src/policy/crowd_meter.rs
@@ -1,32 +1,34 @@
-//! How long requests wait inside the upstreams of a pool, as their answers tell.
+//! Estimates queue lengths inside a pool's upstreams from the reports in their answers.
 //!
-//! What goes wrong without it: plain services queue by themselves, and many daemons with few requests each cannot know what
-//! the others have sent. In a burst every queue is full, and calls that came back after a refusal, late in any case, stand
-//! before newcomers, which become late behind them. One would notice by answers that all take as long as a full queue.
+//! Plain services queue internally, and with many daemons that send few requests each, no daemon
+//! knows what the others have sent. In a burst every queue fills up, and retries of refused calls,
+//! which are already late, delay new calls behind them. Without this estimate every answer takes as
+//! long as a full queue.
 
 use super::Moment;
 use std::time::Duration;
 
-/// Time over which reports of queues are averaged.
+/// Time constant of the running average of queue reports.
 const MEMORY: Duration = Duration::from_millis(400);
-/// Weight of one report at least: a daemon with few requests must not follow a burst seconds late.
+/// Minimum weight of one report, so that a daemon with few requests does not lag a burst by
+/// seconds.
 const LEAST_WEIGHT: f64 = 0.2;
-/// Time in which a report that no other follows loses most of its weight: a daemon that sends little hears late that the
-/// queues are short again.
+/// Time constant with which the latest report loses weight: a daemon that sends little learns late
+/// that queues are short again.
 const FORGOTTEN_IN: Duration = Duration::from_millis(700);
-/// Requests that wait for each place from which on queues are long.
+/// Waiting requests per slot from which queues count as long.
 const LONG_QUEUE: f64 = 1.0;
 
-/// Queues at a pool's upstreams.
+/// Running average of the queue lengths at a pool's upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CrowdMeter {
-    /// Requests that wait for each place.
+    /// Waiting requests per slot.
     queued: f64,
     reported_at: Option<Moment>,
 }
 
 impl CrowdMeter {
-    /// An upstream with `places` said that `queued` requests wait there.
+    /// Records that `queued` requests wait at an upstream with `places` slots.
     pub fn report(&mut self, queued: u32, places: u32, now: Moment) {
         let sample = f64::from(queued) / f64::from(places.max(1));
         let age = self.reported_at.map_or(MEMORY, |at| now.since(at));
