--- a/src/policy/upstream_hash.rs
+++ b/src/policy/upstream_hash.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Identifies an upstream in messages by four bytes instead of its names. In a fleet, about one in
-/// 70 has two of its 11,000 upstreams share a hash; each is then credited with the other's work,
+/// Identifies an upstream in messages by four bytes instead of its names. In about one in 70 fleets
+/// of 11,000 upstreams, two upstreams share a hash; each is then credited with the other's work,
 /// which occasionally leads to a worse placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamHash(u32);
