--- a/src/policy/estimate.rs
+++ b/src/policy/estimate.rs
@@ -1,54 +1,55 @@
-//! Estimates of a request's cost and run time, corrected as answers teach.
+//! Estimates the cost and run time of requests, learning from their answers.
 
 use super::{OrganisationIndex, TierRank};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Bytes of prompt text per token before any answer has taught better.
+/// Bytes of prompt text per token, until answers provide a better estimate.
 const FIRST_BYTES_PER_TOKEN: f64 = 4.0;
-/// Output tokens expected before any answer has taught better.
+/// Expected output tokens, until answers provide a better estimate.
 const FIRST_OUTPUT_TOKENS: f64 = 128.0;
-/// Weight of a new sample in the running means.
+/// Weight of a new sample in the exponential moving averages.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Prompt tokens from which a time to first token is mostly prefill.
+/// Prompt tokens from which prefill dominates the time to first token.
 const LONG_PROMPT: f64 = 1_024.0;
-/// First guess of prefill time per prompt token, in microseconds.
+/// Initial prefill time per prompt token, in microseconds.
 const FIRST_PREFILL_MICROS: f64 = 40.0;
-/// First guess of the time between tokens, in microseconds.
+/// Initial time between tokens, in microseconds.
 const FIRST_GAP_MICROS: f64 = 10_000.0;
 
-/// Prompt tokens that hold an engine up as long as one output token. A prompt token takes 0.02 ms of the whole
-/// batch, an output token 6 ms of one of its 6 places (the given engines' sheets).
+/// Prompt tokens that occupy an engine for as long as one output token. By the engines' data
+/// sheets, a prompt token takes 0.02 ms of the whole batch, and an output token 6 ms of one of its
+/// 6 slots.
 const OUTPUT_PRICE: u32 = 50;
 
-/// A request's size as its caller gives it, in tokens.
+/// The size of a request as declared by its caller, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSizes {
     /// Prompt tokens.
     pub prompt: u32,
-    /// Output tokens to expect.
+    /// Expected output tokens.
     pub output: u32,
 }
 
-/// What a request is thought to need.
+/// The estimated cost of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostEstimate {
     /// Prompt tokens.
     pub prompt_tokens: u32,
     /// Output tokens.
     pub output_tokens: u32,
-    /// Prompt and output tokens together; what queues and limits count.
+    /// Cost in tokens of prompt and output together, as counted by queues and limits.
     pub cost: u32,
-    /// Time from dispatch to the end of the answer on an engine of usual speed.
+    /// Time from dispatch to the end of the answer on an engine of average speed.
     pub run_time: Duration,
 }
 
-/// Speed of a pool's engines, learned from answers.
+/// The speed of a pool's engines, as learned from answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpeed {
-    /// Microseconds of time to first token per prompt token.
+    /// Time to first token per prompt token, in microseconds.
     pub prefill_micros: f64,
-    /// Microseconds between tokens.
+    /// Time between tokens, in microseconds.
     pub gap_micros: f64,
 }
 
@@ -57,19 +58,19 @@
     tokens: f64,
 }
 
-/// Learns prompt size, output length and engine speed of one pool.
+/// Learns the bytes per token, output lengths and engine speed of one pool.
 #[derive(Clone, Debug)]
 pub struct CostModel {
     bytes_per_token: f64,
     outputs: HashMap<(OrganisationIndex, TierRank), OutputMean>,
     pool_output: f64,
     speed: EngineSpeed,
-    /// Tokens cost nothing to estimate for plain services: each request costs one.
+    /// False for plain services, where each request costs one and no tokens are estimated.
     counts_tokens: bool,
 }
 
 impl CostModel {
-    /// A model that has seen no answer; `counts_tokens` is false for plain services.
+    /// Creates a model without samples; `counts_tokens` is false for plain services.
     pub fn new(counts_tokens: bool) -> Self {
         CostModel {
             bytes_per_token: FIRST_BYTES_PER_TOKEN,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// The estimate for a prompt of `prompt_bytes` and at most `output_limit` output tokens.
+    /// Estimates a request with a prompt of `prompt_bytes` and at most `output_limit` output
+    /// tokens.
     pub fn estimate(
         &self,
         organisation: OrganisationIndex,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The estimate for a request whose size is known.
+    /// Estimates a request whose sizes its caller has declared.
     pub fn of_sizes(&self, sizes: RequestSizes) -> CostEstimate {
         if !self.counts_tokens {
             return self.estimate(OrganisationIndex(0), TierRank(0), 0, None);
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Learns from an answer's true counts.
+    /// Learns from the token counts of an answer.
     pub fn learn_counts(
         &mut self,
         organisation: OrganisationIndex,
@@ -147,8 +149,9 @@
         blend(&mut mean.tokens, output);
     }
 
-    /// Learns from a time to first token. A step passes before the prompt's turn and one more makes the token,
-    /// whatever its length, so a short prompt says little of the prefill and counts for little.
+    /// Learns from a time to first token. Whatever the prompt's length, one step passes before its
+    /// turn and another produces the token, so a short prompt says little about prefill and gets a
+    /// small weight.
     pub fn learn_prefill(&mut self, prompt_tokens: u32, time: Duration) {
         let micros = (time.as_micros() as f64 - 2.0 * self.speed.gap_micros).max(0.0);
         let tokens = f64::from(prompt_tokens.max(1));
@@ -156,17 +159,17 @@
         self.speed.prefill_micros += (micros / tokens - self.speed.prefill_micros) * weight;
     }
 
-    /// Learns from a time between tokens (for plain services, from a whole run time).
+    /// Learns from a time between tokens, or from a whole run time for plain services.
     pub fn learn_gap(&mut self, gap: Duration) {
         blend(&mut self.speed.gap_micros, gap.as_micros() as f64);
     }
 
-    /// The speed learned so far.
+    /// The engine speed learned so far.
     pub fn speed(&self) -> EngineSpeed {
         self.speed
     }
 
-    /// Mean output tokens of the pool.
+    /// Mean output tokens per answer of the pool.
     pub fn mean_output(&self) -> f64 {
         self.pool_output
     }
