--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -1,55 +1,63 @@
-//! Placement by the earliest first event.
+//! Placement on the upstream with the earliest expected first event.
 
 use super::placement::{PlaceFit, PlacementPolicy, PlacementQuery};
 use super::{UpstreamIndex, UpstreamSet, UpstreamState, UpstreamStatus};
 use rand::{Rng, RngCore};
 
-/// An upstream that fails all its requests counts as this many times slower.
+/// An upstream that fails every request has its estimate increased by this multiple.
 const FAILING_PRICE: f64 = 8.0;
-/// Estimates are spread by up to this part at random. What goes wrong without it: daemons that know the same choose
-/// the same upstream, and engines that look alike are chosen by their number. One would notice by engines with
-/// queues beside idle ones, the more so the more daemons there are.
+/// Estimates are increased by a random factor of up to this share. Otherwise daemons with the same
+/// information choose the same upstream, and among equal engines the lowest index always wins. The
+/// symptom is engines with queues next to idle ones, and it grows with the number of daemons.
 const CHOICE_SPREAD: f64 = 0.3;
-/// An upstream counts as this many times slower for a request whose answer it would not end in the caller's time.
+/// Factor applied to the estimate of an upstream that would not finish the answer before the
+/// caller's deadline.
 const TOO_SLOW_PRICE: f64 = 6.0;
-/// Output guesses are right at the median only; an upstream should have time for this many times as much.
+/// Output estimates are medians, so an upstream should have time for this multiple of the estimated
+/// output.
 const GUESS_MARGIN: f64 = 1.3;
-/// The same where the request can wait for another upstream: guesses are off by a factor of 1.6 at one deviation, so one
-/// in twelve takes longer than this.
+/// The same margin for requests that can wait for another upstream. Estimates are off by a factor
+/// of 1.6 at one standard deviation, so one answer in twelve takes longer than this.
 const SAFE_GUESS_MARGIN: f64 = 2.0;
-/// Engines read prompts in parts between their steps, so at most this many tokens of prompts come between two events
-/// of a stream (the given engines: parts of 2,048 tokens, events of 3 to 5).
+/// Engines prefill prompts in chunks between decoding steps, so at most this many prompt tokens are
+/// processed between two events of a stream (engines use chunks of 2,048 tokens and events of 3 to
+/// 5 tokens).
 const MOST_READ_BETWEEN_EVENTS: f64 = 8_192.0;
-/// For each stream that would pause for too long an upstream counts as this many times slower. What goes wrong without
-/// it: a long prompt on an engine four times slower than the rest makes every stream there late (measured: 28 % of the
-/// streams on such engines, none on the others).
+/// Added to the estimate's factor for each running stream that would pause for too long. Without
+/// this penalty, a long prompt on an engine four times slower than the others delays every stream
+/// there: in a measurement, 28 % of the streams on such engines were late and none on the others.
 const STALL_PRICE: f64 = 1.0;
-/// An upstream of another group counts as this many times slower: it is likely to be busy with that group's work, and a
-/// new connection has its price. Less than the slowest engines of one's own, four times slower than the rest.
+/// Factor applied to the estimate of an upstream of another group, which is likely to be busy with
+/// that group's work and needs a new connection. It is below the slowness of the slowest engines of
+/// this daemon's own group, which are four times slower than the others.
 const AWAY_PRICE: f64 = 2.0;
-/// Upstreams that are compared for one request; of more, as many are drawn at random. Keeps the cost of a placement
-/// from growing with the pool, and daemons that know the same from choosing the same.
+/// Maximum number of upstreams compared for one request; in larger pools, the comparison starts at
+/// a random position. This bounds the cost of a placement and keeps daemons with the same
+/// information from choosing the same upstream.
 const MOST_COMPARED: usize = 64;
-/// Steps before a first event, beside reading the prompt: the one under way and the one that makes it.
+/// Engine steps before a first event in addition to prefill: the step in progress and the one that
+/// produces the event.
 const STEPS_BEFORE_FIRST: f64 = 2.0;
 
-/// The upstream with a place that should make the first event earliest.
+/// Chooses the upstream with a free slot and the earliest expected first event.
 ///
-/// An engine reads prompts one after the other, so the prompts that it has not read yet, of this daemon and of
-/// the others, come first; each upstream's own time between events tells how its speed compares with its
-/// pool's (a third of the given engines are four times slower than the rest). Engines admit in order of arrival and know no
-/// tiers, so none is sent more than it works on at once.
+/// An engine prefills prompts one after the other, so the unread prompts already there, sent by
+/// this daemon or by others, are processed first. The upstream's own time between events gives its
+/// speed relative to the pool (a third of the engines are four times slower than the others).
+/// Engines admit requests in order of arrival and ignore tiers, so no engine is sent more requests
+/// than it can run concurrently.
 #[derive(Debug)]
 pub struct EarliestPlacement;
 
 impl EarliestPlacement {
-    /// An upstream's time between tokens, in microseconds, and how many times slower than the pool it is.
+    /// Returns an upstream's time between tokens in microseconds, and its slowdown relative to the
+    /// pool.
     fn pace(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> (f64, f64) {
         let gap = status.gap().unwrap_or(query.speed.gap_micros);
         (gap, gap / query.speed.gap_micros.max(1.0))
     }
 
-    /// Estimated microseconds to the first event.
+    /// Estimates the microseconds until the first event.
     fn micros(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> f64 {
         let (gap, slowness) = Self::pace(status, query);
         let unread = status.all_unread();
@@ -59,8 +67,8 @@
         let total = total + Self::wait_for_place(status, query, gap);
         let total = total * Self::stall_price(status, query, gap, slowness);
         let run = f64::from(query.output_tokens) * gap * GUESS_MARGIN;
-        // What goes wrong without this: a long answer begins in time on an engine four times slower than the rest
-        // and is cut by its deadline, after holding a place for all of it.
+        // Without this factor, a long answer starts on time on an engine four times slower than the
+        // others and is then cut by its deadline, having held a slot for its entire duration.
         let is_too_slow = total + run > query.left.as_micros() as f64;
         let total = if is_too_slow { total * TOO_SLOW_PRICE } else { total };
         let total = if status.is_home { total } else { total * AWAY_PRICE };
@@ -69,7 +77,8 @@
 }
 
 impl EarliestPlacement {
-    /// Where others seem to fill the places but their word is old, the time until one becomes free.
+    /// Estimates the wait for a free slot where the latest, possibly outdated, information shows
+    /// all slots in use.
     fn wait_for_place(status: &UpstreamStatus, query: &PlacementQuery<'_>, gap: f64) -> f64 {
         let beyond = (status.occupied() - 1.0).max(0.0) + 1.0 / status.limit.requests().max(1.0);
         let is_full = status.occupied() >= 1.0;
@@ -77,9 +86,11 @@
         if is_full { run * beyond } else { 0.0 }
     }
 
-    /// True if the answer should end in the caller's time though its length is a guess, and if nobody there would have to
-    /// pause for too long. What goes wrong without it: under load the slowest engines are those with room, long answers
-    /// go there, hold a place for all of their callers' time and are cut (measured: a tenth of all engine time).
+    /// Returns true if the answer should finish before the caller's deadline despite the
+    /// uncertainty of its length, and if no stream running there would pause for too long. Without
+    /// this rule, under load the slowest engines are the ones with free slots; long answers go
+    /// there, hold a slot until their callers' deadlines and are cut, which wasted a tenth of all
+    /// engine time in a measurement.
     fn fits(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> bool {
         let (gap, slowness) = Self::pace(status, query);
         let read = f64::from(query.prompt_tokens) * query.speed.prefill_micros * slowness;
@@ -93,14 +104,14 @@
         ends_in_time && Self::stall_price(status, query, gap, slowness) <= 1.0
     }
 
-    /// True if a live upstream that has no room now would fit.
+    /// Returns true if a live upstream that has no free capacity now would fit.
     fn may_fit_later(set: &UpstreamSet, query: &PlacementQuery<'_>) -> bool {
         let live = set.iter().filter(|status| status.state() == UpstreamState::Live);
         let busy = live.filter(|status| !status.has_room(query.room));
         busy.take(MOST_COMPARED).any(|status| Self::fits(status, query))
     }
 
-    /// What it costs those who run there that their events pause while the prompt is read.
+    /// Penalty factor for the pause that prefilling the prompt causes in the streams running there.
     fn stall_price(
         status: &UpstreamStatus,
         query: &PlacementQuery<'_>,
