--- a/src/policy/first_event.rs
+++ b/src/policy/first_event.rs
@@ -1,25 +1,27 @@
-//! How long after its send a request's first event comes, learned as a base and a part for each prompt token.
+//! Models the time from dispatch to first event as a base plus a time per prompt token.
 //!
-//! What goes wrong with a single time for each token: short prompts, whose first event takes as long as the engine's own
-//! start of an answer, make every token seem dear, so long prompts are thought to stall engines that they do not, and
-//! short requests are thought to be on time when they are sent too late.
+//! With a time per token alone, short prompts, whose first event takes the engine's fixed start-up
+//! time, inflate the estimate per token. Long prompts are then expected to stall engines that they
+//! would not stall, and short requests that are dispatched too late are expected to be on time.
 
 use std::time::Duration;
 
-/// Weight of a new sample once there are [`WARM_COUNT`].
+/// Weight of a new sample after the first [`WARM_COUNT`] samples.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// Samples over which all count alike.
+/// Number of initial samples that are weighted equally.
 const WARM_COUNT: f64 = 50.0;
-/// Samples before which the first guesses hold.
+/// Number of samples below which the initial estimates apply.
 const LEAST_COUNT: f64 = 8.0;
-/// First guess of the base: two steps of an engine that makes 100 tokens a second.
+/// Initial base time: two steps of an engine that generates 100 tokens per second.
 const FIRST_BASE_MICROS: f64 = 20_000.0;
-/// First guess of the time for each prompt token.
+/// Initial time per prompt token.
 const FIRST_SLOPE_MICROS: f64 = 40.0;
-/// A sample counts as at most this many times what was expected: one that was held up says nothing of the rest.
+/// Samples are capped at this multiple of the expected time, since one delayed first event says
+/// nothing about the others.
 const MOST_SURPRISE: f64 = 4.0;
 
-/// A line through the times of first events, by the prompt tokens that had to be read before them.
+/// Linear regression of the time to first event on the number of prompt tokens processed before it,
+/// with exponentially weighted moments.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstEventModel {
     count: f64,
@@ -30,8 +32,9 @@
 }
 
 impl FirstEventModel {
-    /// Learns from a first event that came `after` its send, with `tokens` of prompts to be read before it. An engine that
-    /// is `slowness` times slower than usual counts as if it were usual.
+    /// Learns from a first event that came `after` its dispatch, with `tokens` prompt tokens
+    /// processed before it. The time is divided by `slowness`, the engine's slowdown relative to
+    /// the pool.
     pub fn learn(&mut self, tokens: u64, slowness: f64, after: Duration) {
         let tokens = tokens as f64;
         let most = (self.base_micros() + self.slope_micros() * tokens) * MOST_SURPRISE;
@@ -50,7 +53,7 @@
         self.count >= LEAST_COUNT && self.tokens_spread > 0.0
     }
 
-    /// Microseconds for each prompt token.
+    /// Estimated time per prompt token, in microseconds.
     pub fn slope_micros(&self) -> f64 {
         if !self.is_known() {
             return FIRST_SLOPE_MICROS;
@@ -59,7 +62,7 @@
         (self.joint_spread / self.tokens_spread).clamp(0.0, most)
     }
 
-    /// Microseconds whatever the prompt.
+    /// Estimated time that does not depend on the prompt, in microseconds.
     pub fn base_micros(&self) -> f64 {
         if !self.is_known() {
             return FIRST_BASE_MICROS;
