--- a/src/policy/learned_limit.rs
+++ b/src/policy/learned_limit.rs
@@ -1,30 +1,32 @@
-//! The learned bound on work in flight at one upstream.
+//! An adaptive limit on the work in flight at one upstream.
 //!
-//! Additive increase and multiplicative decrease (Chiu and Jain, 1989) on two numbers: requests, since
-//! an engine's batch has so many places, and estimated tokens, since each token in the batch slows the
-//! step. The signals to decrease are the engine's own queue and the times that callers see, not the
-//! number that its maker gives, which is only where the bound starts.
+//! Additive increase and multiplicative decrease (Chiu and Jain, 1989) of two bounds: requests,
+//! since an engine's batch has a fixed number of slots, and estimated tokens, since each token in
+//! the batch slows the step. The limit decreases on queueing inside the engine and on slow
+//! responses seen by callers; the concurrency stated by the engine's vendor is only its initial
+//! value.
 
 use super::Moment;
 use std::time::Duration;
 
-/// Factor of one decrease.
+/// Factor applied by one decrease.
 const DECREASE: f64 = 0.85;
-/// Share of the bound added for each bound's worth of work done while it was binding.
+/// Share of the bound added per bound's worth of work completed while the bound was reached.
 const INCREASE: f64 = 0.06;
-/// The same before the first decrease: the guess may be far too low (compare slow start, Jacobson, 1988).
+/// The increase before the first decrease, since the initial value may be far too low (compare slow
+/// start, Jacobson, 1988).
 const FIRST_INCREASE: f64 = 0.5;
-/// At most one decrease in this time, so that one burst is not punished many times.
+/// Minimum time between two decreases, so that one burst counts only once.
 const DECREASE_PAUSE: Duration = Duration::from_millis(300);
-/// The bound stays within this factor of the first guess, either way.
+/// The bound stays within this factor of its initial value, in either direction.
 const LIMIT_RANGE: f64 = 16.0;
-/// Room for tokens at first, as a multiple of the guessed requests at their mean cost: the batch's places
-/// bind first, and tokens only once steps grow longer than the objective.
+/// Initial token bound as a multiple of the initial requests at their mean cost: the batch's slots
+/// limit first, and tokens only once steps take longer than the objective.
 const TOKEN_ROOM: f64 = 4.0;
-/// Stands for no bound on tokens.
+/// Token bound used where tokens are not limited.
 const NO_BOUND: f64 = 1e15;
 
-/// One learned number.
+/// One adaptive bound.
 #[derive(Clone, Debug)]
 struct LearnedBound {
     value: f64,
@@ -51,7 +53,7 @@
     }
 }
 
-/// One upstream's bound.
+/// The limit on requests and tokens in flight at one upstream.
 #[derive(Clone, Debug)]
 pub struct LearnedLimit {
     tokens: LearnedBound,
@@ -60,8 +62,8 @@
 }
 
 impl LearnedLimit {
-    /// Starts at `guess` requests of `mean_cost` tokens each; with `learns` false it stays at `guess`
-    /// requests of any size.
+    /// Creates a limit of `guess` requests of `mean_cost` tokens each. If `learns` is false, the
+    /// limit stays at `guess` requests of any size.
     pub fn new(guess: u32, mean_cost: f64, learns: bool) -> Self {
         let guess = f64::from(guess);
         let tokens = if learns { guess * mean_cost * TOKEN_ROOM } else { NO_BOUND };
@@ -72,28 +74,28 @@
         }
     }
 
-    /// The present bound in tokens.
+    /// The current bound in tokens.
     pub fn tokens(&self) -> f64 {
         self.tokens.value
     }
 
-    /// The present bound in requests.
+    /// The current bound in requests.
     pub fn requests(&self) -> f64 {
         self.requests.value
     }
 
-    /// The part of the bound that this much work takes up, above 1.0 if it is too much.
+    /// The share of the limit that this much work uses; above 1.0 if it exceeds the limit.
     pub fn used(&self, tokens: u64, requests: u32) -> f64 {
         (tokens as f64 / self.tokens.value).max(f64::from(requests) / self.requests.value)
     }
 
-    /// Tokens that the bound allows if requests cost `mean_cost` each.
+    /// Tokens that the limit allows if requests cost `mean_cost` each.
     pub fn usual_tokens(&self, mean_cost: f64) -> f64 {
         self.tokens.value.min(self.requests.value * mean_cost)
     }
 
-    /// The upstream holds requests back in a queue of its own while `running` are in its batch: that many
-    /// fill it, so the bound falls no lower than that.
+    /// Records that the upstream queues requests internally while `running` requests are in its
+    /// batch. These fill the batch, so the bound is not decreased below their number.
     pub fn crowded(&mut self, running: u32, now: Moment) {
         if self.learns && f64::from(running) < self.requests.value {
             self.requests.decrease(now);
@@ -101,14 +103,15 @@
         }
     }
 
-    /// A first token, or the gap between tokens, came later than the objective.
+    /// Records that a first token or the gap between tokens exceeded its objective.
     pub fn slowed(&mut self, now: Moment) {
         if self.learns {
             self.tokens.decrease(now);
         }
     }
 
-    /// Work of `cost` tokens ended within its objectives while the bound was binding.
+    /// Records that work of `cost` tokens finished within its objectives while the limit was
+    /// reached.
     pub fn succeeded(&mut self, cost: u32) {
         if self.learns {
             self.tokens.increase(f64::from(cost));
