--- a/src/policy/drain_meter.rs
+++ b/src/policy/drain_meter.rs
@@ -1,47 +1,48 @@
-//! How fast a pool works off its queue, as measured.
+//! Measures how fast a pool drains its queue.
 
 use super::{Moment, TierRank};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time over which one sample is taken.
+/// Duration of one sample.
 const SAMPLE_TIME: Duration = Duration::from_millis(500);
-/// Weight of a new sample.
+/// Weight of a new sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Tokens a second below which a tier counts as idle.
+/// Tokens per second below which a tier counts as idle.
 const IDLE_RATE: f64 = 1.0;
 
-/// How far a tier's queue has come.
+/// The progress of a tier's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TierProgress {
-    /// The tier.
     pub rank: TierRank,
-    /// True if any of its requests wait.
+    /// True if any of the tier's requests are waiting.
     pub has_backlog: bool,
-    /// The virtual time of its queue: what an organisation of weight 1 that always waits has been served.
+    /// The queue's virtual time: the service received by a continuously backlogged organisation of
+    /// weight 1.
     pub virtual_time: u64,
 }
 
-/// One tier's flow.
+/// Measured throughput of one tier.
 #[derive(Clone, Copy, Debug, Default)]
 struct TierFlow {
     /// Tokens dispatched since the sample began.
     tokens: u64,
-    /// Tokens a second.
+    /// Tokens dispatched per second.
     rate: f64,
-    /// The virtual time when the sample began, if requests waited then.
+    /// The virtual time at the start of the sample, if requests were waiting then.
     virtual_from: Option<u64>,
-    /// Virtual time a second while requests waited.
+    /// Rate of virtual time per second while requests were waiting.
     virtual_rate: Option<f64>,
 }
 
-/// Tokens dispatched a second by tier, and the speed of each tier's virtual time while requests wait.
+/// Measures the tokens dispatched per second by tier, and the rate of each tier's virtual time
+/// while requests wait.
 ///
-/// What goes wrong without it: a wait reckoned from limits and run times (Little's law) is too short as soon
-/// as a limit is not used to the full, and for an organisation that wants more than its share; requests are
-/// let in that must be given up as late. One would notice by waits that end at the latest start, and by
-/// answers that come just too late. Fair queueing serves every waiting organisation at the speed of its
-/// tier's virtual time, so that one measured number tells the wait of each.
+/// A wait estimated from limits and run times (Little's law) is too short whenever a limit is not
+/// fully used, and for an organisation that demands more than its share. Requests would be admitted
+/// that later have to be dropped as late: waits would end at the latest start time and answers
+/// arrive just too late. Fair queueing serves every backlogged organisation at the rate of its
+/// tier's virtual time, so this one measured rate gives the wait of each of them.
 #[derive(Clone, Debug, Default)]
 pub struct DrainMeter {
     since: Option<Moment>,
@@ -49,12 +50,12 @@
 }
 
 impl DrainMeter {
-    /// Work of `cost` tokens of `tier` was dispatched.
+    /// Records the dispatch of `cost` tokens of `tier`.
     pub fn dispatched(&mut self, tier: TierRank, cost: u32) {
         self.flows.entry(tier).or_default().tokens += u64::from(cost);
     }
 
-    /// Looks at the clock, and takes a sample if it is time.
+    /// Completes the current sample if its duration has elapsed.
     pub fn tick(&mut self, progress: impl Iterator<Item = TierProgress>, now: Moment) {
         let elapsed = self.since.map(|since| now.since(since));
         if elapsed.is_some_and(|elapsed| elapsed < SAMPLE_TIME) {
@@ -71,13 +72,14 @@
         }
     }
 
-    /// Tokens dispatched a second, of all tiers.
+    /// Tokens dispatched per second, summed over all tiers.
     pub fn total_rate(&self) -> f64 {
         self.flows.values().map(|flow| flow.rate).sum()
     }
 
-    /// Seconds until a request of `tier` is served that has `virtual_span` of virtual time before it, with no
-    /// lower tier in its way; none if the tier never had a backlog.
+    /// Estimates the seconds until a request of `tier` is served that has `virtual_span` of virtual
+    /// time before it, assuming that lower tiers yield to it; `None` if the tier never had a
+    /// backlog.
     pub fn wait(&self, tier: TierRank, virtual_span: u64) -> Option<f64> {
         let flow = self.flows.get(&tier)?;
         let lower: f64 = self.flows.range(tier..).skip(1).map(|(_, flow)| flow.rate).sum();
