--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -1,4 +1,4 @@
-//! Mechanisms of the policy that can be switched off one by one, to measure what each is worth.
+//! Policy mechanisms that can be disabled individually to measure their effect.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -9,43 +9,48 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
-    /// Among requests of one lane those worth most for what they cost go first; without it, those due first.
+    /// Orders requests of one lane by their worth relative to their cost instead of by due time.
     SizeOrder,
-    /// A caller that has been here before is late from the start; without it, its objective begins anew.
+    /// Treats retries as late from the start instead of restarting their objective.
     KnownReturns,
-    /// One place in so many goes round among the lanes.
+    /// Assigns a fixed share of the slots to the lanes in rotation.
     LaneTurns,
-    /// Within an organisation's limit, callers that have been here before leave a part to newcomers.
+    /// Within an organisation's limit, reserves a share for new requests that retries may not use.
     ReturnReserve,
-    /// Within an organisation's limit, lower ranks leave a part to higher ones.
+    /// Within an organisation's limit, reserves a share for higher ranks that lower ranks may not
+    /// use.
     RankReserve,
-    /// Times of first events are a base and a part for each token; without it, a time for each token alone.
+    /// Models the time to first event as a base plus a time per token instead of a time per token
+    /// alone.
     FirstEvents,
-    /// A request waits for an engine that should end it in time without making others pause.
+    /// Lets a request wait for an engine that should finish it in time without stalling other
+    /// streams.
     FitPlaces,
-    /// Each tenth by size of a kind is served at least a part as often as its lane.
+    /// Serves each size decile of a kind of request at a minimum share of its lane's service rate.
     SizeShare,
-    /// A caller that has been here before and has no prospect of a place is refused at once, not when its time is over.
+    /// Refuses a retry that is unlikely to get a slot at once instead of when its time has run out.
     LateRefusal,
-    /// Where upstreams queue by themselves, requests that are late anyway wait here until those queues are short.
+    /// Holds requests that are already late in this daemon until the queues inside the upstreams
+    /// are short.
     LateWait,
-    /// A late request leaves places to the requests of other daemons that are worth more for their cost.
+    /// Makes a late request yield slots to other daemons' requests that are worth more for their
+    /// cost.
     GroupOrder,
 }
 
-/// The mechanisms that are switched off.
+/// The set of enabled mechanisms, stored as the disabled ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MechanismSet {
     off: Vec<Mechanism>,
 }
 
 impl MechanismSet {
-    /// All but `off`.
+    /// Creates a set of all mechanisms except `off`.
     pub fn without(off: &[Mechanism]) -> Self {
         MechanismSet { off: off.to_vec() }
     }
 
-    /// True if it is used.
+    /// True if the mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
