--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -1,4 +1,4 @@
-//! All upstreams of one pool: who is live, who has room, who is of this daemon's group, and births.
+//! The upstreams of one pool: liveness, free capacity, group membership and incarnations.
 
 use super::upstreams::ROOM_KINDS;
 use super::{
@@ -10,18 +10,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A straggler's step is this many times its pool's median.
+/// An upstream is a straggler if its time between tokens exceeds this multiple of the pool's
+/// median.
 const STRAGGLER_RATIO: f64 = 2.0;
-/// An upstream that another daemon could not reach is left alone for this long: until it has been probed there.
+/// An upstream that another daemon could not reach gets no work for this long, until this daemon
+/// has probed it.
 const TOLD_DOWN_TIME: Duration = Duration::from_millis(250);
-/// An upstream whose events came this lately is not down, whatever another daemon says.
+/// An upstream that sent events within this time is considered reachable, whatever other daemons
+/// report.
 const PROVEN_TIME: Duration = Duration::from_millis(500);
-/// The incarnation of an upstream that has not said when it was born.
+/// The incarnation of an upstream that has not reported one.
 const UNKNOWN_BIRTH: u64 = 0;
-/// Upstreams for one group, at least; pools with fewer are shared by all groups.
+/// Minimum number of upstreams per group; pools with fewer are shared by all groups.
 const GROUP_UPSTREAMS: usize = 4;
 
-/// All upstreams of a pool.
+/// The upstreams of a pool.
 #[derive(Debug, Default)]
 pub struct UpstreamSet {
     upstreams: BTreeMap<UpstreamIndex, UpstreamStatus>,
@@ -32,55 +35,58 @@
     live: usize,
     share: Option<f64>,
     group: FleetGroup,
-    /// The generation for which the group's upstreams were worked out.
+    /// The membership generation for which the group's upstreams were computed.
     homes_of: Option<u64>,
-    /// Incarnations that said that they leave, or were said to, for as long as a source names them. What goes wrong
-    /// without them: one that is gone is forgotten, and the lagging list brings it back as new, again and again.
+    /// Incarnations that announced their departure, or were reported as leaving, for as long as a
+    /// source lists them. Without this record, an upstream that is gone and forgotten is added as
+    /// new again and again by a list that lags behind.
     left: HashSet<(UpstreamName, u64)>,
-    /// Grows with each change of membership.
+    /// Incremented on each change of membership.
     pub generation: u64,
 }
 
 impl UpstreamSet {
-    /// The upstream with this number, if it is still known.
+    /// The upstream with this index, if it is still known.
     pub fn get(&self, index: UpstreamIndex) -> Option<&UpstreamStatus> {
         self.upstreams.get(&index)
     }
 
-    /// All upstreams, in order of their numbers.
+    /// All upstreams, ordered by index.
     pub fn iter(&self) -> impl Iterator<Item = &UpstreamStatus> {
         self.upstreams.values()
     }
 
-    /// Upstreams that may be given work now, in no order.
+    /// Upstreams that may be given work now, in arbitrary order.
     pub fn open(&self, kind: RoomKind) -> &[UpstreamIndex] {
         &self.open[kind as usize]
     }
 
-    /// Sets the part of every upstream's limit that only the highest tier may use.
+    /// Sets the share of each upstream's limit that is reserved for the highest tier.
     pub fn set_headroom(&mut self, headroom: f64) {
         self.headroom = headroom;
         self.update_all(|status| status.headroom = headroom);
     }
 
-    /// The number of the upstream of this name.
+    /// The index of the upstream with this name.
     pub fn find(&self, name: &UpstreamName) -> Option<UpstreamIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Live upstreams.
+    /// The number of live upstreams.
     pub fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Sum of the bounds of live upstreams for this daemon, in tokens of requests of the usual cost.
+    /// Sum of this daemon's shares of the limits of live upstreams, in tokens, for requests of
+    /// `mean_cost`.
     pub fn live_limit(&self, mean_cost: f64) -> f64 {
         let live = self.upstreams.values().filter(|status| status.state() == UpstreamState::Live);
         live.map(|status| status.limit.usual_tokens(mean_cost) * status.share).sum()
     }
 
-    /// Takes the merged list of the table and the platform. A known name with a larger incarnation is
-    /// another upstream: the old one leaves, whatever its own list entry says.
+    /// Applies the merged list of upstreams from the table and the platform. A known name with a
+    /// larger incarnation is a different upstream: the old one leaves, whatever its own list entry
+    /// says.
     pub fn set_sources(
         &mut self,
         sources: &[UpstreamSource],
@@ -128,8 +134,9 @@
         absent.into_iter().for_each(|index| self.tell(index, UpstreamWord::Absent));
     }
 
-    /// Takes the birth that an upstream reports. A later one is another upstream, of which nothing is known yet; an
-    /// earlier one is an old report and changes nothing. The first report of a birth that was not known is no other upstream.
+    /// Applies an incarnation reported by an upstream. A later incarnation is a different upstream
+    /// without learned state; an earlier one comes from an outdated report and is ignored. The
+    /// first report of an unknown incarnation does not make it a different upstream.
     pub fn born(
         &mut self,
         index: UpstreamIndex,
@@ -163,7 +170,7 @@
         self.refresh(index);
     }
 
-    /// Takes what was learned of an upstream's life; forgets the upstream once it is gone.
+    /// Applies a life-cycle event of an upstream and forgets the upstream once it is gone.
     pub fn tell(&mut self, index: UpstreamIndex, word: UpstreamWord) {
         let Some(status) = self.upstreams.get_mut(&index) else { return };
         let before = status.machine.state();
@@ -193,7 +200,7 @@
         }
     }
 
-    /// Changes an upstream and keeps the list of open ones right.
+    /// Modifies an upstream and keeps the lists of open ones consistent.
     pub fn update(&mut self, index: UpstreamIndex, change: impl FnOnce(&mut UpstreamStatus)) {
         if let Some(status) = self.upstreams.get_mut(&index) {
             change(status);
@@ -201,13 +208,13 @@
         }
     }
 
-    /// Changes every upstream, as [`UpstreamSet::update`] does one.
+    /// Modifies every upstream, as [`UpstreamSet::update`] does for one.
     pub fn update_all(&mut self, change: impl Fn(&mut UpstreamStatus)) {
         let indexes: Vec<UpstreamIndex> = self.upstreams.keys().copied().collect();
         indexes.into_iter().for_each(|index| self.update(index, &change));
     }
 
-    /// Sets this daemon's share of every upstream's limit, for new ones too.
+    /// Sets this daemon's share of every upstream's limit, including upstreams added later.
     pub fn set_share(&mut self, share: f64) {
         if self.share == Some(share) {
             return;
@@ -216,8 +223,9 @@
         self.update_all(|status| status.share = share);
     }
 
-    /// Takes what the other daemons have at each upstream. One that they cannot reach is not asked for a while; but a
-    /// daemon that reaches nothing is itself what is cut off, so its report on most of the pool is passed over.
+    /// Applies the work that other daemons report for each upstream. An upstream that they cannot
+    /// reach gets no work for a while. A daemon that reaches nothing is itself disconnected, so
+    /// reports that cover more than half of the live upstreams are not trusted.
     pub fn set_others(&mut self, rows: &[(UpstreamName, OthersWork)], now: Moment) {
         let down = rows.iter().filter(|(_, others)| others.is_down).count();
         let believes = down * 2 <= self.live;
@@ -235,12 +243,13 @@
         }
     }
 
-    /// The group of daemons that this one is of.
+    /// The group of daemons that this one belongs to.
     pub fn group(&self) -> FleetGroup {
         self.group
     }
 
-    /// Works out which upstreams are of this daemon's group: as many for each group, by order of addresses.
+    /// Computes which upstreams belong to this daemon's group: the upstreams are ordered by address
+    /// and divided evenly among the groups.
     pub fn set_group(&mut self, group: FleetGroup) {
         if self.group == group && self.homes_of == Some(self.generation) {
             return;
@@ -258,7 +267,7 @@
         }
     }
 
-    /// Lets upstreams be asked again whose pause after a refusal is over.
+    /// Ends pauses after refusals that have expired.
     pub fn reopen(&mut self, now: Moment) {
         let over = |status: &&UpstreamStatus| status.crowded_until.is_some_and(|at| at <= now);
         let over: Vec<UpstreamIndex> =
@@ -266,7 +275,7 @@
         over.into_iter().for_each(|index| self.update(index, |status| status.crowded_until = None));
     }
 
-    /// Learns how an exchange ended at an upstream.
+    /// Records the outcome of an exchange with an upstream.
     pub fn judge_end(&mut self, index: UpstreamIndex, outcome: DispatchOutcome, now: Moment) {
         let has_failed = match outcome {
             DispatchOutcome::Completed { .. } => false,
@@ -278,7 +287,7 @@
         self.update(index, |status| status.judge_end(has_failed, now));
     }
 
-    /// Counts a dispatch.
+    /// Records a dispatch.
     pub fn dispatched(&mut self, index: UpstreamIndex, cost: u32, now: Moment) {
         self.update(index, |status| {
             status.in_flight += 1;
@@ -287,7 +296,7 @@
         });
     }
 
-    /// Counts the end of a dispatch.
+    /// Records the end of a dispatch.
     pub fn ended(&mut self, index: UpstreamIndex, cost: u32, now: Moment) {
         self.update(index, |status| {
             status.in_flight = status.in_flight.saturating_sub(1);
@@ -299,7 +308,7 @@
         }
     }
 
-    /// Takes a load report.
+    /// Applies a load report.
     pub fn reported(&mut self, index: UpstreamIndex, report: LoadReport, now: Moment) {
         self.update(index, |status| status.take_report(report, now));
         self.tell(
@@ -308,7 +317,8 @@
         );
     }
 
-    /// Judges every upstream's gap against the pool's median.
+    /// Updates which upstreams are stragglers, comparing each one's time between tokens with the
+    /// pool's median.
     pub fn judge_stragglers(&mut self) {
         let mut gaps: Vec<f64> =
             self.upstreams.values().filter_map(|status| status.gap_micros).collect();
