--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -1,4 +1,4 @@
-//! One upstream as this daemon sees it: life cycle, work in flight, load reports.
+//! The state of one upstream as seen by this daemon: life cycle, work in flight and load reports.
 
 use super::{LearnedLimit, Moment, UpstreamIndex};
 use crate::chart::{ChartMachine, StateChart};
@@ -9,70 +9,73 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-/// Sends and ends older than this no longer correct a report.
+/// Dispatches and ends older than this no longer correct a load report.
 const CORRECTION_WINDOW: Duration = Duration::from_secs(5);
-/// A report older than this says nothing.
+/// Load reports older than this are ignored.
 const REPORT_LIFE: Duration = Duration::from_secs(10);
-/// Requests that may wait inside an upstream, and one more for so many in its batch: some are always on their
-/// way into the next step. Only a queue that two reports in a row show is one that the batch holds back; one
-/// report alone kept the bound at the first guess for ever.
+/// Requests that may wait inside an upstream without counting as a queue, plus one for every
+/// `QUEUED_PART` in its batch, since some are always about to enter the next step. A queue lowers
+/// the limit only if two consecutive reports show it: when one report sufficed, the limit never
+/// rose above its initial value.
 const QUEUED_TOLERANCE: u32 = 2;
 const QUEUED_PART: u32 = 16;
-/// Weight of a new gap in an upstream's mean.
+/// Weight of a new sample in an upstream's mean time between tokens.
 const GAP_WEIGHT: f64 = 0.2;
-/// Weight of a new end in the share of failures.
+/// Weight of a new outcome in the failure rate.
 const FAILING_WEIGHT: f64 = 0.2;
-/// Failures in a row after which an upstream rests: one alone is often the request's or the connection's.
+/// Consecutive failures after which an upstream is backed off; a single one is often the fault of
+/// the request or the connection.
 const FAILURES_TO_REST: u32 = 2;
-/// The first rest.
+/// The initial backoff.
 const FIRST_REST: Duration = Duration::from_millis(500);
-/// A rest is doubled at most so often: 4 s, so that an upstream that is sound again is soon found.
+/// A backoff is doubled at most this many times, to 4 s, so that a recovered upstream is soon used
+/// again.
 const MOST_DOUBLINGS: u32 = 3;
-/// An upstream without a place is not asked again for this long, doubled with each refusal in a row: with 4 places and
-/// runs of half a second one becomes free each 125 ms.
+/// An upstream that refused a slot is not asked again for this long, doubled with each consecutive
+/// refusal: with 4 slots and runs of half a second, one becomes free every 125 ms.
 const FIRST_CROWDED: Duration = Duration::from_millis(30);
-/// Most doublings: 120 ms.
+/// Maximum doublings of that pause, to 120 ms.
 const MOST_CROWDED_DOUBLINGS: u32 = 2;
 
 chart_names! {
-    /// Where an upstream is in its life.
+    /// The life-cycle state of an upstream.
     UpstreamState {
-        /// May get work.
+        /// May be given work.
         Live,
-        /// Could not be reached; gets work again once it answers.
+        /// Could not be reached; is given work again once it answers.
         Suspect,
-        /// Gets no new work; running work ends.
+        /// Is given no new work; running work may finish.
         Leaving,
-        /// Leaving, and nothing runs there any more.
+        /// Has left, and none of this daemon's requests run there any more.
         Gone,
     }
 }
 
 chart_names! {
-    /// What is learned of an upstream's life.
+    /// An event in the life cycle of an upstream.
     UpstreamWord {
-        /// It answered a request or a poll.
+        /// It answered a request or a probe.
         Answered,
         /// A connection to it could not be opened.
         Unreachable,
-        /// It, or the platform, says it is leaving.
+        /// The upstream or the platform reports that it is leaving.
         Leaving,
-        /// Neither the table nor the platform's list names it any more.
+        /// Neither the table nor the platform's list contains it any more.
         Absent,
-        /// Nothing of this daemon runs there.
+        /// None of this daemon's requests run there.
         Idle,
     }
 }
 
 chart_names! {
-    /// The upstream chart has no actions.
+    /// Placeholder for the actions of the upstream chart, which has none.
     NoAction {
-        /// Never used; a chart needs at least one name.
+        /// Unused; a chart needs at least one name.
         Nothing,
     }
 }
 
-/// The chart of an upstream.
+/// The state chart of an upstream's life cycle.
 pub type UpstreamChart = StateChart<UpstreamState, UpstreamWord, NoAction>;
 
 static CHART: LazyLock<UpstreamChart> = LazyLock::new(|| {
@@ -85,125 +88,123 @@
     &CHART
 }
 
-/// An upstream as the table or the platform's list names it.
+/// An upstream as listed by the table or the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamSource {
-    /// Its name.
     pub name: UpstreamName,
-    /// Grows when another process takes the name or address.
+    /// Increases when another process takes over the name or address.
     pub incarnation: u64,
-    /// Address and port.
     pub address: std::net::SocketAddr,
-    /// True if a source says that it is leaving.
+    /// True if a source lists it as leaving.
     pub is_leaving: bool,
-    /// Requests that it works on at once, where a source says.
+    /// Concurrent request slots, if a source states them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub places: Option<u32>,
 }
 
-/// Load as an upstream reported it.
+/// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The upstream's own time stamp, in microseconds of its own clock; 0 if it gives none.
+    /// The report's time by the upstream's own clock, in microseconds; 0 if not given.
     pub stamp: u64,
     /// Requests in its batch.
     pub running: u32,
-    /// Requests waiting inside it.
+    /// Requests waiting inside the upstream.
     pub queued: u32,
-    /// Its present step time, in microseconds; 0 if it does not say.
+    /// Current step time in microseconds; 0 if not given.
     pub step_micros: u32,
-    /// True if it says that it is leaving.
+    /// True if the upstream reports that it is leaving.
     pub is_leaving: bool,
 }
 
-/// One upstream.
+/// What this daemon knows about one upstream.
 #[derive(Debug)]
 pub struct UpstreamStatus {
-    /// Its number.
     pub index: UpstreamIndex,
-    /// How it is named and reached.
+    /// The list entry that names the upstream and gives its address.
     pub source: UpstreamSource,
     pub(super) machine: ChartMachine<UpstreamState, UpstreamWord, NoAction>,
-    /// The learned bound.
+    /// The learned limit on work in flight.
     pub limit: LearnedLimit,
-    /// Estimated tokens of this daemon in flight.
+    /// Estimated tokens of this daemon's requests in flight.
     pub in_flight_tokens: u64,
-    /// Requests of this daemon in flight.
+    /// This daemon's requests in flight.
     pub in_flight: u32,
-    /// This daemon's share of the limit, 0.0 to 1.0.
+    /// This daemon's share of the limit, from 0.0 to 1.0.
     pub share: f64,
     /// Mean time between tokens, in microseconds.
     pub gap_micros: Option<f64>,
-    /// True while much slower than its pool.
+    /// True while the upstream is much slower than its pool.
     pub is_straggler: bool,
     report: Option<(Moment, LoadReport)>,
-    /// True if requests waited inside it by the last report.
+    /// True if the last report showed a queue inside the upstream.
     was_crowded: bool,
-    /// The least difference seen between arrival and stamp: the offset between the two clocks.
+    /// The smallest difference observed between arrival time and stamp, used as the offset between
+    /// the two clocks.
     clock_offset: Option<i64>,
     changes: VecDeque<(Moment, i32)>,
-    /// The part of the share that only the highest tier may use.
+    /// The part of the share that is reserved for the highest tier.
     pub(super) headroom: f64,
-    /// Work of the other daemons there, as last heard.
+    /// The other daemons' work there, as last reported.
     pub others: OthersWork,
-    /// Prompt tokens of this daemon's requests that it has not yet read.
+    /// Prompt tokens of this daemon's requests that the upstream has not yet processed.
     pub unread_tokens: u64,
-    /// Recent failures: 1.0 when all fail, 0.0 when none does.
+    /// Moving average of failures, from 0.0 (none) to 1.0 (all).
     pub failing: f64,
-    /// Failures in a row.
+    /// Consecutive failures.
     failed_in_row: u32,
-    /// It gets no work until then, unless nobody else has room.
+    /// Until then it gets work only if no other upstream has capacity.
     pub rests_until: Moment,
-    /// It had no place to reserve; it is not asked again until then.
+    /// Set after it refused a slot; it gets no work until then.
     pub(super) crowded_until: Option<Moment>,
-    /// Refusals of a place in a row.
+    /// Consecutive refusals of a slot.
     crowded_in_row: u32,
-    /// True if it is of this daemon's group, and used first.
+    /// True if the upstream belongs to this daemon's group, whose upstreams are preferred.
     pub is_home: bool,
-    /// Time between tokens as another daemon told it, in microseconds.
+    /// Time between tokens as reported by another daemon, in microseconds.
     pub(super) told_gap: Option<f64>,
-    /// When this daemon learned of its speed last.
+    /// When this daemon last measured the time between tokens.
     pub learned_at: Moment,
     pub(super) open_positions: [Option<usize>; ROOM_KINDS],
 }
 
-/// Work of the other daemons at an upstream.
+/// The other daemons' work at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OthersWork {
-    /// Requests there.
     pub requests: u32,
-    /// Prompt tokens that it has not yet read.
+    /// Prompt tokens that the upstream has not yet processed.
     pub unread_tokens: u64,
-    /// Time between its tokens as one of them measured it last, in microseconds; 0 if none did.
+    /// Time between tokens as last measured by one of the daemons, in microseconds; 0 if unknown.
     pub gap_micros: u32,
-    /// True if it could not be reached.
+    /// True if one of the daemons could not reach the upstream.
     pub is_down: bool,
-    /// Requests of daemons outside of this one's group, by old reports: a hint, and never passed on.
+    /// Requests of daemons outside this one's group, from outdated reports; an estimate that is
+    /// never forwarded.
     #[serde(skip)]
     pub hinted: u32,
 }
 
 impl OthersWork {
-    /// Requests there as far as is known.
+    /// The known requests there, including those from outdated reports.
     pub fn all_requests(&self) -> u32 {
         self.requests + self.hinted
     }
 }
 
-/// For whom there must be room.
+/// Which share of an upstream's capacity a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoomKind {
-    /// Any tier.
+    /// The capacity open to every tier.
     Usual = 0,
-    /// The highest tier, which may use the headroom too.
+    /// All capacity, including the headroom reserved for the highest tier.
     Highest = 1,
 }
 
-/// Kinds of room.
+/// Number of capacity kinds.
 pub(super) const ROOM_KINDS: usize = 2;
 
 impl UpstreamStatus {
-    /// An upstream of which nothing is known but how it is named and reached.
+    /// Creates the status of an upstream about which only its list entry is known.
     pub(super) fn new(
         index: UpstreamIndex,
         source: UpstreamSource,
@@ -240,12 +241,12 @@
         }
     }
 
-    /// Where it is in its life.
+    /// The life-cycle state.
     pub fn state(&self) -> UpstreamState {
         self.machine.state()
     }
 
-    /// True if it may be given more work now.
+    /// True if the upstream may be given more work now.
     pub fn has_room(&self, kind: RoomKind) -> bool {
         let part = match kind {
             RoomKind::Usual => 1.0 - self.headroom,
@@ -257,46 +258,48 @@
             && (self.in_flight + self.others.requests == 0 || self.used() < self.share * part)
     }
 
-    /// The part of the bound that this daemon's work takes up, with the others' where that is known well enough.
+    /// The share of the limit in use by this daemon's work, including the requests of the other
+    /// daemons known from current reports.
     pub fn used(&self) -> f64 {
         self.limit.used(self.in_flight_tokens, self.in_flight + self.others.requests)
     }
 
-    /// Prompt tokens that it has not read yet, of this daemon's requests and of the others'.
+    /// Prompt tokens not yet processed there, of this daemon's requests and of the others'.
     pub fn all_unread(&self) -> u64 {
         self.unread_tokens + self.others.unread_tokens
     }
 
-    /// Requests there as far as is known, as a part of its places.
+    /// All known requests there relative to the limit on requests.
     pub fn occupied(&self) -> f64 {
         f64::from(self.in_flight + self.others.all_requests()) / self.limit.requests().max(1.0)
     }
 
-    /// Mean time between tokens, in microseconds: this daemon's own measure, or else another one's.
+    /// Mean time between tokens in microseconds, measured by this daemon or else by another one.
     pub fn gap(&self) -> Option<f64> {
         self.gap_micros.or(self.told_gap)
     }
 
-    /// It had no place to reserve.
+    /// Records that the upstream refused a slot.
     pub(super) fn crowd(&mut self, now: Moment) {
         let doublings = self.crowded_in_row.min(MOST_CROWDED_DOUBLINGS);
         self.crowded_in_row += 1;
         self.crowded_until = Some(now + FIRST_CROWDED * 2u32.pow(doublings));
     }
 
-    /// A place there became free.
+    /// Records that a slot there became free.
     pub(super) fn uncrowd(&mut self) {
         self.crowded_until = None;
         self.crowded_in_row = 0;
     }
 
-    /// The upstream has read this many prompt tokens, or will not read them any more.
+    /// Records that the upstream has processed this many prompt tokens, or never will.
     pub fn read(&mut self, tokens: u32) {
         self.unread_tokens = self.unread_tokens.saturating_sub(u64::from(tokens));
     }
 
-    /// Learns how an exchange ended. After failures in a row the upstream rests, longer each time: one that
-    /// answers its health checks but no requests would else be chosen first, since nothing runs there.
+    /// Records the outcome of an exchange. Consecutive failures back the upstream off, longer each
+    /// time. Otherwise one that answers health checks but no requests would be preferred, since it
+    /// is idle.
     pub(super) fn judge_end(&mut self, has_failed: bool, now: Moment) {
         let sample = f64::from(u8::from(has_failed));
         self.failing += (sample - self.failing) * FAILING_WEIGHT;
@@ -307,24 +310,24 @@
         }
     }
 
-    /// This daemon's work as a part of its share of the bound.
+    /// This daemon's work relative to its share of the limit.
     pub fn load(&self) -> f64 {
         self.used() / self.share.max(1e-6)
     }
 
-    /// True if the last report says that nothing waits inside the upstream.
+    /// True if the last report shows no queue inside the upstream.
     pub fn reports_no_queue(&self) -> bool {
         self.report.is_some_and(|(_, report)| report.queued == 0)
     }
 
-    /// Requests last reported, running and queued, uncorrected; the baselines use it.
+    /// Running and queued requests in the last report, uncorrected; used by the baseline policies.
     pub fn reported_requests(&self) -> u32 {
         self.report.map_or(0, |(_, report)| report.running + report.queued)
     }
 
-    /// Requests at the upstream now: the report, plus what this daemon sent since the report was
-    /// true, less what ended since. Without the correction all daemons run to the same minimum until
-    /// the next report.
+    /// Estimates the requests at the upstream now: the reported number, plus this daemon's
+    /// dispatches since the time of the report, less the ends. Without this correction all daemons
+    /// choose the same least loaded upstream until the next report.
     pub fn corrected_requests(&self, now: Moment) -> f64 {
         let own = f64::from(self.in_flight);
         let Some((time, _)) = self.report.filter(|(time, _)| now.since(*time) < REPORT_LIFE) else {
@@ -347,8 +350,9 @@
         }
     }
 
-    /// Places a report in this daemon's time by the least offset seen between the two clocks; a report
-    /// without a stamp counts as fresh. One that is older than the last is passed over.
+    /// Applies a load report. Its stamp is converted to this daemon's clock by the smallest offset
+    /// observed between the two clocks; a report without a stamp counts as current. Reports older
+    /// than the latest one are ignored.
     pub(super) fn take_report(&mut self, report: LoadReport, now: Moment) {
         let time = match report.stamp {
             0 => now,
@@ -373,7 +377,7 @@
         }
     }
 
-    /// Blends a time between tokens, in microseconds, into the mean.
+    /// Adds a time between tokens, in microseconds, to the moving average.
     pub fn learn_gap(&mut self, micros: f64, now: Moment) {
         self.learned_at = now;
         self.gap_micros =
