--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -310,7 +310,7 @@
         }
     }
 
-    /// This daemon's work relative to its share of the limit.
+    /// The work counted by [`UpstreamStatus::used`], relative to this daemon's share of the limit.
     pub fn load(&self) -> f64 {
         self.used() / self.share.max(1e-6)
     }
