--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -11,29 +11,29 @@
 /// Prompt bytes per hashed block.
 const BLOCK_BYTES: usize = 512;
 /// Maximum number of blocks hashed per prompt.
-const MOST_BLOCKS: usize = 64;
+const MAX_BLOCKS: usize = 64;
 /// Tokens assumed per block when valuing cached blocks.
 const BLOCK_TOKENS: f64 = 128.0;
 /// Points per upstream on the consistent-hashing ring.
 const RING_POINTS: u64 = 16;
 /// Pools with at most this many open upstreams are searched exhaustively.
-const SEARCH_ALL: usize = 32;
+const FULL_SEARCH_LIMIT: usize = 32;
 /// Random candidates considered in larger pools.
 const RANDOM_CANDIDATES: usize = 6;
 /// Ring successors considered in larger pools.
 const RING_CANDIDATES: usize = 2;
 /// Maximum entries in one generation of the prefix index.
-const INDEX_ENTRIES: usize = 16_384;
+const GENERATION_ENTRIES: usize = 16_384;
 /// An upstream keeps its prefixes while its load is at most this multiple of the pool's mean.
-const LOAD_BOUND: f64 = 1.25;
+const LOAD_BOUND_FACTOR: f64 = 1.25;
 /// Added to the load bound so that a nearly idle pool does not spread its prefixes.
 const LOAD_SLACK: f64 = 0.1;
 /// Factor applied to the estimated time of a straggler.
-const STRAGGLER_PRICE: f64 = 4.0;
+const STRAGGLER_PENALTY: f64 = 4.0;
 
 /// Returns cumulative hashes of the prompt's leading blocks: equal hashes mean equal prefixes.
 pub fn prefix_hashes(prompt: &[u8]) -> Box<[u64]> {
-    let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MOST_BLOCKS);
+    let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     blocks
         .scan(0u64, |hash, block| {
             *hash = xxh3_64_with_seed(block, *hash);
@@ -151,24 +151,24 @@
 /// an answer.
 #[derive(Debug, Default)]
 struct PrefixIndex {
-    young: HashMap<u64, UpstreamIndex>,
-    old: HashMap<u64, UpstreamIndex>,
+    recent: HashMap<u64, UpstreamIndex>,
+    previous: HashMap<u64, UpstreamIndex>,
 }
 
 impl PrefixIndex {
     fn get(&self, block: u64) -> Option<UpstreamIndex> {
-        self.young.get(&block).or_else(|| self.old.get(&block)).copied()
+        self.recent.get(&block).or_else(|| self.previous.get(&block)).copied()
     }
 
     fn insert(&mut self, block: u64, upstream: UpstreamIndex) {
-        if self.young.len() >= INDEX_ENTRIES {
-            self.old = std::mem::take(&mut self.young);
+        if self.recent.len() >= GENERATION_ENTRIES {
+            self.previous = std::mem::take(&mut self.recent);
         }
-        self.young.insert(block, upstream);
+        self.recent.insert(block, upstream);
     }
 
     fn remove(&mut self, block: u64, upstream: UpstreamIndex) {
-        for entries in [&mut self.young, &mut self.old] {
+        for entries in [&mut self.recent, &mut self.previous] {
             if entries.get(&block) == Some(&upstream) {
                 entries.remove(&block);
             }
@@ -176,7 +176,7 @@
     }
 
     /// The upstream with the longest known prefix, and the length of that prefix in blocks.
-    fn longest(&self, prefix: &[u64]) -> Option<(UpstreamIndex, usize)> {
+    fn longest_prefix(&self, prefix: &[u64]) -> Option<(UpstreamIndex, usize)> {
         let lengths = (1..=prefix.len()).rev();
         lengths
             .filter_map(|length| self.get(prefix[length - 1]).map(|upstream| (upstream, length)))
@@ -239,7 +239,7 @@
     let load = status.load() + others * mean_cost / status.limit.usual_tokens(mean_cost).max(1.0);
     let run = f64::from(query.output_tokens.max(1)) * gap * (1.0 + load);
     let total = prefill * (1.0 + load) + run;
-    if status.is_straggler { total * STRAGGLER_PRICE } else { total }
+    if status.is_straggler { total * STRAGGLER_PENALTY } else { total }
 }
 
 /// Requests at an upstream, from this daemon and others, relative to its request limit.
@@ -252,11 +252,11 @@
     let open = set.open(query.room);
     let load =
         |index: UpstreamIndex| set.get(index).map_or(0.0, |status| request_load(status, query.now));
-    if open.len() <= SEARCH_ALL {
+    if open.len() <= FULL_SEARCH_LIMIT {
         return open.iter().map(|index| load(*index)).sum::<f64>() / open.len().max(1) as f64;
     }
-    let sampled = (0..SEARCH_ALL).map(|_| load(open[rng.random_range(0..open.len())]));
-    sampled.sum::<f64>() / SEARCH_ALL as f64
+    let sampled = (0..FULL_SEARCH_LIMIT).map(|_| load(open[rng.random_range(0..open.len())]));
+    sampled.sum::<f64>() / FULL_SEARCH_LIMIT as f64
 }
 
 impl AffinityPlacement {
@@ -265,7 +265,7 @@
     /// prefixes in place: they consider only this request, for which slightly lower load outweighs
     /// the saved prefill, although the prefill delays the whole batch. Prefixes would then move
     /// around the pool and be recomputed everywhere.
-    fn holder(
+    fn prefix_holder(
         &self,
         set: &UpstreamSet,
         query: &PlacementQuery<'_>,
@@ -273,7 +273,7 @@
         rng: &mut dyn RngCore,
     ) -> Option<UpstreamIndex> {
         let key = query.prefix.first()?;
-        let bound = mean_load(set, query, rng) * LOAD_BOUND + LOAD_SLACK;
+        let bound = mean_load(set, query, rng) * LOAD_BOUND_FACTOR + LOAD_SLACK;
         let is_fit = |index: &UpstreamIndex| {
             set.get(*index).is_some_and(|status| {
                 status.has_room(query.room)
@@ -294,11 +294,13 @@
     ) -> Option<UpstreamIndex> {
         self.refresh_ring(set);
         let open = set.open(query.room);
-        let known = self.index.longest(query.prefix);
-        if let Some(upstream) = self.holder(set, query, known.map(|(upstream, _)| upstream), rng) {
+        let known = self.index.longest_prefix(query.prefix);
+        if let Some(upstream) =
+            self.prefix_holder(set, query, known.map(|(upstream, _)| upstream), rng)
+        {
             return Some(upstream);
         }
-        let home = query.prefix.first().and_then(|key| self.ring_candidates(*key).next());
+        let ring_owner = query.prefix.first().and_then(|key| self.ring_candidates(*key).next());
         let mut best: Option<(f64, UpstreamIndex)> = None;
         let mut consider = |index: UpstreamIndex| {
             let Some(status) = set.get(index).filter(|status| status.has_room(query.room)) else {
@@ -308,7 +310,7 @@
                 Some((upstream, blocks)) if upstream == index => blocks as f64 * BLOCK_TOKENS,
                 // No upstream is known to have the prefix: prefer its ring owner, where other
                 // daemons send it as well.
-                None if home == Some(index) => 0.5 * BLOCK_TOKENS,
+                None if ring_owner == Some(index) => 0.5 * BLOCK_TOKENS,
                 _ => 0.0,
             };
             let micros = estimated_micros(status, query, cached);
@@ -316,7 +318,7 @@
                 best = Some((micros, index));
             }
         };
-        if open.len() <= SEARCH_ALL {
+        if open.len() <= FULL_SEARCH_LIMIT {
             open.iter().copied().for_each(&mut consider);
             return best.map(|(_, index)| index);
         }
