--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -15,14 +15,14 @@
 const STRAGGLER_RATIO: f64 = 2.0;
 /// An upstream that another daemon could not reach gets no work for this long, until this daemon
 /// has probed it.
-const TOLD_DOWN_TIME: Duration = Duration::from_millis(250);
+const REMOTE_DOWN_PAUSE: Duration = Duration::from_millis(250);
 /// An upstream that sent events within this time is considered reachable, whatever other daemons
 /// report.
-const PROVEN_TIME: Duration = Duration::from_millis(500);
+const REACHABLE_WINDOW: Duration = Duration::from_millis(500);
 /// The incarnation of an upstream that has not reported one.
-const UNKNOWN_BIRTH: u64 = 0;
+const UNKNOWN_INCARNATION: u64 = 0;
 /// Minimum number of upstreams per group; pools with fewer are shared by all groups.
-const GROUP_UPSTREAMS: usize = 4;
+const MIN_GROUP_UPSTREAMS: usize = 4;
 
 /// The upstreams of a pool.
 #[derive(Debug, Default)]
@@ -31,16 +31,16 @@
     by_name: HashMap<UpstreamName, UpstreamIndex>,
     open: [Vec<UpstreamIndex>; ROOM_KINDS],
     headroom: f64,
-    next: u32,
+    next_index: u32,
     live: usize,
     share: Option<f64>,
     group: FleetGroup,
     /// The membership generation for which the group's upstreams were computed.
-    homes_of: Option<u64>,
+    group_generation: Option<u64>,
     /// Incarnations that announced their departure, or were reported as leaving, for as long as a
     /// source lists them. Without this record, an upstream that is gone and forgotten is added as
     /// new again and again by a list that lags behind.
-    left: HashSet<(UpstreamName, u64)>,
+    departed: HashSet<(UpstreamName, u64)>,
     /// Incremented on each change of membership.
     pub generation: u64,
 }
@@ -92,12 +92,12 @@
         sources: &[UpstreamSource],
         new_limit: impl Fn(Option<u32>) -> LearnedLimit,
     ) {
-        self.left.retain(|(name, incarnation)| {
+        self.departed.retain(|(name, incarnation)| {
             sources.iter().any(|source| source.name == *name && source.incarnation == *incarnation)
         });
         for source in sources {
-            let has_left = self.left.contains(&(source.name.clone(), source.incarnation));
-            if has_left && self.find(&source.name).is_none() {
+            let has_departed = self.departed.contains(&(source.name.clone(), source.incarnation));
+            if has_departed && self.find(&source.name).is_none() {
                 continue;
             }
             match self.find(&source.name).and_then(|index| self.upstreams.get(&index)) {
@@ -106,7 +106,7 @@
                     if known.source.incarnation == source.incarnation
                         && known.source.address == source.address => {}
                 Some(known)
-                    if known.source.incarnation == UNKNOWN_BIRTH
+                    if known.source.incarnation == UNKNOWN_INCARNATION
                         && known.source.address == source.address =>
                 {
                     let index = known.index;
@@ -148,7 +148,7 @@
         if !is_current || status.source.incarnation >= incarnation {
             return;
         }
-        if status.source.incarnation == UNKNOWN_BIRTH {
+        if status.source.incarnation == UNKNOWN_INCARNATION {
             status.source.incarnation = incarnation;
             return;
         }
@@ -159,8 +159,8 @@
     }
 
     fn add(&mut self, source: UpstreamSource, limit: LearnedLimit) {
-        let index = UpstreamIndex(self.next);
-        self.next += 1;
+        let index = UpstreamIndex(self.next_index);
+        self.next_index += 1;
         self.by_name.insert(source.name.clone(), index);
         let share = self.share.unwrap_or(1.0);
         let status = UpstreamStatus::new(index, source, limit, share, self.headroom);
@@ -175,7 +175,7 @@
         let Some(status) = self.upstreams.get_mut(&index) else { return };
         let before = status.machine.state();
         if word == UpstreamWord::Leaving {
-            self.left.insert((status.source.name.clone(), status.source.incarnation));
+            self.departed.insert((status.source.name.clone(), status.source.incarnation));
         }
         status.machine.step(word);
         if status.in_flight == 0 {
@@ -228,16 +228,16 @@
     /// reports that cover more than half of the live upstreams are not trusted.
     pub fn set_others(&mut self, rows: &[(UpstreamName, OthersWork)], now: Moment) {
         let down = rows.iter().filter(|(_, others)| others.is_down).count();
-        let believes = down * 2 <= self.live;
+        let is_trusted = down * 2 <= self.live;
         for (name, others) in rows {
             let Some(index) = self.find(name) else { continue };
             self.update(index, |status| {
                 status.others = *others;
-                let told = (others.gap_micros > 0).then(|| f64::from(others.gap_micros));
-                status.told_gap = told.or(status.told_gap);
-                let is_proven = now.since(status.learned_at) < PROVEN_TIME;
-                if others.is_down && believes && !is_proven {
-                    status.crowded_until = Some(now + TOLD_DOWN_TIME);
+                let reported_gap = (others.gap_micros > 0).then(|| f64::from(others.gap_micros));
+                status.told_gap = reported_gap.or(status.told_gap);
+                let is_known_reachable = now.since(status.learned_at) < REACHABLE_WINDOW;
+                if others.is_down && is_trusted && !is_known_reachable {
+                    status.crowded_until = Some(now + REMOTE_DOWN_PAUSE);
                 }
             });
         }
@@ -251,16 +251,16 @@
     /// Computes which upstreams belong to this daemon's group: the upstreams are ordered by address
     /// and divided evenly among the groups.
     pub fn set_group(&mut self, group: FleetGroup) {
-        if self.group == group && self.homes_of == Some(self.generation) {
+        if self.group == group && self.group_generation == Some(self.generation) {
             return;
         }
         self.group = group;
-        self.homes_of = Some(self.generation);
+        self.group_generation = Some(self.generation);
         let mut order: Vec<(SocketAddr, UpstreamIndex)> =
             self.upstreams.values().map(|status| (status.source.address, status.index)).collect();
         order.sort_unstable();
         let total = order.len();
-        let is_shared = total < group.count * GROUP_UPSTREAMS;
+        let is_shared = total < group.count * MIN_GROUP_UPSTREAMS;
         for (at, (_, index)) in order.into_iter().enumerate() {
             let is_home = is_shared || FleetGroup::of(at, total, group.count) == group.index;
             self.update(index, |status| status.is_home = is_home);
@@ -269,10 +269,13 @@
 
     /// Ends pauses after refusals that have expired.
     pub fn reopen(&mut self, now: Moment) {
-        let over = |status: &&UpstreamStatus| status.crowded_until.is_some_and(|at| at <= now);
-        let over: Vec<UpstreamIndex> =
-            self.upstreams.values().filter(over).map(|status| status.index).collect();
-        over.into_iter().for_each(|index| self.update(index, |status| status.crowded_until = None));
+        let is_expired =
+            |status: &&UpstreamStatus| status.crowded_until.is_some_and(|at| at <= now);
+        let expired: Vec<UpstreamIndex> =
+            self.upstreams.values().filter(is_expired).map(|status| status.index).collect();
+        expired
+            .into_iter()
+            .for_each(|index| self.update(index, |status| status.crowded_until = None));
     }
 
     /// Records the outcome of an exchange with an upstream.
