--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -62,7 +62,7 @@
         let (gap, slowness) = Self::pace(status, query);
         let unread = status.all_unread();
         let prompt = (unread as f64 + f64::from(query.prompt_tokens)) * query.speed.prefill_micros;
-        let load = status.occupied().min(1.0);
+        let load = status.occupancy().min(1.0);
         let total = prompt * slowness + STEPS_BEFORE_FIRST * gap + load * gap;
         let total = total + Self::wait_for_place(status, query, gap);
         let total = total * Self::stall_price(status, query, gap, slowness);
@@ -80,8 +80,8 @@
     /// Estimates the wait for a free slot where the latest, possibly outdated, information shows
     /// all slots in use.
     fn wait_for_place(status: &UpstreamStatus, query: &PlacementQuery<'_>, gap: f64) -> f64 {
-        let beyond = (status.occupied() - 1.0).max(0.0) + 1.0 / status.limit.requests().max(1.0);
-        let is_full = status.occupied() >= 1.0;
+        let beyond = (status.occupancy() - 1.0).max(0.0) + 1.0 / status.limit.requests().max(1.0);
+        let is_full = status.occupancy() >= 1.0;
         let run = f64::from(query.output_tokens) * gap;
         if is_full { run * beyond } else { 0.0 }
     }
@@ -107,7 +107,7 @@
     /// Returns true if a live upstream that has no free capacity now would fit.
     fn may_fit_later(set: &UpstreamSet, query: &PlacementQuery<'_>) -> bool {
         let live = set.iter().filter(|status| status.state() == UpstreamState::Live);
-        let busy = live.filter(|status| !status.has_room(query.room));
+        let busy = live.filter(|status| !status.has_capacity(query.room));
         busy.take(MOST_COMPARED).any(|status| Self::fits(status, query))
     }
 
@@ -126,7 +126,7 @@
         if stall <= pause.as_micros() as f64 {
             return 1.0;
         }
-        let running = status.in_flight + status.others.all_requests();
+        let running = status.in_flight + status.others.total_requests();
         1.0 + STALL_PRICE * f64::from(running)
     }
 }
@@ -143,7 +143,7 @@
         let drawn = open.iter().cycle().skip(start).take(open.len().min(MOST_COMPARED));
         let open = drawn.filter_map(|index| set.get(*index));
         let rated = open.map(|status| {
-            let rests = query.now < status.rests_until;
+            let rests = query.now < status.backoff_until;
             let unfit = !Self::fits(status, query);
             let spread = 1.0 + CHOICE_SPREAD * rng.random::<f64>();
             ((rests, unfit), Self::micros(status, query) * spread, status.index)
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -276,7 +276,7 @@
         let bound = mean_load(set, query, rng) * LOAD_BOUND_FACTOR + LOAD_SLACK;
         let is_fit = |index: &UpstreamIndex| {
             set.get(*index).is_some_and(|status| {
-                status.has_room(query.room)
+                status.has_capacity(query.room)
                     && !status.is_straggler
                     && request_load(status, query.now) <= bound
             })
@@ -303,7 +303,8 @@
         let ring_owner = query.prefix.first().and_then(|key| self.ring_candidates(*key).next());
         let mut best: Option<(f64, UpstreamIndex)> = None;
         let mut consider = |index: UpstreamIndex| {
-            let Some(status) = set.get(index).filter(|status| status.has_room(query.room)) else {
+            let Some(status) = set.get(index).filter(|status| status.has_capacity(query.room))
+            else {
                 return;
             };
             let cached = match known {
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -1,6 +1,6 @@
 //! The upstreams of one pool: liveness, free capacity, group membership and incarnations.
 
-use super::upstreams::ROOM_KINDS;
+use super::upstreams::CAPACITY_KINDS;
 use super::{
     DispatchOutcome, FleetGroup, LearnedLimit, LoadReport, Moment, OthersWork, RoomKind,
     UpstreamIndex, UpstreamSource, UpstreamState, UpstreamStatus, UpstreamWord,
@@ -29,7 +29,7 @@
 pub struct UpstreamSet {
     upstreams: BTreeMap<UpstreamIndex, UpstreamStatus>,
     by_name: HashMap<UpstreamName, UpstreamIndex>,
-    open: [Vec<UpstreamIndex>; ROOM_KINDS],
+    open: [Vec<UpstreamIndex>; CAPACITY_KINDS],
     headroom: f64,
     next_index: u32,
     live: usize,
@@ -234,10 +234,10 @@
             self.update(index, |status| {
                 status.others = *others;
                 let reported_gap = (others.gap_micros > 0).then(|| f64::from(others.gap_micros));
-                status.told_gap = reported_gap.or(status.told_gap);
+                status.peer_gap_micros = reported_gap.or(status.peer_gap_micros);
                 let is_known_reachable = now.since(status.learned_at) < REACHABLE_WINDOW;
                 if others.is_down && is_trusted && !is_known_reachable {
-                    status.crowded_until = Some(now + REMOTE_DOWN_PAUSE);
+                    status.refused_until = Some(now + REMOTE_DOWN_PAUSE);
                 }
             });
         }
@@ -270,12 +270,12 @@
     /// Ends pauses after refusals that have expired.
     pub fn reopen(&mut self, now: Moment) {
         let is_expired =
-            |status: &&UpstreamStatus| status.crowded_until.is_some_and(|at| at <= now);
+            |status: &&UpstreamStatus| status.refused_until.is_some_and(|at| at <= now);
         let expired: Vec<UpstreamIndex> =
             self.upstreams.values().filter(is_expired).map(|status| status.index).collect();
         expired
             .into_iter()
-            .for_each(|index| self.update(index, |status| status.crowded_until = None));
+            .for_each(|index| self.update(index, |status| status.refused_until = None));
     }
 
     /// Records the outcome of an exchange with an upstream.
@@ -295,7 +295,7 @@
         self.update(index, |status| {
             status.in_flight += 1;
             status.in_flight_tokens += u64::from(cost);
-            status.note_change(now, 1);
+            status.record_change(now, 1);
         });
     }
 
@@ -304,7 +304,7 @@
         self.update(index, |status| {
             status.in_flight = status.in_flight.saturating_sub(1);
             status.in_flight_tokens = status.in_flight_tokens.saturating_sub(u64::from(cost));
-            status.note_change(now, -1);
+            status.record_change(now, -1);
         });
         if self.get(index).is_some_and(|status| status.state() == UpstreamState::Leaving) {
             self.tell(index, UpstreamWord::Idle);
@@ -313,7 +313,7 @@
 
     /// Applies a load report.
     pub fn reported(&mut self, index: UpstreamIndex, report: LoadReport, now: Moment) {
-        self.update(index, |status| status.take_report(report, now));
+        self.update(index, |status| status.record_report(report, now));
         self.tell(
             index,
             if report.is_leaving { UpstreamWord::Leaving } else { UpstreamWord::Answered },
@@ -344,7 +344,7 @@
     fn refresh_kind(&mut self, index: UpstreamIndex, kind: RoomKind) {
         let Some(status) = self.upstreams.get_mut(&index) else { return };
         let open = &mut self.open[kind as usize];
-        match (status.has_room(kind), status.open_positions[kind as usize]) {
+        match (status.has_capacity(kind), status.open_positions[kind as usize]) {
             (true, None) => {
                 status.open_positions[kind as usize] = Some(open.len());
                 open.push(index);
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -12,30 +12,30 @@
 /// Dispatches and ends older than this no longer correct a load report.
 const CORRECTION_WINDOW: Duration = Duration::from_secs(5);
 /// Load reports older than this are ignored.
-const REPORT_LIFE: Duration = Duration::from_secs(10);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 /// Requests that may wait inside an upstream without counting as a queue, plus one for every
-/// `QUEUED_PART` in its batch, since some are always about to enter the next step. A queue lowers
+/// `QUEUED_BATCH_DIVISOR` in its batch, since some are always about to enter the next step. A queue lowers
 /// the limit only if two consecutive reports show it: when one report sufficed, the limit never
 /// rose above its initial value.
 const QUEUED_TOLERANCE: u32 = 2;
-const QUEUED_PART: u32 = 16;
+const QUEUED_BATCH_DIVISOR: u32 = 16;
 /// Weight of a new sample in an upstream's mean time between tokens.
 const GAP_WEIGHT: f64 = 0.2;
 /// Weight of a new outcome in the failure rate.
-const FAILING_WEIGHT: f64 = 0.2;
+const FAILURE_WEIGHT: f64 = 0.2;
 /// Consecutive failures after which an upstream is backed off; a single one is often the fault of
 /// the request or the connection.
-const FAILURES_TO_REST: u32 = 2;
+const BACKOFF_AFTER_FAILURES: u32 = 2;
 /// The initial backoff.
-const FIRST_REST: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// A backoff is doubled at most this many times, to 4 s, so that a recovered upstream is soon used
 /// again.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// An upstream that refused a slot is not asked again for this long, doubled with each consecutive
 /// refusal: with 4 slots and runs of half a second, one becomes free every 125 ms.
-const FIRST_CROWDED: Duration = Duration::from_millis(30);
+const INITIAL_REFUSAL_PAUSE: Duration = Duration::from_millis(30);
 /// Maximum doublings of that pause, to 120 ms.
-const MOST_CROWDED_DOUBLINGS: u32 = 2;
+const MAX_REFUSAL_PAUSE_DOUBLINGS: u32 = 2;
 
 chart_names! {
     /// The life-cycle state of an upstream.
@@ -138,12 +138,12 @@
     pub is_straggler: bool,
     report: Option<(Moment, LoadReport)>,
     /// True if the last report showed a queue inside the upstream.
-    was_crowded: bool,
+    had_queue: bool,
     /// The smallest difference observed between arrival time and stamp, used as the offset between
     /// the two clocks.
     clock_offset: Option<i64>,
-    changes: VecDeque<(Moment, i32)>,
-    /// The part of the share that is reserved for the highest tier.
+    recent_changes: VecDeque<(Moment, i32)>,
+    /// The usable_share of the share that is reserved for the highest tier.
     pub(super) headroom: f64,
     /// The other daemons' work there, as last reported.
     pub others: OthersWork,
@@ -152,20 +152,20 @@
     /// Moving average of failures, from 0.0 (none) to 1.0 (all).
     pub failing: f64,
     /// Consecutive failures.
-    failed_in_row: u32,
+    consecutive_failures: u32,
     /// Until then it gets work only if no other upstream has capacity.
-    pub rests_until: Moment,
+    pub backoff_until: Moment,
     /// Set after it refused a slot; it gets no work until then.
-    pub(super) crowded_until: Option<Moment>,
+    pub(super) refused_until: Option<Moment>,
     /// Consecutive refusals of a slot.
-    crowded_in_row: u32,
+    consecutive_refusals: u32,
     /// True if the upstream belongs to this daemon's group, whose upstreams are preferred.
     pub is_home: bool,
     /// Time between tokens as reported by another daemon, in microseconds.
-    pub(super) told_gap: Option<f64>,
+    pub(super) peer_gap_micros: Option<f64>,
     /// When this daemon last measured the time between tokens.
     pub learned_at: Moment,
-    pub(super) open_positions: [Option<usize>; ROOM_KINDS],
+    pub(super) open_positions: [Option<usize>; CAPACITY_KINDS],
 }
 
 /// The other daemons' work at an upstream.
@@ -186,7 +186,7 @@
 
 impl OthersWork {
     /// The known requests there, including those from outdated reports.
-    pub fn all_requests(&self) -> u32 {
+    pub fn total_requests(&self) -> u32 {
         self.requests + self.hinted
     }
 }
@@ -201,7 +201,7 @@
 }
 
 /// Number of capacity kinds.
-pub(super) const ROOM_KINDS: usize = 2;
+pub(super) const CAPACITY_KINDS: usize = 2;
 
 impl UpstreamStatus {
     /// Creates the status of an upstream about which only its list entry is known.
@@ -223,21 +223,21 @@
             gap_micros: None,
             is_straggler: false,
             report: None,
-            was_crowded: false,
+            had_queue: false,
             clock_offset: None,
-            changes: VecDeque::new(),
+            recent_changes: VecDeque::new(),
             headroom,
             others: OthersWork::default(),
             unread_tokens: 0,
             failing: 0.0,
-            failed_in_row: 0,
-            rests_until: Moment(0),
-            crowded_until: None,
-            crowded_in_row: 0,
+            consecutive_failures: 0,
+            backoff_until: Moment(0),
+            refused_until: None,
+            consecutive_refusals: 0,
             is_home: true,
-            told_gap: None,
+            peer_gap_micros: None,
             learned_at: Moment(0),
-            open_positions: [None; ROOM_KINDS],
+            open_positions: [None; CAPACITY_KINDS],
         }
     }
 
@@ -247,15 +247,16 @@
     }
 
     /// True if the upstream may be given more work now.
-    pub fn has_room(&self, kind: RoomKind) -> bool {
-        let part = match kind {
+    pub fn has_capacity(&self, kind: RoomKind) -> bool {
+        let usable_share = match kind {
             RoomKind::Usual => 1.0 - self.headroom,
             RoomKind::Highest => 1.0,
         };
         self.state() == UpstreamState::Live
             && self.share > 0.0
-            && self.crowded_until.is_none()
-            && (self.in_flight + self.others.requests == 0 || self.used() < self.share * part)
+            && self.refused_until.is_none()
+            && (self.in_flight + self.others.requests == 0
+                || self.used() < self.share * usable_share)
     }
 
     /// The share of the limit in use by this daemon's work, including the requests of the other
@@ -270,26 +271,26 @@
     }
 
     /// All known requests there relative to the limit on requests.
-    pub fn occupied(&self) -> f64 {
-        f64::from(self.in_flight + self.others.all_requests()) / self.limit.requests().max(1.0)
+    pub fn occupancy(&self) -> f64 {
+        f64::from(self.in_flight + self.others.total_requests()) / self.limit.requests().max(1.0)
     }
 
     /// Mean time between tokens in microseconds, measured by this daemon or else by another one.
     pub fn gap(&self) -> Option<f64> {
-        self.gap_micros.or(self.told_gap)
+        self.gap_micros.or(self.peer_gap_micros)
     }
 
     /// Records that the upstream refused a slot.
     pub(super) fn crowd(&mut self, now: Moment) {
-        let doublings = self.crowded_in_row.min(MOST_CROWDED_DOUBLINGS);
-        self.crowded_in_row += 1;
-        self.crowded_until = Some(now + FIRST_CROWDED * 2u32.pow(doublings));
+        let doublings = self.consecutive_refusals.min(MAX_REFUSAL_PAUSE_DOUBLINGS);
+        self.consecutive_refusals += 1;
+        self.refused_until = Some(now + INITIAL_REFUSAL_PAUSE * 2u32.pow(doublings));
     }
 
     /// Records that a slot there became free.
     pub(super) fn uncrowd(&mut self) {
-        self.crowded_until = None;
-        self.crowded_in_row = 0;
+        self.refused_until = None;
+        self.consecutive_refusals = 0;
     }
 
     /// Records that the upstream has processed this many prompt tokens, or never will.
@@ -302,11 +303,12 @@
     /// is idle.
     pub(super) fn judge_end(&mut self, has_failed: bool, now: Moment) {
         let sample = f64::from(u8::from(has_failed));
-        self.failing += (sample - self.failing) * FAILING_WEIGHT;
-        self.failed_in_row = if has_failed { self.failed_in_row + 1 } else { 0 };
-        if self.failed_in_row >= FAILURES_TO_REST {
-            let doublings = (self.failed_in_row - FAILURES_TO_REST).min(MOST_DOUBLINGS);
-            self.rests_until = now + FIRST_REST * 2u32.pow(doublings);
+        self.failing += (sample - self.failing) * FAILURE_WEIGHT;
+        self.consecutive_failures = if has_failed { self.consecutive_failures + 1 } else { 0 };
+        if self.consecutive_failures >= BACKOFF_AFTER_FAILURES {
+            let doublings =
+                (self.consecutive_failures - BACKOFF_AFTER_FAILURES).min(MAX_BACKOFF_DOUBLINGS);
+            self.backoff_until = now + INITIAL_BACKOFF * 2u32.pow(doublings);
         }
     }
 
@@ -330,11 +332,12 @@
     /// choose the same least loaded upstream until the next report.
     pub fn corrected_requests(&self, now: Moment) -> f64 {
         let own = f64::from(self.in_flight);
-        let Some((time, _)) = self.report.filter(|(time, _)| now.since(*time) < REPORT_LIFE) else {
+        let Some((time, _)) = self.report.filter(|(time, _)| now.since(*time) < MAX_REPORT_AGE)
+        else {
             return own;
         };
         let since: i32 = self
-            .changes
+            .recent_changes
             .iter()
             .rev()
             .take_while(|(at, _)| *at > time)
@@ -343,17 +346,18 @@
         (f64::from(self.reported_requests()) + f64::from(since)).max(own)
     }
 
-    pub(super) fn note_change(&mut self, now: Moment, change: i32) {
-        self.changes.push_back((now, change));
-        while self.changes.front().is_some_and(|(at, _)| now.since(*at) > CORRECTION_WINDOW) {
-            self.changes.pop_front();
+    pub(super) fn record_change(&mut self, now: Moment, change: i32) {
+        self.recent_changes.push_back((now, change));
+        while self.recent_changes.front().is_some_and(|(at, _)| now.since(*at) > CORRECTION_WINDOW)
+        {
+            self.recent_changes.pop_front();
         }
     }
 
     /// Applies a load report. Its stamp is converted to this daemon's clock by the smallest offset
     /// observed between the two clocks; a report without a stamp counts as current. Reports older
     /// than the latest one are ignored.
-    pub(super) fn take_report(&mut self, report: LoadReport, now: Moment) {
+    pub(super) fn record_report(&mut self, report: LoadReport, now: Moment) {
         let time = match report.stamp {
             0 => now,
             stamp => {
@@ -367,11 +371,11 @@
             return;
         }
         self.report = Some((time, report));
-        let is_crowded = report.queued > QUEUED_TOLERANCE + report.running / QUEUED_PART;
-        if is_crowded && self.was_crowded {
+        let has_queue = report.queued > QUEUED_TOLERANCE + report.running / QUEUED_BATCH_DIVISOR;
+        if has_queue && self.had_queue {
             self.limit.crowded(report.running, now);
         }
-        self.was_crowded = is_crowded;
+        self.had_queue = has_queue;
         if report.step_micros > 0 {
             self.learn_gap(f64::from(report.step_micros), now);
         }
