--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -5,39 +5,39 @@
 use rand::{Rng, RngCore};
 
 /// An upstream that fails every request has its estimate increased by this multiple.
-const FAILING_PRICE: f64 = 8.0;
+const FAILURE_PENALTY: f64 = 8.0;
 /// Estimates are increased by a random factor of up to this share. Otherwise daemons with the same
 /// information choose the same upstream, and among equal engines the lowest index always wins. The
 /// symptom is engines with queues next to idle ones, and it grows with the number of daemons.
-const CHOICE_SPREAD: f64 = 0.3;
+const ESTIMATE_JITTER: f64 = 0.3;
 /// Factor applied to the estimate of an upstream that would not finish the answer before the
 /// caller's deadline.
-const TOO_SLOW_PRICE: f64 = 6.0;
+const MISSED_DEADLINE_PENALTY: f64 = 6.0;
 /// Output estimates are medians, so an upstream should have time for this multiple of the estimated
 /// output.
-const GUESS_MARGIN: f64 = 1.3;
+const OUTPUT_MARGIN: f64 = 1.3;
 /// The same margin for requests that can wait for another upstream. Estimates are off by a factor
 /// of 1.6 at one standard deviation, so one answer in twelve takes longer than this.
-const SAFE_GUESS_MARGIN: f64 = 2.0;
+const SAFE_OUTPUT_MARGIN: f64 = 2.0;
 /// Engines prefill prompts in chunks between decoding steps, so at most this many prompt tokens are
 /// processed between two events of a stream (engines use chunks of 2,048 tokens and events of 3 to
 /// 5 tokens).
-const MOST_READ_BETWEEN_EVENTS: f64 = 8_192.0;
+const MAX_PREFILL_TOKENS_BETWEEN_EVENTS: f64 = 8_192.0;
 /// Added to the estimate's factor for each running stream that would pause for too long. Without
 /// this penalty, a long prompt on an engine four times slower than the others delays every stream
 /// there: in a measurement, 28 % of the streams on such engines were late and none on the others.
-const STALL_PRICE: f64 = 1.0;
+const STALL_PENALTY: f64 = 1.0;
 /// Factor applied to the estimate of an upstream of another group, which is likely to be busy with
 /// that group's work and needs a new connection. It is below the slowness of the slowest engines of
 /// this daemon's own group, which are four times slower than the others.
-const AWAY_PRICE: f64 = 2.0;
+const OTHER_GROUP_PENALTY: f64 = 2.0;
 /// Maximum number of upstreams compared for one request; in larger pools, the comparison starts at
 /// a random position. This bounds the cost of a placement and keeps daemons with the same
 /// information from choosing the same upstream.
-const MOST_COMPARED: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 /// Engine steps before a first event in addition to prefill: the step in progress and the one that
 /// produces the event.
-const STEPS_BEFORE_FIRST: f64 = 2.0;
+const STEPS_BEFORE_FIRST_EVENT: f64 = 2.0;
 
 /// Chooses the upstream with a free slot and the earliest expected first event.
 ///
@@ -52,38 +52,38 @@
 impl EarliestPlacement {
     /// Returns an upstream's time between tokens in microseconds, and its slowdown relative to the
     /// pool.
-    fn pace(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> (f64, f64) {
+    fn gap_and_slowness(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> (f64, f64) {
         let gap = status.gap().unwrap_or(query.speed.gap_micros);
         (gap, gap / query.speed.gap_micros.max(1.0))
     }
 
     /// Estimates the microseconds until the first event.
-    fn micros(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> f64 {
-        let (gap, slowness) = Self::pace(status, query);
+    fn first_event_micros(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> f64 {
+        let (gap, slowness) = Self::gap_and_slowness(status, query);
         let unread = status.all_unread();
         let prompt = (unread as f64 + f64::from(query.prompt_tokens)) * query.speed.prefill_micros;
         let load = status.occupancy().min(1.0);
-        let total = prompt * slowness + STEPS_BEFORE_FIRST * gap + load * gap;
-        let total = total + Self::wait_for_place(status, query, gap);
-        let total = total * Self::stall_price(status, query, gap, slowness);
-        let run = f64::from(query.output_tokens) * gap * GUESS_MARGIN;
+        let total = prompt * slowness + STEPS_BEFORE_FIRST_EVENT * gap + load * gap;
+        let total = total + Self::slot_wait_micros(status, query, gap);
+        let total = total * Self::stall_penalty(status, query, gap, slowness);
+        let run = f64::from(query.output_tokens) * gap * OUTPUT_MARGIN;
         // Without this factor, a long answer starts on time on an engine four times slower than the
         // others and is then cut by its deadline, having held a slot for its entire duration.
         let is_too_slow = total + run > query.left.as_micros() as f64;
-        let total = if is_too_slow { total * TOO_SLOW_PRICE } else { total };
-        let total = if status.is_home { total } else { total * AWAY_PRICE };
-        total * (1.0 + FAILING_PRICE * status.failing)
+        let total = if is_too_slow { total * MISSED_DEADLINE_PENALTY } else { total };
+        let total = if status.is_home { total } else { total * OTHER_GROUP_PENALTY };
+        total * (1.0 + FAILURE_PENALTY * status.failing)
     }
 }
 
 impl EarliestPlacement {
     /// Estimates the wait for a free slot where the latest, possibly outdated, information shows
     /// all slots in use.
-    fn wait_for_place(status: &UpstreamStatus, query: &PlacementQuery<'_>, gap: f64) -> f64 {
-        let beyond = (status.occupancy() - 1.0).max(0.0) + 1.0 / status.limit.requests().max(1.0);
+    fn slot_wait_micros(status: &UpstreamStatus, query: &PlacementQuery<'_>, gap: f64) -> f64 {
+        let excess = (status.occupancy() - 1.0).max(0.0) + 1.0 / status.limit.requests().max(1.0);
         let is_full = status.occupancy() >= 1.0;
         let run = f64::from(query.output_tokens) * gap;
-        if is_full { run * beyond } else { 0.0 }
+        if is_full { run * excess } else { 0.0 }
     }
 
     /// Returns true if the answer should finish before the caller's deadline despite the
@@ -92,27 +92,27 @@
     /// there, hold a slot until their callers' deadlines and are cut, which wasted a tenth of all
     /// engine time in a measurement.
     fn fits(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> bool {
-        let (gap, slowness) = Self::pace(status, query);
-        let read = f64::from(query.prompt_tokens) * query.speed.prefill_micros * slowness;
+        let (gap, slowness) = Self::gap_and_slowness(status, query);
+        let prefill_micros = f64::from(query.prompt_tokens) * query.speed.prefill_micros * slowness;
         let margin = match query.fit {
-            PlaceFit::Safe => SAFE_GUESS_MARGIN,
-            PlaceFit::Likely => GUESS_MARGIN,
+            PlaceFit::Safe => SAFE_OUTPUT_MARGIN,
+            PlaceFit::Likely => OUTPUT_MARGIN,
             PlaceFit::Any => return true,
         };
         let run = f64::from(query.output_tokens) * gap * margin;
-        let ends_in_time = read + run <= query.left.as_micros() as f64;
-        ends_in_time && Self::stall_price(status, query, gap, slowness) <= 1.0
+        let ends_in_time = prefill_micros + run <= query.left.as_micros() as f64;
+        ends_in_time && Self::stall_penalty(status, query, gap, slowness) <= 1.0
     }
 
     /// Returns true if a live upstream that has no free capacity now would fit.
     fn may_fit_later(set: &UpstreamSet, query: &PlacementQuery<'_>) -> bool {
         let live = set.iter().filter(|status| status.state() == UpstreamState::Live);
         let busy = live.filter(|status| !status.has_capacity(query.room));
-        busy.take(MOST_COMPARED).any(|status| Self::fits(status, query))
+        busy.take(MAX_CANDIDATES).any(|status| Self::fits(status, query))
     }
 
     /// Penalty factor for the pause that prefilling the prompt causes in the streams running there.
-    fn stall_price(
+    fn stall_penalty(
         status: &UpstreamStatus,
         query: &PlacementQuery<'_>,
         gap: f64,
@@ -120,14 +120,15 @@
     ) -> f64 {
         let Some(pause) = query.pause else { return 1.0 };
         let unread = status.all_unread();
-        let read = (unread as f64 + f64::from(query.prompt_tokens)).min(MOST_READ_BETWEEN_EVENTS);
-        let stall =
-            f64::from(query.event_tokens) * gap + read * query.speed.prefill_micros * slowness;
+        let prefill_tokens =
+            (unread as f64 + f64::from(query.prompt_tokens)).min(MAX_PREFILL_TOKENS_BETWEEN_EVENTS);
+        let stall = f64::from(query.event_tokens) * gap
+            + prefill_tokens * query.speed.prefill_micros * slowness;
         if stall <= pause.as_micros() as f64 {
             return 1.0;
         }
         let running = status.in_flight + status.others.total_requests();
-        1.0 + STALL_PRICE * f64::from(running)
+        1.0 + STALL_PENALTY * f64::from(running)
     }
 }
 
@@ -139,19 +140,23 @@
         rng: &mut dyn RngCore,
     ) -> Option<UpstreamIndex> {
         let open = set.open(query.room);
-        let start = if open.len() > MOST_COMPARED { rng.random_range(0..open.len()) } else { 0 };
-        let drawn = open.iter().cycle().skip(start).take(open.len().min(MOST_COMPARED));
-        let open = drawn.filter_map(|index| set.get(*index));
+        let start = if open.len() > MAX_CANDIDATES { rng.random_range(0..open.len()) } else { 0 };
+        let sample = open.iter().cycle().skip(start).take(open.len().min(MAX_CANDIDATES));
+        let open = sample.filter_map(|index| set.get(*index));
         let rated = open.map(|status| {
-            let rests = query.now < status.backoff_until;
-            let unfit = !Self::fits(status, query);
-            let spread = 1.0 + CHOICE_SPREAD * rng.random::<f64>();
-            ((rests, unfit), Self::micros(status, query) * spread, status.index)
+            let is_backed_off = query.now < status.backoff_until;
+            let is_unfit = !Self::fits(status, query);
+            let jitter = 1.0 + ESTIMATE_JITTER * rng.random::<f64>();
+            (
+                (is_backed_off, is_unfit),
+                Self::first_event_micros(status, query) * jitter,
+                status.index,
+            )
         });
         let best =
             rated.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)))?;
-        let ((_, unfit), _, index) = best;
-        let waits = unfit && Self::may_fit_later(set, query);
-        (!waits).then_some(index)
+        let ((_, is_unfit), _, index) = best;
+        let should_wait = is_unfit && Self::may_fit_later(set, query);
+        (!should_wait).then_some(index)
     }
 }
