--- a/src/policy/first_event.rs
+++ b/src/policy/first_event.rs
@@ -6,29 +6,29 @@
 
 use std::time::Duration;
 
-/// Weight of a new sample after the first [`WARM_COUNT`] samples.
+/// Weight of a new sample after the first [`WARMUP_SAMPLES`] samples.
 const SAMPLE_WEIGHT: f64 = 0.02;
 /// Number of initial samples that are weighted equally.
-const WARM_COUNT: f64 = 50.0;
+const WARMUP_SAMPLES: f64 = 50.0;
 /// Number of samples below which the initial estimates apply.
-const LEAST_COUNT: f64 = 8.0;
+const MIN_SAMPLES: f64 = 8.0;
 /// Initial base time: two steps of an engine that generates 100 tokens per second.
-const FIRST_BASE_MICROS: f64 = 20_000.0;
+const INITIAL_BASE_MICROS: f64 = 20_000.0;
 /// Initial time per prompt token.
-const FIRST_SLOPE_MICROS: f64 = 40.0;
+const INITIAL_SLOPE_MICROS: f64 = 40.0;
 /// Samples are capped at this multiple of the expected time, since one delayed first event says
 /// nothing about the others.
-const MOST_SURPRISE: f64 = 4.0;
+const MAX_OUTLIER_RATIO: f64 = 4.0;
 
 /// Linear regression of the time to first event on the number of prompt tokens processed before it,
 /// with exponentially weighted moments.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstEventModel {
-    count: f64,
-    tokens: f64,
-    micros: f64,
-    tokens_spread: f64,
-    joint_spread: f64,
+    sample_count: f64,
+    mean_tokens: f64,
+    mean_micros: f64,
+    tokens_variance: f64,
+    covariance: f64,
 }
 
 impl FirstEventModel {
@@ -37,36 +37,38 @@
     /// the pool.
     pub fn learn(&mut self, tokens: u64, slowness: f64, after: Duration) {
         let tokens = tokens as f64;
-        let most = (self.base_micros() + self.slope_micros() * tokens) * MOST_SURPRISE;
-        let micros = (after.as_micros() as f64 / slowness.max(0.01)).min(most);
-        self.count = (self.count + 1.0).min(WARM_COUNT);
-        let weight = (1.0 / self.count).max(SAMPLE_WEIGHT);
-        let (more_tokens, more_micros) = (tokens - self.tokens, micros - self.micros);
-        self.tokens += more_tokens * weight;
-        self.micros += more_micros * weight;
-        let rest = 1.0 - weight;
-        self.tokens_spread = rest * (self.tokens_spread + weight * more_tokens * more_tokens);
-        self.joint_spread = rest * (self.joint_spread + weight * more_tokens * more_micros);
+        let max_micros = (self.base_micros() + self.slope_micros() * tokens) * MAX_OUTLIER_RATIO;
+        let micros = (after.as_micros() as f64 / slowness.max(0.01)).min(max_micros);
+        self.sample_count = (self.sample_count + 1.0).min(WARMUP_SAMPLES);
+        let weight = (1.0 / self.sample_count).max(SAMPLE_WEIGHT);
+        let (tokens_delta, micros_delta) = (tokens - self.mean_tokens, micros - self.mean_micros);
+        self.mean_tokens += tokens_delta * weight;
+        self.mean_micros += micros_delta * weight;
+        let retained_weight = 1.0 - weight;
+        self.tokens_variance =
+            retained_weight * (self.tokens_variance + weight * tokens_delta * tokens_delta);
+        self.covariance =
+            retained_weight * (self.covariance + weight * tokens_delta * micros_delta);
     }
 
-    fn is_known(&self) -> bool {
-        self.count >= LEAST_COUNT && self.tokens_spread > 0.0
+    fn has_enough_samples(&self) -> bool {
+        self.sample_count >= MIN_SAMPLES && self.tokens_variance > 0.0
     }
 
     /// Estimated time per prompt token, in microseconds.
     pub fn slope_micros(&self) -> f64 {
-        if !self.is_known() {
-            return FIRST_SLOPE_MICROS;
+        if !self.has_enough_samples() {
+            return INITIAL_SLOPE_MICROS;
         }
-        let most = self.micros / self.tokens.max(1.0);
-        (self.joint_spread / self.tokens_spread).clamp(0.0, most)
+        let max_slope = self.mean_micros / self.mean_tokens.max(1.0);
+        (self.covariance / self.tokens_variance).clamp(0.0, max_slope)
     }
 
     /// Estimated time that does not depend on the prompt, in microseconds.
     pub fn base_micros(&self) -> f64 {
-        if !self.is_known() {
-            return FIRST_BASE_MICROS;
+        if !self.has_enough_samples() {
+            return INITIAL_BASE_MICROS;
         }
-        (self.micros - self.slope_micros() * self.tokens).max(0.0)
+        (self.mean_micros - self.slope_micros() * self.mean_tokens).max(0.0)
     }
 }
