--- a/src/policy/learned_limit.rs
+++ b/src/policy/learned_limit.rs
@@ -10,46 +10,47 @@
 use std::time::Duration;
 
 /// Factor applied by one decrease.
-const DECREASE: f64 = 0.85;
+const DECREASE_FACTOR: f64 = 0.85;
 /// Share of the bound added per bound's worth of work completed while the bound was reached.
-const INCREASE: f64 = 0.06;
+const INCREASE_SHARE: f64 = 0.06;
 /// The increase before the first decrease, since the initial value may be far too low (compare slow
 /// start, Jacobson, 1988).
-const FIRST_INCREASE: f64 = 0.5;
+const INITIAL_INCREASE_SHARE: f64 = 0.5;
 /// Minimum time between two decreases, so that one burst counts only once.
-const DECREASE_PAUSE: Duration = Duration::from_millis(300);
+const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(300);
 /// The bound stays within this factor of its initial value, in either direction.
 const LIMIT_RANGE: f64 = 16.0;
 /// Initial token bound as a multiple of the initial requests at their mean cost: the batch's slots
 /// limit first, and tokens only once steps take longer than the objective.
-const TOKEN_ROOM: f64 = 4.0;
+const INITIAL_TOKEN_FACTOR: f64 = 4.0;
 /// Token bound used where tokens are not limited.
-const NO_BOUND: f64 = 1e15;
+const UNBOUNDED_TOKENS: f64 = 1e15;
 
 /// One adaptive bound.
 #[derive(Clone, Debug)]
 struct LearnedBound {
     value: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     last_decrease: Option<Moment>,
 }
 
 impl LearnedBound {
-    fn new(value: f64, least: f64) -> Self {
-        LearnedBound { value, least, most: value * LIMIT_RANGE, last_decrease: None }
+    fn new(value: f64, min: f64) -> Self {
+        LearnedBound { value, min, max: value * LIMIT_RANGE, last_decrease: None }
     }
 
     fn decrease(&mut self, now: Moment) {
-        if self.last_decrease.is_none_or(|last| now.since(last) >= DECREASE_PAUSE) {
-            self.value = (self.value * DECREASE).max(self.least);
+        if self.last_decrease.is_none_or(|last| now.since(last) >= MIN_DECREASE_INTERVAL) {
+            self.value = (self.value * DECREASE_FACTOR).max(self.min);
             self.last_decrease = Some(now);
         }
     }
 
     fn increase(&mut self, amount: f64) {
-        let share = if self.last_decrease.is_none() { FIRST_INCREASE } else { INCREASE };
-        self.value = (self.value + share * amount).min(self.most);
+        let share =
+            if self.last_decrease.is_none() { INITIAL_INCREASE_SHARE } else { INCREASE_SHARE };
+        self.value = (self.value + share * amount).min(self.max);
     }
 }
 
@@ -58,19 +59,26 @@
 pub struct LearnedLimit {
     tokens: LearnedBound,
     requests: LearnedBound,
-    learns: bool,
+    is_adaptive: bool,
 }
 
 impl LearnedLimit {
-    /// Creates a limit of `guess` requests of `mean_cost` tokens each. If `learns` is false, the
-    /// limit stays at `guess` requests of any size.
-    pub fn new(guess: u32, mean_cost: f64, learns: bool) -> Self {
-        let guess = f64::from(guess);
-        let tokens = if learns { guess * mean_cost * TOKEN_ROOM } else { NO_BOUND };
+    /// Creates a limit of `initial_requests` requests of `mean_cost` tokens each. If `is_adaptive` is false, the
+    /// limit stays at `initial_requests` requests of any size.
+    pub fn new(initial_requests: u32, mean_cost: f64, is_adaptive: bool) -> Self {
+        let initial_requests = f64::from(initial_requests);
+        let tokens = if is_adaptive {
+            initial_requests * mean_cost * INITIAL_TOKEN_FACTOR
+        } else {
+            UNBOUNDED_TOKENS
+        };
         LearnedLimit {
             tokens: LearnedBound::new(tokens, (tokens / LIMIT_RANGE).max(mean_cost)),
-            requests: LearnedBound::new(guess, (guess / LIMIT_RANGE).max(1.0)),
-            learns,
+            requests: LearnedBound::new(
+                initial_requests,
+                (initial_requests / LIMIT_RANGE).max(1.0),
+            ),
+            is_adaptive,
         }
     }
 
@@ -90,14 +98,14 @@
     }
 
     /// Tokens that the limit allows if requests cost `mean_cost` each.
-    pub fn usual_tokens(&self, mean_cost: f64) -> f64 {
+    pub fn tokens_at_mean_cost(&self, mean_cost: f64) -> f64 {
         self.tokens.value.min(self.requests.value * mean_cost)
     }
 
     /// Records that the upstream queues requests internally while `running` requests are in its
     /// batch. These fill the batch, so the bound is not decreased below their number.
     pub fn crowded(&mut self, running: u32, now: Moment) {
-        if self.learns && f64::from(running) < self.requests.value {
+        if self.is_adaptive && f64::from(running) < self.requests.value {
             self.requests.decrease(now);
             self.requests.value = self.requests.value.max(f64::from(running));
         }
@@ -105,7 +113,7 @@
 
     /// Records that a first token or the gap between tokens exceeded its objective.
     pub fn slowed(&mut self, now: Moment) {
-        if self.learns {
+        if self.is_adaptive {
             self.tokens.decrease(now);
         }
     }
@@ -113,7 +121,7 @@
     /// Records that work of `cost` tokens finished within its objectives while the limit was
     /// reached.
     pub fn succeeded(&mut self, cost: u32) {
-        if self.learns {
+        if self.is_adaptive {
             self.tokens.increase(f64::from(cost));
             self.requests.increase(1.0);
         }
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -81,7 +81,7 @@
     /// `mean_cost`.
     pub fn live_limit(&self, mean_cost: f64) -> f64 {
         let live = self.upstreams.values().filter(|status| status.state() == UpstreamState::Live);
-        live.map(|status| status.limit.usual_tokens(mean_cost) * status.share).sum()
+        live.map(|status| status.limit.tokens_at_mean_cost(mean_cost) * status.share).sum()
     }
 
     /// Applies the merged list of upstreams from the table and the platform. A known name with a
