--- a/src/policy/drain_meter.rs
+++ b/src/policy/drain_meter.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 /// Duration of one sample.
-const SAMPLE_TIME: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Weight of a new sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.2;
 /// Tokens per second below which a tier counts as idle.
-const IDLE_RATE: f64 = 1.0;
+const IDLE_TOKENS_PER_SECOND: f64 = 1.0;
 
 /// The progress of a tier's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Tokens dispatched per second.
     rate: f64,
     /// The virtual time at the start of the sample, if requests were waiting then.
-    virtual_from: Option<u64>,
+    sample_virtual_start: Option<u64>,
     /// Rate of virtual time per second while requests were waiting.
     virtual_rate: Option<f64>,
 }
@@ -45,7 +45,7 @@
 /// tier's virtual time, so this one measured rate gives the wait of each of them.
 #[derive(Clone, Debug, Default)]
 pub struct DrainMeter {
-    since: Option<Moment>,
+    sample_start: Option<Moment>,
     flows: BTreeMap<TierRank, TierFlow>,
 }
 
@@ -57,18 +57,18 @@
 
     /// Completes the current sample if its duration has elapsed.
     pub fn tick(&mut self, progress: impl Iterator<Item = TierProgress>, now: Moment) {
-        let elapsed = self.since.map(|since| now.since(since));
-        if elapsed.is_some_and(|elapsed| elapsed < SAMPLE_TIME) {
+        let elapsed = self.sample_start.map(|start| now.since(start));
+        if elapsed.is_some_and(|elapsed| elapsed < SAMPLE_INTERVAL) {
             return;
         }
-        self.since = Some(now);
+        self.sample_start = Some(now);
         for tier in progress {
             let flow = self.flows.entry(tier.rank).or_default();
             if let Some(elapsed) = elapsed {
                 flow.sample(tier, elapsed.as_secs_f64());
             }
             flow.tokens = 0;
-            flow.virtual_from = tier.has_backlog.then_some(tier.virtual_time);
+            flow.sample_virtual_start = tier.has_backlog.then_some(tier.virtual_time);
         }
     }
 
@@ -83,16 +83,16 @@
     pub fn wait(&self, tier: TierRank, virtual_span: u64) -> Option<f64> {
         let flow = self.flows.get(&tier)?;
         let lower: f64 = self.flows.range(tier..).skip(1).map(|(_, flow)| flow.rate).sum();
-        let alone = 1.0 + lower / flow.rate.max(IDLE_RATE);
-        Some(virtual_span as f64 / (flow.virtual_rate? * alone))
+        let lower_tier_speedup = 1.0 + lower / flow.rate.max(IDLE_TOKENS_PER_SECOND);
+        Some(virtual_span as f64 / (flow.virtual_rate? * lower_tier_speedup))
     }
 }
 
 impl TierFlow {
     fn sample(&mut self, tier: TierProgress, seconds: f64) {
         self.rate += (self.tokens as f64 / seconds - self.rate) * SAMPLE_WEIGHT;
-        let Some(from) = self.virtual_from.filter(|_| tier.has_backlog) else { return };
-        let sample = (tier.virtual_time.saturating_sub(from) as f64 / seconds).max(1.0);
+        let Some(start) = self.sample_virtual_start.filter(|_| tier.has_backlog) else { return };
+        let sample = (tier.virtual_time.saturating_sub(start) as f64 / seconds).max(1.0);
         let rate = self.virtual_rate.map_or(sample, |rate| rate + (sample - rate) * SAMPLE_WEIGHT);
         self.virtual_rate = Some(rate);
     }
