--- a/src/policy/crowd_meter.rs
+++ b/src/policy/crowd_meter.rs
@@ -9,21 +9,21 @@
 use std::time::Duration;
 
 /// Time constant of the running average of queue reports.
-const MEMORY: Duration = Duration::from_millis(400);
+const AVERAGING_TIME: Duration = Duration::from_millis(400);
 /// Minimum weight of one report, so that a daemon with few requests does not lag a burst by
 /// seconds.
-const LEAST_WEIGHT: f64 = 0.2;
+const MIN_WEIGHT: f64 = 0.2;
 /// Time constant with which the latest report loses weight: a daemon that sends little learns late
 /// that queues are short again.
-const FORGOTTEN_IN: Duration = Duration::from_millis(700);
+const DECAY_TIME: Duration = Duration::from_millis(700);
 /// Waiting requests per slot from which queues count as long.
-const LONG_QUEUE: f64 = 1.0;
+const LONG_QUEUE_PER_SLOT: f64 = 1.0;
 
 /// Running average of the queue lengths at a pool's upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CrowdMeter {
     /// Waiting requests per slot.
-    queued: f64,
+    queued_per_slot: f64,
     reported_at: Option<Moment>,
 }
 
@@ -31,16 +31,16 @@
     /// Records that `queued` requests wait at an upstream with `places` slots.
     pub fn report(&mut self, queued: u32, places: u32, now: Moment) {
         let sample = f64::from(queued) / f64::from(places.max(1));
-        let age = self.reported_at.map_or(MEMORY, |at| now.since(at));
-        let weight = 1.0 - (-age.as_secs_f64() / MEMORY.as_secs_f64()).exp();
-        self.queued += (sample - self.queued) * weight.max(LEAST_WEIGHT);
+        let age = self.reported_at.map_or(AVERAGING_TIME, |at| now.since(at));
+        let weight = 1.0 - (-age.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
+        self.queued_per_slot += (sample - self.queued_per_slot) * weight.max(MIN_WEIGHT);
         self.reported_at = Some(now);
     }
 
     /// True while the queues are long.
     pub fn is_crowded(&self, now: Moment) -> bool {
         let Some(at) = self.reported_at else { return false };
-        let age = now.since(at).as_secs_f64() / FORGOTTEN_IN.as_secs_f64();
-        self.queued * (-age).exp() >= LONG_QUEUE
+        let age = now.since(at).as_secs_f64() / DECAY_TIME.as_secs_f64();
+        self.queued_per_slot * (-age).exp() >= LONG_QUEUE_PER_SLOT
     }
 }
