--- a/src/policy/mechanism.rs
+++ b/src/policy/mechanism.rs
@@ -41,17 +41,17 @@
 /// The set of enabled mechanisms, stored as the disabled ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MechanismSet {
-    off: Vec<Mechanism>,
+    disabled: Vec<Mechanism>,
 }
 
 impl MechanismSet {
-    /// Creates a set of all mechanisms except `off`.
-    pub fn without(off: &[Mechanism]) -> Self {
-        MechanismSet { off: off.to_vec() }
+    /// Creates a set of all mechanisms except `disabled`.
+    pub fn without(disabled: &[Mechanism]) -> Self {
+        MechanismSet { disabled: disabled.to_vec() }
     }
 
     /// True if the mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
