--- a/src/policy/caller_returns.rs
+++ b/src/policy/caller_returns.rs
@@ -2,7 +2,7 @@
 //!
 //! A caller that retries after a refusal counts its time from its first attempt, so its objective
 //! has usually passed. Unless retries are detected, a burst's retries are treated as new requests
-//! and are served late, in position of requests that could still have been on time.
+//! and are served late, in place of requests that could still have been on time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/src/policy/learned_limit.rs
+++ b/src/policy/learned_limit.rs
@@ -63,8 +63,8 @@
 }
 
 impl LearnedLimit {
-    /// Creates a limit of `initial_requests` requests of `mean_cost` tokens each. If `is_adaptive` is false, the
-    /// limit stays at `initial_requests` requests of any size.
+    /// Creates a limit of `initial_requests` requests of `mean_cost` tokens each. If `is_adaptive`
+    /// is false, the limit stays at `initial_requests` requests of any size.
     pub fn new(initial_requests: u32, mean_cost: f64, is_adaptive: bool) -> Self {
         let initial_requests = f64::from(initial_requests);
         let tokens = if is_adaptive {
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -237,7 +237,7 @@
                 status.peer_gap_micros = reported_gap.or(status.peer_gap_micros);
                 let is_known_reachable = now.since(status.learned_at) < REACHABLE_WINDOW;
                 if others.is_down && is_trusted && !is_known_reachable {
-                    status.refused_until = Some(now + REMOTE_DOWN_PAUSE);
+                    status.paused_until = Some(now + REMOTE_DOWN_PAUSE);
                 }
             });
         }
@@ -269,13 +269,12 @@
 
     /// Ends pauses after refusals that have expired.
     pub fn reopen(&mut self, now: Moment) {
-        let is_expired =
-            |status: &&UpstreamStatus| status.refused_until.is_some_and(|at| at <= now);
+        let is_expired = |status: &&UpstreamStatus| status.paused_until.is_some_and(|at| at <= now);
         let expired: Vec<UpstreamIndex> =
             self.upstreams.values().filter(is_expired).map(|status| status.index).collect();
         expired
             .into_iter()
-            .for_each(|index| self.update(index, |status| status.refused_until = None));
+            .for_each(|index| self.update(index, |status| status.paused_until = None));
     }
 
     /// Records the outcome of an exchange with an upstream.
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -143,7 +143,7 @@
     /// the two clocks.
     clock_offset: Option<i64>,
     recent_changes: VecDeque<(Moment, i32)>,
-    /// The usable_share of the share that is reserved for the highest tier.
+    /// The part of the share that is reserved for the highest tier.
     pub(super) headroom: f64,
     /// The other daemons' work there, as last reported.
     pub others: OthersWork,
@@ -156,7 +156,7 @@
     /// Until then it gets work only if no other upstream has capacity.
     pub backoff_until: Moment,
     /// Set after it refused a slot; it gets no work until then.
-    pub(super) refused_until: Option<Moment>,
+    pub(super) paused_until: Option<Moment>,
     /// Consecutive refusals of a slot.
     consecutive_refusals: u32,
     /// True if the upstream belongs to this daemon's group, whose upstreams are preferred.
@@ -232,7 +232,7 @@
             failing: 0.0,
             consecutive_failures: 0,
             backoff_until: Moment(0),
-            refused_until: None,
+            paused_until: None,
             consecutive_refusals: 0,
             is_home: true,
             peer_gap_micros: None,
@@ -254,7 +254,7 @@
         };
         self.state() == UpstreamState::Live
             && self.share > 0.0
-            && self.refused_until.is_none()
+            && self.paused_until.is_none()
             && (self.in_flight + self.others.requests == 0
                 || self.used() < self.share * usable_share)
     }
@@ -284,12 +284,12 @@
     pub(super) fn crowd(&mut self, now: Moment) {
         let doublings = self.consecutive_refusals.min(MAX_REFUSAL_PAUSE_DOUBLINGS);
         self.consecutive_refusals += 1;
-        self.refused_until = Some(now + INITIAL_REFUSAL_PAUSE * 2u32.pow(doublings));
+        self.paused_until = Some(now + INITIAL_REFUSAL_PAUSE * 2u32.pow(doublings));
     }
 
     /// Records that a slot there became free.
     pub(super) fn uncrowd(&mut self) {
-        self.refused_until = None;
+        self.paused_until = None;
         self.consecutive_refusals = 0;
     }
 
