--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -14,9 +14,9 @@
 /// Load reports older than this are ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 /// Requests that may wait inside an upstream without counting as a queue, plus one for every
-/// `QUEUED_BATCH_DIVISOR` in its batch, since some are always about to enter the next step. A queue lowers
-/// the limit only if two consecutive reports show it: when one report sufficed, the limit never
-/// rose above its initial value.
+/// `QUEUED_BATCH_DIVISOR` in its batch, since some are always about to enter the next step. A queue
+/// lowers the limit only if two consecutive reports show it: when one report sufficed, the limit
+/// never rose above its initial value.
 const QUEUED_TOLERANCE: u32 = 2;
 const QUEUED_BATCH_DIVISOR: u32 = 16;
 /// Weight of a new sample in an upstream's mean time between tokens.
@@ -153,9 +153,9 @@
     pub failing: f64,
     /// Consecutive failures.
     consecutive_failures: u32,
-    /// Until then it gets work only if no other upstream has capacity.
+    /// After consecutive failures, it gets work until then only if no other upstream has capacity.
     pub backoff_until: Moment,
-    /// Set after it refused a slot; it gets no work until then.
+    /// It gets no work until then, after it refused a slot or another daemon could not reach it.
     pub(super) paused_until: Option<Moment>,
     /// Consecutive refusals of a slot.
     consecutive_refusals: u32,
