--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -1,7 +1,7 @@
 //! What a daemon does as time passes: scheduler ticks, load reports, the platform's list.
 
 use crate::platform::InstanceLister;
-use crate::policy::{PoolEvent, TierRank, UpstreamIndex, UpstreamWord};
+use crate::policy::{PoolEvent, TierRank, UpstreamEvent, UpstreamIndex};
 use crate::settings::DaemonSettings;
 use crate::table::ServiceName;
 use crate::traffic::{PoolRuntime, ProbeOutcome, TrafficState, probe};
@@ -114,10 +114,10 @@
 }
 
 /// What a probe's outcome says of an upstream that could not be reached; none where it still says nothing.
-fn word_of(outcome: ProbeOutcome) -> Option<UpstreamWord> {
+fn word_of(outcome: ProbeOutcome) -> Option<UpstreamEvent> {
     match outcome {
-        ProbeOutcome::Answered => Some(UpstreamWord::Answered),
-        ProbeOutcome::OtherIncarnation => Some(UpstreamWord::Leaving),
+        ProbeOutcome::Answered => Some(UpstreamEvent::Answered),
+        ProbeOutcome::OtherIncarnation => Some(UpstreamEvent::Leaving),
         ProbeOutcome::Refused | ProbeOutcome::Closed | ProbeOutcome::Silent => None,
     }
 }
@@ -147,7 +147,7 @@
     match pool.driver.report(address).await {
         Some(report) => pool.tell(PoolEvent::Reported { upstream, report }),
         None if is_suspect && pool.driver.probe(address).await => {
-            pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Answered });
+            pool.tell(PoolEvent::Word { upstream, word: UpstreamEvent::Answered });
         }
         None => {}
     }
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -8,7 +8,7 @@
 use crate::load::{PlannedRequest, RequestKind};
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, LoadReport, Moment, OrganisationIndex, PoolAction, PoolEvent,
-    PoolScheduler, RequestId, RouteKey, TierRank, UpstreamIndex, UpstreamSource, UpstreamWord,
+    PoolScheduler, RequestId, RouteKey, TierRank, UpstreamEvent, UpstreamIndex, UpstreamSource,
     prefix_hashes,
 };
 use crate::standin::{EngineJob, JobId, PrefillLedger};
@@ -431,7 +431,7 @@
     fn lose_work(&mut self, engine: usize) {
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
-            self.tell(number, PoolEvent::Word { upstream, word: UpstreamWord::Unreachable });
+            self.tell(number, PoolEvent::Word { upstream, word: UpstreamEvent::Unreachable });
         }
         for request in 0..self.requests.len() {
             let running = &self.requests[request];
@@ -473,7 +473,7 @@
         self.engines[engine] = SimulatedEngine::new(self.plan.profile.shape);
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
-            self.tell(number, PoolEvent::Word { upstream, word: UpstreamWord::Answered });
+            self.tell(number, PoolEvent::Word { upstream, word: UpstreamEvent::Answered });
         }
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -62,7 +62,7 @@
 pub use upstream_hash::UpstreamHash;
 pub use upstream_set::UpstreamSet;
 pub use upstreams::{
-    LoadReport, OthersWork, RoomKind, UpstreamSource, UpstreamState, UpstreamStatus, UpstreamWord,
+    LoadReport, OthersWork, RoomKind, UpstreamEvent, UpstreamSource, UpstreamState, UpstreamStatus,
     upstream_chart,
 };
 pub use urgency_queue::UrgencyQueue;
--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -4,7 +4,7 @@
 use crate::answer::AnswerKind;
 use crate::policy::{
     FleetGroup, FloorOrder, LoadReport, Moment, OrganisationIndex, OthersWork, RequestId,
-    RequestSizes, RouteKey, SizeTenth, TierRank, UpstreamIndex, UpstreamSource, UpstreamWord,
+    RequestSizes, RouteKey, SizeTenth, TierRank, UpstreamEvent, UpstreamIndex, UpstreamSource,
     WaitingLevels,
 };
 use crate::table::UpstreamName;
@@ -123,7 +123,7 @@
         /// The upstream.
         upstream: UpstreamIndex,
         /// What.
-        word: UpstreamWord,
+        word: UpstreamEvent,
     },
     /// An upstream dropped a prefix block from its cache.
     CacheEvicted {
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -3,7 +3,7 @@
 use super::{DispatchOutcome, PoolAction, PoolScheduler, RunningRequest};
 use crate::answer::AnswerKind;
 use crate::policy::{
-    Moment, RequestId, UpstreamIndex, UpstreamStatus, UpstreamWord, WaitingRequest,
+    Moment, RequestId, UpstreamEvent, UpstreamIndex, UpstreamStatus, WaitingRequest,
 };
 use std::time::Duration;
 
@@ -116,7 +116,7 @@
         let RunningRequest { request, upstream, .. } = running;
         let time = now.since(running.dispatched);
         self.count_end(request, true);
-        self.upstreams.tell(*upstream, UpstreamWord::Answered);
+        self.upstreams.tell(*upstream, UpstreamEvent::Answered);
         if self.plan.counts_tokens {
             let (organisation, tier) = (request.organisation, request.tier);
             self.model.learn_counts(
@@ -159,7 +159,7 @@
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        self.upstreams.tell(upstream, UpstreamWord::Unreachable);
+        self.upstreams.tell(upstream, UpstreamEvent::Unreachable);
         let can_try =
             self.redispatches >= 1.0 && self.upstreams.live_count() > 0 && now < request.deadline;
         if can_try {
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -3,7 +3,7 @@
 use super::upstreams::CAPACITY_KINDS;
 use super::{
     DispatchOutcome, FleetGroup, LearnedLimit, LoadReport, Moment, OthersWork, RoomKind,
-    UpstreamIndex, UpstreamSource, UpstreamState, UpstreamStatus, UpstreamWord,
+    UpstreamEvent, UpstreamIndex, UpstreamSource, UpstreamState, UpstreamStatus,
 };
 use crate::table::UpstreamName;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -114,7 +114,7 @@
                 }
                 Some(known) => {
                     let old = known.index;
-                    self.tell(old, UpstreamWord::Absent);
+                    self.tell(old, UpstreamEvent::Absent);
                     self.add(source.clone(), new_limit(source.places));
                 }
                 None => self.add(source.clone(), new_limit(source.places)),
@@ -122,7 +122,7 @@
             if source.is_leaving
                 && let Some(index) = self.find(&source.name)
             {
-                self.tell(index, UpstreamWord::Leaving);
+                self.tell(index, UpstreamEvent::Leaving);
             }
         }
         let absent: Vec<UpstreamIndex> = self
@@ -131,7 +131,7 @@
             .filter(|status| !sources.iter().any(|source| source.name == status.source.name))
             .map(|status| status.index)
             .collect();
-        absent.into_iter().for_each(|index| self.tell(index, UpstreamWord::Absent));
+        absent.into_iter().for_each(|index| self.tell(index, UpstreamEvent::Absent));
     }
 
     /// Applies an incarnation reported by an upstream. A later incarnation is a different upstream
@@ -153,7 +153,7 @@
             return;
         }
         let source = UpstreamSource { incarnation, is_leaving: false, ..status.source.clone() };
-        self.tell(index, UpstreamWord::Absent);
+        self.tell(index, UpstreamEvent::Absent);
         let limit = new_limit(source.places);
         self.add(source, limit);
     }
@@ -171,15 +171,15 @@
     }
 
     /// Applies a life-cycle event of an upstream and forgets the upstream once it is gone.
-    pub fn tell(&mut self, index: UpstreamIndex, word: UpstreamWord) {
+    pub fn tell(&mut self, index: UpstreamIndex, word: UpstreamEvent) {
         let Some(status) = self.upstreams.get_mut(&index) else { return };
         let before = status.machine.state();
-        if word == UpstreamWord::Leaving {
+        if word == UpstreamEvent::Leaving {
             self.departed.insert((status.source.name.clone(), status.source.incarnation));
         }
         status.machine.step(word);
         if status.in_flight == 0 {
-            status.machine.step(UpstreamWord::Idle);
+            status.machine.step(UpstreamEvent::Idle);
         }
         let after = status.machine.state();
         self.live -= usize::from(before == UpstreamState::Live);
@@ -306,7 +306,7 @@
             status.record_change(now, -1);
         });
         if self.get(index).is_some_and(|status| status.state() == UpstreamState::Leaving) {
-            self.tell(index, UpstreamWord::Idle);
+            self.tell(index, UpstreamEvent::Idle);
         }
     }
 
@@ -315,7 +315,7 @@
         self.update(index, |status| status.record_report(report, now));
         self.tell(
             index,
-            if report.is_leaving { UpstreamWord::Leaving } else { UpstreamWord::Answered },
+            if report.is_leaving { UpstreamEvent::Leaving } else { UpstreamEvent::Answered },
         );
     }
 
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -53,7 +53,7 @@
 
 chart_names! {
     /// An event in the life cycle of an upstream.
-    UpstreamWord {
+    UpstreamEvent {
         /// It answered a request or a probe.
         Answered,
         /// A connection to it could not be opened.
@@ -76,7 +76,7 @@
 }
 
 /// The state chart of an upstream's life cycle.
-pub type UpstreamChart = StateChart<UpstreamState, UpstreamWord, NoAction>;
+pub type UpstreamChart = StateChart<UpstreamState, UpstreamEvent, NoAction>;
 
 static CHART: LazyLock<UpstreamChart> = LazyLock::new(|| {
     StateChart::load(include_str!("../../charts/upstream.json"))
@@ -123,7 +123,7 @@
     pub index: UpstreamIndex,
     /// The list entry that names the upstream and gives its address.
     pub source: UpstreamSource,
-    pub(super) machine: ChartMachine<UpstreamState, UpstreamWord, NoAction>,
+    pub(super) machine: ChartMachine<UpstreamState, UpstreamEvent, NoAction>,
     /// The learned limit on work in flight.
     pub limit: LearnedLimit,
     /// Estimated tokens of this daemon's requests in flight.
--- a/src/traffic/crash_check.rs
+++ b/src/traffic/crash_check.rs
@@ -6,7 +6,7 @@
 
 use super::probe::{ProbeOutcome, probe};
 use super::state::TrafficState;
-use crate::policy::{PoolEvent, UpstreamHash, UpstreamIndex, UpstreamWord};
+use crate::policy::{PoolEvent, UpstreamEvent, UpstreamHash, UpstreamIndex};
 use crate::quarantine::RequestFingerprint;
 use crate::table::{ServiceName, SoftwareVersion, UpstreamName};
 use slog::info;
@@ -120,8 +120,8 @@
 fn tell_pool(state: &TrafficState, upstream: &BrokenUpstream, fate: UpstreamFate) {
     let word = match fate {
         UpstreamFate::LivesOn => return,
-        UpstreamFate::Ended => UpstreamWord::Unreachable,
-        UpstreamFate::Replaced => UpstreamWord::Leaving,
+        UpstreamFate::Ended => UpstreamEvent::Unreachable,
+        UpstreamFate::Replaced => UpstreamEvent::Leaving,
     };
     if let Some(pool) = state.version_pool(&upstream.service, upstream.version.as_ref()) {
         pool.tell(PoolEvent::Word { upstream: upstream.index, word });
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::claim::RecordedAnswer;
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, Exchange, ExchangeAction, ExchangeEvent, Moment, PoolEvent,
-    RequestId, RequestState, UpstreamWord,
+    RequestId, RequestState, UpstreamEvent,
 };
 use crate::quarantine::RequestFingerprint;
 use crate::table::UpstreamName;
@@ -332,7 +332,7 @@
                     return self.exchange.on(ExchangeEvent::NotSent, now);
                 }
                 if let Some(upstream) = self.exchange.upstream() {
-                    self.pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Unreachable });
+                    self.pool.tell(PoolEvent::Word { upstream, word: UpstreamEvent::Unreachable });
                 }
                 self.exchange.on(ExchangeEvent::Cut, now)
             }
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -9,7 +9,7 @@
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, Moment, PoolEvent, RequestId, RequestSizes, RouteKey,
-    SizeTenth, UpstreamHash, UpstreamIndex, UpstreamWord,
+    SizeTenth, UpstreamEvent, UpstreamHash, UpstreamIndex,
 };
 use crate::quarantine::RequestFingerprint;
 use crate::report::{RouteRecord, record_route};
@@ -270,7 +270,7 @@
                 }
                 Reservation::Full => word = guard.requeue(DispatchOutcome::Crowded),
                 Reservation::Gone => {
-                    pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Leaving });
+                    pool.tell(PoolEvent::Word { upstream, word: UpstreamEvent::Leaving });
                     word = guard.requeue(DispatchOutcome::Crowded);
                 }
                 Reservation::Unreachable => {
@@ -393,7 +393,7 @@
                 info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
                 placed.pool.tell(PoolEvent::Word {
                     upstream: placed.upstream,
-                    word: UpstreamWord::Unreachable,
+                    word: UpstreamEvent::Unreachable,
                 });
                 placed.guard.end(DispatchOutcome::Failed);
                 if request.time_left().is_zero() {
@@ -449,7 +449,7 @@
         placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report: *report });
     }
     if let AttemptFault::NotRun { is_other: true, .. } = fault {
-        let word = UpstreamWord::Leaving;
+        let word = UpstreamEvent::Leaving;
         placed.pool.tell(PoolEvent::Word { upstream: placed.upstream, word });
     }
     if let AttemptFault::Broken(_) | AttemptFault::Lost(_) = fault {
--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tarragonknot::policy::UpstreamHash;
 use tarragonknot::policy::{
-    OthersWork, PoolEvent, RequestId, UpstreamIndex, UpstreamSource, UpstreamState, UpstreamStatus,
-    UpstreamWord,
+    OthersWork, PoolEvent, RequestId, UpstreamEvent, UpstreamIndex, UpstreamSource, UpstreamState,
+    UpstreamStatus,
 };
 
 fn born(incarnation: u64) -> UpstreamSource {
@@ -100,7 +100,7 @@
     let mut pool = BurstPool::new();
     pool.tell(PoolEvent::Sources(vec![born(5)]), 0);
     let index = current(&pool).index;
-    pool.tell(PoolEvent::Word { upstream: index, word: UpstreamWord::Leaving }, 10);
+    pool.tell(PoolEvent::Word { upstream: index, word: UpstreamEvent::Leaving }, 10);
     pool.tell(PoolEvent::Sources(vec![born(5)]), 20);
     let refused = pool.arrive(1, 0, 30);
 
