--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -67,7 +67,7 @@
             self.reservations.freed();
         }
         self.upstreams.update(upstream, |status| status.read(unread));
-        self.upstreams.judge_end(upstream, outcome, now);
+        self.upstreams.record_outcome(upstream, outcome, now);
         match outcome {
             DispatchOutcome::Completed { prompt_tokens, output_tokens } => {
                 self.completed(&running, prompt_tokens, output_tokens, now);
@@ -116,7 +116,7 @@
         let RunningRequest { request, upstream, .. } = running;
         let time = now.since(running.dispatched);
         self.count_end(request, true);
-        self.upstreams.tell(*upstream, UpstreamEvent::Answered);
+        self.upstreams.apply_event(*upstream, UpstreamEvent::Answered);
         if self.plan.counts_tokens {
             let (organisation, tier) = (request.organisation, request.tier);
             self.model.learn_counts(
@@ -159,7 +159,7 @@
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        self.upstreams.tell(upstream, UpstreamEvent::Unreachable);
+        self.upstreams.apply_event(upstream, UpstreamEvent::Unreachable);
         let can_try =
             self.redispatches >= 1.0 && self.upstreams.live_count() > 0 && now < request.deadline;
         if can_try {
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -138,7 +138,7 @@
                 self.note_crowd(upstream, report.queued, now);
                 self.upstreams.reported(upstream, report, now)
             }
-            PoolEvent::Word { upstream, word } => self.upstreams.tell(upstream, word),
+            PoolEvent::Word { upstream, word } => self.upstreams.apply_event(upstream, word),
             PoolEvent::CacheEvicted { upstream, block } => self.placement.evicted(block, upstream),
             PoolEvent::Sources(sources) => {
                 let plan = &self.plan;
@@ -146,7 +146,8 @@
             }
             PoolEvent::Born { upstream, incarnation } => {
                 let plan = &self.plan;
-                self.upstreams.born(upstream, incarnation, |places| plan.limit_of(places))
+                self.upstreams
+                    .observe_incarnation(upstream, incarnation, |places| plan.limit_of(places))
             }
             PoolEvent::Plan(plan) => self.replace_plan(plan),
             PoolEvent::Share { share } => self.upstreams.set_share(share),
@@ -201,13 +202,13 @@
                 }
             }
         }
-        self.upstreams.reopen(now);
+        self.upstreams.resume_paused(now);
         let progress = self.plan.tiers.iter().map(|share| self.queue.progress(share.rank));
         self.meter.tick(progress, now);
         self.floor.relax(now);
         if self.plan.avoids_stragglers && now.since(self.judged_at) >= JUDGE_PAUSE {
             self.judged_at = now;
-            self.upstreams.judge_stragglers();
+            self.upstreams.update_stragglers();
         }
         if self.upstreams.live_count() == 0
             && self.upstreams.iter().all(|status| status.state() != UpstreamState::Suspect)
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -110,11 +110,11 @@
                         && known.source.address == source.address =>
                 {
                     let index = known.index;
-                    self.born(index, source.incarnation, &new_limit);
+                    self.observe_incarnation(index, source.incarnation, &new_limit);
                 }
                 Some(known) => {
                     let old = known.index;
-                    self.tell(old, UpstreamEvent::Absent);
+                    self.apply_event(old, UpstreamEvent::Absent);
                     self.add(source.clone(), new_limit(source.places));
                 }
                 None => self.add(source.clone(), new_limit(source.places)),
@@ -122,7 +122,7 @@
             if source.is_leaving
                 && let Some(index) = self.find(&source.name)
             {
-                self.tell(index, UpstreamEvent::Leaving);
+                self.apply_event(index, UpstreamEvent::Leaving);
             }
         }
         let absent: Vec<UpstreamIndex> = self
@@ -131,13 +131,13 @@
             .filter(|status| !sources.iter().any(|source| source.name == status.source.name))
             .map(|status| status.index)
             .collect();
-        absent.into_iter().for_each(|index| self.tell(index, UpstreamEvent::Absent));
+        absent.into_iter().for_each(|index| self.apply_event(index, UpstreamEvent::Absent));
     }
 
     /// Applies an incarnation reported by an upstream. A later incarnation is a different upstream
     /// without learned state; an earlier one comes from an outdated report and is ignored. The
     /// first report of an unknown incarnation does not make it a different upstream.
-    pub fn born(
+    pub fn observe_incarnation(
         &mut self,
         index: UpstreamIndex,
         incarnation: u64,
@@ -153,7 +153,7 @@
             return;
         }
         let source = UpstreamSource { incarnation, is_leaving: false, ..status.source.clone() };
-        self.tell(index, UpstreamEvent::Absent);
+        self.apply_event(index, UpstreamEvent::Absent);
         let limit = new_limit(source.places);
         self.add(source, limit);
     }
@@ -171,13 +171,13 @@
     }
 
     /// Applies a life-cycle event of an upstream and forgets the upstream once it is gone.
-    pub fn tell(&mut self, index: UpstreamIndex, word: UpstreamEvent) {
+    pub fn apply_event(&mut self, index: UpstreamIndex, event: UpstreamEvent) {
         let Some(status) = self.upstreams.get_mut(&index) else { return };
         let before = status.machine.state();
-        if word == UpstreamEvent::Leaving {
+        if event == UpstreamEvent::Leaving {
             self.departed.insert((status.source.name.clone(), status.source.incarnation));
         }
-        status.machine.step(word);
+        status.machine.step(event);
         if status.in_flight == 0 {
             status.machine.step(UpstreamEvent::Idle);
         }
@@ -268,7 +268,7 @@
     }
 
     /// Ends pauses after refusals that have expired.
-    pub fn reopen(&mut self, now: Moment) {
+    pub fn resume_paused(&mut self, now: Moment) {
         let is_expired = |status: &&UpstreamStatus| status.paused_until.is_some_and(|at| at <= now);
         let expired: Vec<UpstreamIndex> =
             self.upstreams.values().filter(is_expired).map(|status| status.index).collect();
@@ -278,7 +278,7 @@
     }
 
     /// Records the outcome of an exchange with an upstream.
-    pub fn judge_end(&mut self, index: UpstreamIndex, outcome: DispatchOutcome, now: Moment) {
+    pub fn record_outcome(&mut self, index: UpstreamIndex, outcome: DispatchOutcome, now: Moment) {
         let has_failed = match outcome {
             DispatchOutcome::Completed { .. } => false,
             DispatchOutcome::Failed => true,
@@ -286,7 +286,7 @@
                 return;
             }
         };
-        self.update(index, |status| status.judge_end(has_failed, now));
+        self.update(index, |status| status.record_outcome(has_failed, now));
     }
 
     /// Records a dispatch.
@@ -306,14 +306,14 @@
             status.record_change(now, -1);
         });
         if self.get(index).is_some_and(|status| status.state() == UpstreamState::Leaving) {
-            self.tell(index, UpstreamEvent::Idle);
+            self.apply_event(index, UpstreamEvent::Idle);
         }
     }
 
     /// Applies a load report.
     pub fn reported(&mut self, index: UpstreamIndex, report: LoadReport, now: Moment) {
         self.update(index, |status| status.record_report(report, now));
-        self.tell(
+        self.apply_event(
             index,
             if report.is_leaving { UpstreamEvent::Leaving } else { UpstreamEvent::Answered },
         );
@@ -321,7 +321,7 @@
 
     /// Updates which upstreams are stragglers, comparing each one's time between tokens with the
     /// pool's median.
-    pub fn judge_stragglers(&mut self) {
+    pub fn update_stragglers(&mut self) {
         let mut gaps: Vec<f64> =
             self.upstreams.values().filter_map(|status| status.gap_micros).collect();
         if gaps.len() < 3 {
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -301,7 +301,7 @@
     /// Records the outcome of an exchange. Consecutive failures back the upstream off, longer each
     /// time. Otherwise one that answers health checks but no requests would be preferred, since it
     /// is idle.
-    pub(super) fn judge_end(&mut self, has_failed: bool, now: Moment) {
+    pub(super) fn record_outcome(&mut self, has_failed: bool, now: Moment) {
         let sample = f64::from(u8::from(has_failed));
         self.failing += (sample - self.failing) * FAILURE_WEIGHT;
         self.consecutive_failures = if has_failed { self.consecutive_failures + 1 } else { 0 };
