--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use tarragonknot::control::{DaemonReport, FleetRegistry, PoolReport};
 use tarragonknot::policy::{
-    AffinityPlacement, ArrivedRequest, DispatchOutcome, EngineSpeed, FairQueue, LearnedLimit,
-    MechanismSet, Moment, OrganisationIndex, PlaceFit, PlacementPolicy, PlacementQuery, PoolAction,
-    PoolEvent, PoolPlan, PoolScheduler, RequestId, RoomKind, RouteKey, TierRank, TierShare,
-    UpstreamSet, UpstreamSource, WaitingQueue, WaitingRequest, prefix_hashes,
+    AffinityPlacement, ArrivedRequest, CapacityClass, DispatchOutcome, EngineSpeed, FairQueue,
+    LearnedLimit, MechanismSet, Moment, OrganisationIndex, PlaceFit, PlacementPolicy,
+    PlacementQuery, PoolAction, PoolEvent, PoolPlan, PoolScheduler, RequestId, RouteKey, TierRank,
+    TierShare, UpstreamSet, UpstreamSource, WaitingQueue, WaitingRequest, prefix_hashes,
 };
 use tarragonknot::table::{
     DaemonName, KeyDigest, LimitChoice, LimitUnit, OrganisationRow, PlacementChoice, QueueChoice,
@@ -85,7 +85,7 @@
                     event_tokens: 1,
                     pause: None,
                     speed: EngineSpeed { prefill_micros: 40.0, gap_micros: 10_000.0 },
-                    room: RoomKind::Usual,
+                    capacity: CapacityClass::Regular,
                     now,
                 };
                 policy.place(&set, &query, &mut rng)
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -6,7 +6,7 @@
 use crate::load::{
     CallResult, LoadCaller, LoadProfile, LoadSummary, PlannedRequest, PolicyChoice, ProfileKind,
 };
-use crate::policy::RoomKind;
+use crate::policy::CapacityClass;
 use crate::report::{install_metrics, json_logger};
 use crate::settings::DaemonSettings;
 use crate::standin::{
@@ -313,7 +313,7 @@
     let until = Instant::now() + READY_LIMIT;
     while Instant::now() < until {
         let has_share = daemon.state.pools().values().all(|pool| {
-            pool.inspect(|scheduler| !scheduler.upstreams().open(RoomKind::Usual).is_empty())
+            pool.inspect(|scheduler| !scheduler.upstreams().open(CapacityClass::Regular).is_empty())
         });
         if daemon.state.is_ready() && has_share {
             return Ok(());
--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -107,7 +107,7 @@
     /// Returns true if a live upstream that has no free capacity now would fit.
     fn may_fit_later(set: &UpstreamSet, query: &PlacementQuery<'_>) -> bool {
         let live = set.iter().filter(|status| status.state() == UpstreamState::Live);
-        let busy = live.filter(|status| !status.has_capacity(query.room));
+        let busy = live.filter(|status| !status.has_capacity(query.capacity));
         busy.take(MAX_CANDIDATES).any(|status| Self::fits(status, query))
     }
 
@@ -139,7 +139,7 @@
         query: &PlacementQuery<'_>,
         rng: &mut dyn RngCore,
     ) -> Option<UpstreamIndex> {
-        let open = set.open(query.room);
+        let open = set.open(query.capacity);
         let start = if open.len() > MAX_CANDIDATES { rng.random_range(0..open.len()) } else { 0 };
         let sample = open.iter().cycle().skip(start).take(open.len().min(MAX_CANDIDATES));
         let open = sample.filter_map(|index| set.get(*index));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -62,8 +62,8 @@
 pub use upstream_hash::UpstreamHash;
 pub use upstream_set::UpstreamSet;
 pub use upstreams::{
-    LoadReport, OthersWork, RoomKind, UpstreamEvent, UpstreamSource, UpstreamState, UpstreamStatus,
-    upstream_chart,
+    CapacityClass, LoadReport, OthersWork, UpstreamEvent, UpstreamSource, UpstreamState,
+    UpstreamStatus, upstream_chart,
 };
 pub use urgency_queue::UrgencyQueue;
 pub use waiting_levels::{WaitingLevels, WorthLevel};
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,7 +1,7 @@
 //! Placement policies, which choose an upstream for a request, behind one trait.
 
 use super::earliest::EarliestPlacement;
-use super::{EngineSpeed, Moment, RoomKind, UpstreamIndex, UpstreamSet, UpstreamStatus};
+use super::{CapacityClass, EngineSpeed, Moment, UpstreamIndex, UpstreamSet, UpstreamStatus};
 use crate::table::PlacementChoice;
 use rand::{Rng, RngCore};
 use std::collections::HashMap;
@@ -66,7 +66,7 @@
     /// The learned engine speed of the pool.
     pub speed: EngineSpeed,
     /// Which share of an upstream's capacity the request may use.
-    pub room: RoomKind,
+    pub capacity: CapacityClass,
     /// The margin an upstream must have for the request not to wait for another one.
     pub fit: PlaceFit,
     /// Tokens per streamed event.
@@ -119,11 +119,11 @@
     ) -> Option<UpstreamIndex> {
         let last = self.last;
         let next = set
-            .open(query.room)
+            .open(query.capacity)
             .iter()
             .filter(|index| last.is_none_or(|last| **index > last))
             .min();
-        self.last = next.or_else(|| set.open(query.room).iter().min()).copied();
+        self.last = next.or_else(|| set.open(query.capacity).iter().min()).copied();
         self.last
     }
 }
@@ -142,7 +142,7 @@
         let load = |index: &&UpstreamIndex| {
             set.get(**index).map_or(u32::MAX, UpstreamStatus::reported_requests)
         };
-        set.open(query.room).iter().min_by_key(|index| (load(index), **index)).copied()
+        set.open(query.capacity).iter().min_by_key(|index| (load(index), **index)).copied()
     }
 }
 
@@ -250,7 +250,7 @@
 
 /// Mean load of the open upstreams of a pool, estimated from a random sample in larger pools.
 fn mean_load(set: &UpstreamSet, query: &PlacementQuery<'_>, rng: &mut dyn RngCore) -> f64 {
-    let open = set.open(query.room);
+    let open = set.open(query.capacity);
     let load =
         |index: UpstreamIndex| set.get(index).map_or(0.0, |status| request_load(status, query.now));
     if open.len() <= FULL_SEARCH_LIMIT {
@@ -277,7 +277,7 @@
         let bound = mean_load(set, query, rng) * LOAD_BOUND_FACTOR + LOAD_SLACK;
         let is_fit = |index: &UpstreamIndex| {
             set.get(*index).is_some_and(|status| {
-                status.has_capacity(query.room)
+                status.has_capacity(query.capacity)
                     && !status.is_straggler
                     && request_load(status, query.now) <= bound
             })
@@ -294,7 +294,7 @@
         rng: &mut dyn RngCore,
     ) -> Option<UpstreamIndex> {
         self.refresh_ring(set);
-        let open = set.open(query.room);
+        let open = set.open(query.capacity);
         let known = self.index.longest_prefix(query.prefix);
         if let Some(upstream) =
             self.prefix_holder(set, query, known.map(|(upstream, _)| upstream), rng)
@@ -304,7 +304,7 @@
         let ring_owner = query.prefix.first().and_then(|key| self.ring_candidates(*key).next());
         let mut best: Option<(f64, UpstreamIndex)> = None;
         let mut consider = |index: UpstreamIndex| {
-            let Some(status) = set.get(index).filter(|status| status.has_capacity(query.room))
+            let Some(status) = set.get(index).filter(|status| status.has_capacity(query.capacity))
             else {
                 return;
             };
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -11,8 +11,8 @@
 use reservations::ReservationPace;
 
 use super::{
-    CostModel, CrowdMeter, DrainMeter, EngineSpeed, FirstEventModel, Mechanism, Moment,
-    OrganisationIndex, PlaceFit, PlacementPolicy, PlacementQuery, RequestId, RoomKind, ShedAudit,
+    CapacityClass, CostModel, CrowdMeter, DrainMeter, EngineSpeed, FirstEventModel, Mechanism,
+    Moment, OrganisationIndex, PlaceFit, PlacementPolicy, PlacementQuery, RequestId, ShedAudit,
     ShedFloor, SizeShares, TierRank, UpstreamIndex, UpstreamSet, UpstreamState, UpstreamStatus,
     WaitingLevels, WaitingQueue, WaitingRequest, placement_policy,
 };
@@ -299,7 +299,7 @@
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
             speed: self.speed(),
-            room: self.room(request.tier),
+            capacity: self.room(request.tier),
             event_tokens: self.plan.event_tokens,
             pause: request.pause,
             left: request.deadline.since(now),
@@ -336,17 +336,17 @@
 
     /// The lowest tier that some upstream has room for; none if all are full.
     fn lowest_served(&self) -> Option<TierRank> {
-        if !self.upstreams.open(RoomKind::Usual).is_empty() {
+        if !self.upstreams.open(CapacityClass::Regular).is_empty() {
             return Some(TierRank(u8::MAX));
         }
         let highest = self.plan.tiers.first().map(|share| share.rank);
-        highest.filter(|_| !self.upstreams.open(RoomKind::Highest).is_empty())
+        highest.filter(|_| !self.upstreams.open(CapacityClass::WithHeadroom).is_empty())
     }
 
-    fn room(&self, tier: TierRank) -> RoomKind {
+    fn room(&self, tier: TierRank) -> CapacityClass {
         match self.plan.tiers.first() {
-            Some(highest) if tier <= highest.rank => RoomKind::Highest,
-            _ => RoomKind::Usual,
+            Some(highest) if tier <= highest.rank => CapacityClass::WithHeadroom,
+            _ => CapacityClass::Regular,
         }
     }
 
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -1,8 +1,8 @@
 //! The upstreams of one pool: liveness, free capacity, group membership and incarnations.
 
-use super::upstreams::CAPACITY_KINDS;
+use super::upstreams::CAPACITY_CLASSES;
 use super::{
-    DispatchOutcome, FleetGroup, LearnedLimit, LoadReport, Moment, OthersWork, RoomKind,
+    CapacityClass, DispatchOutcome, FleetGroup, LearnedLimit, LoadReport, Moment, OthersWork,
     UpstreamEvent, UpstreamIndex, UpstreamSource, UpstreamState, UpstreamStatus,
 };
 use crate::table::UpstreamName;
@@ -29,7 +29,7 @@
 pub struct UpstreamSet {
     upstreams: BTreeMap<UpstreamIndex, UpstreamStatus>,
     by_name: HashMap<UpstreamName, UpstreamIndex>,
-    open: [Vec<UpstreamIndex>; CAPACITY_KINDS],
+    open: [Vec<UpstreamIndex>; CAPACITY_CLASSES],
     headroom: f64,
     next_index: u32,
     live: usize,
@@ -57,8 +57,8 @@
     }
 
     /// Upstreams that may be given work now, in arbitrary order.
-    pub fn open(&self, kind: RoomKind) -> &[UpstreamIndex] {
-        &self.open[kind as usize]
+    pub fn open(&self, class: CapacityClass) -> &[UpstreamIndex] {
+        &self.open[class as usize]
     }
 
     /// Sets the share of each upstream's limit that is reserved for the highest tier.
@@ -336,25 +336,25 @@
     }
 
     fn refresh(&mut self, index: UpstreamIndex) {
-        self.refresh_kind(index, RoomKind::Usual);
-        self.refresh_kind(index, RoomKind::Highest);
+        self.refresh_class(index, CapacityClass::Regular);
+        self.refresh_class(index, CapacityClass::WithHeadroom);
     }
 
-    fn refresh_kind(&mut self, index: UpstreamIndex, kind: RoomKind) {
+    fn refresh_class(&mut self, index: UpstreamIndex, class: CapacityClass) {
         let Some(status) = self.upstreams.get_mut(&index) else { return };
-        let open = &mut self.open[kind as usize];
-        match (status.has_capacity(kind), status.open_positions[kind as usize]) {
+        let open = &mut self.open[class as usize];
+        match (status.has_capacity(class), status.open_positions[class as usize]) {
             (true, None) => {
-                status.open_positions[kind as usize] = Some(open.len());
+                status.open_positions[class as usize] = Some(open.len());
                 open.push(index);
             }
             (false, Some(position)) => {
-                status.open_positions[kind as usize] = None;
+                status.open_positions[class as usize] = None;
                 open.swap_remove(position);
                 if let Some(moved) = open.get(position).copied()
                     && let Some(status) = self.upstreams.get_mut(&moved)
                 {
-                    status.open_positions[kind as usize] = Some(position);
+                    status.open_positions[class as usize] = Some(position);
                 }
             }
             _ => {}
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -165,7 +165,7 @@
     pub(super) peer_gap_micros: Option<f64>,
     /// When this daemon last measured the time between tokens.
     pub learned_at: Moment,
-    pub(super) open_positions: [Option<usize>; CAPACITY_KINDS],
+    pub(super) open_positions: [Option<usize>; CAPACITY_CLASSES],
 }
 
 /// The other daemons' work at an upstream.
@@ -193,15 +193,15 @@
 
 /// Which share of an upstream's capacity a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RoomKind {
+pub enum CapacityClass {
     /// The capacity open to every tier.
-    Usual = 0,
+    Regular = 0,
     /// All capacity, including the headroom reserved for the highest tier.
-    Highest = 1,
+    WithHeadroom = 1,
 }
 
-/// Number of capacity kinds.
-pub(super) const CAPACITY_KINDS: usize = 2;
+/// Number of capacity classes.
+pub(super) const CAPACITY_CLASSES: usize = 2;
 
 impl UpstreamStatus {
     /// Creates the status of an upstream about which only its list entry is known.
@@ -237,7 +237,7 @@
             is_home: true,
             peer_gap_micros: None,
             learned_at: Moment(0),
-            open_positions: [None; CAPACITY_KINDS],
+            open_positions: [None; CAPACITY_CLASSES],
         }
     }
 
@@ -247,10 +247,10 @@
     }
 
     /// True if the upstream may be given more work now.
-    pub fn has_capacity(&self, kind: RoomKind) -> bool {
-        let usable_share = match kind {
-            RoomKind::Usual => 1.0 - self.headroom,
-            RoomKind::Highest => 1.0,
+    pub fn has_capacity(&self, class: CapacityClass) -> bool {
+        let usable_share = match class {
+            CapacityClass::Regular => 1.0 - self.headroom,
+            CapacityClass::WithHeadroom => 1.0,
         };
         self.state() == UpstreamState::Live
             && self.share > 0.0
