--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -9,8 +9,8 @@
 use tarragonknot::control::{DaemonReport, FleetRegistry, PoolReport};
 use tarragonknot::policy::{
     AffinityPlacement, ArrivedRequest, CapacityClass, DispatchOutcome, EngineSpeed, FairQueue,
-    LearnedLimit, MechanismSet, Moment, OrganisationIndex, PlaceFit, PlacementPolicy,
-    PlacementQuery, PoolAction, PoolEvent, PoolPlan, PoolScheduler, RequestId, RouteKey, TierRank,
+    LearnedLimit, MechanismSet, Moment, OrganisationIndex, PlacementPolicy, PlacementQuery,
+    PoolAction, PoolEvent, PoolPlan, PoolScheduler, RequestId, RequiredFit, RouteKey, TierRank,
     TierShare, UpstreamSet, UpstreamSource, WaitingQueue, WaitingRequest, prefix_hashes,
 };
 use tarragonknot::table::{
@@ -77,13 +77,13 @@
             bencher.iter(|| {
                 now = now + Duration::from_micros(1);
                 let query = PlacementQuery {
-                    left: Duration::from_secs(10),
+                    time_left: Duration::from_secs(10),
                     prefix: black_box(&prefix),
                     prompt_tokens: 800,
                     output_tokens: 100,
-                    fit: PlaceFit::Any,
+                    required_fit: RequiredFit::Any,
                     event_tokens: 1,
-                    pause: None,
+                    max_pause: None,
                     speed: EngineSpeed { prefill_micros: 40.0, gap_micros: 10_000.0 },
                     capacity: CapacityClass::Regular,
                     now,
--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -1,6 +1,6 @@
 //! Placement on the upstream with the earliest expected first event.
 
-use super::placement::{PlaceFit, PlacementPolicy, PlacementQuery};
+use super::placement::{PlacementPolicy, PlacementQuery, RequiredFit};
 use super::{UpstreamIndex, UpstreamSet, UpstreamState, UpstreamStatus};
 use rand::{Rng, RngCore};
 
@@ -69,7 +69,7 @@
         let run = f64::from(query.output_tokens) * gap * OUTPUT_MARGIN;
         // Without this factor, a long answer starts on time on an engine four times slower than the
         // others and is then cut by its deadline, having held a slot for its entire duration.
-        let is_too_slow = total + run > query.left.as_micros() as f64;
+        let is_too_slow = total + run > query.time_left.as_micros() as f64;
         let total = if is_too_slow { total * MISSED_DEADLINE_PENALTY } else { total };
         let total = if status.is_home { total } else { total * OTHER_GROUP_PENALTY };
         total * (1.0 + FAILURE_PENALTY * status.failing)
@@ -94,13 +94,13 @@
     fn fits(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> bool {
         let (gap, slowness) = Self::gap_and_slowness(status, query);
         let prefill_micros = f64::from(query.prompt_tokens) * query.speed.prefill_micros * slowness;
-        let margin = match query.fit {
-            PlaceFit::Safe => SAFE_OUTPUT_MARGIN,
-            PlaceFit::Likely => OUTPUT_MARGIN,
-            PlaceFit::Any => return true,
+        let margin = match query.required_fit {
+            RequiredFit::Safe => SAFE_OUTPUT_MARGIN,
+            RequiredFit::Likely => OUTPUT_MARGIN,
+            RequiredFit::Any => return true,
         };
         let run = f64::from(query.output_tokens) * gap * margin;
-        let ends_in_time = prefill_micros + run <= query.left.as_micros() as f64;
+        let ends_in_time = prefill_micros + run <= query.time_left.as_micros() as f64;
         ends_in_time && Self::stall_penalty(status, query, gap, slowness) <= 1.0
     }
 
@@ -118,7 +118,7 @@
         gap: f64,
         slowness: f64,
     ) -> f64 {
-        let Some(pause) = query.pause else { return 1.0 };
+        let Some(pause) = query.max_pause else { return 1.0 };
         let unread = status.all_unread();
         let prefill_tokens =
             (unread as f64 + f64::from(query.prompt_tokens)).min(MAX_PREFILL_TOKENS_BETWEEN_EVENTS);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -45,7 +45,7 @@
     LimitClaim, LimitForecast, LimitTable, LimitTolerance, OrganisationLimit,
 };
 pub use placement::{
-    AffinityPlacement, LeastReported, PlaceFit, PlacementPolicy, PlacementQuery, RoundRobin,
+    AffinityPlacement, LeastReported, PlacementPolicy, PlacementQuery, RequiredFit, RoundRobin,
     placement_policy, prefix_hashes,
 };
 pub use queue::{FairQueue, FifoQueue, TierShare, WaitingQueue, WaitingRequest};
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -45,7 +45,7 @@
 /// How much of a safety margin an upstream must have for a request to be sent there instead of
 /// waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlaceFit {
+pub enum RequiredFit {
     /// The answer meets the caller's deadline even if it is twice as long as estimated.
     Safe,
     /// The answer meets the deadline if it is about as long as estimated.
@@ -68,14 +68,14 @@
     /// Which share of an upstream's capacity the request may use.
     pub capacity: CapacityClass,
     /// The margin an upstream must have for the request not to wait for another one.
-    pub fit: PlaceFit,
+    pub required_fit: RequiredFit,
     /// Tokens per streamed event.
     pub event_tokens: u32,
     /// The longest acceptable pause between events on routes that use the pool in the same way as
     /// this request's route.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
     /// Time left until the caller's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     pub now: Moment,
 }
 
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -12,7 +12,7 @@
 
 use super::{
     CapacityClass, CostModel, CrowdMeter, DrainMeter, EngineSpeed, FirstEventModel, Mechanism,
-    Moment, OrganisationIndex, PlaceFit, PlacementPolicy, PlacementQuery, RequestId, ShedAudit,
+    Moment, OrganisationIndex, PlacementPolicy, PlacementQuery, RequestId, RequiredFit, ShedAudit,
     ShedFloor, SizeShares, TierRank, UpstreamIndex, UpstreamSet, UpstreamState, UpstreamStatus,
     WaitingLevels, WaitingQueue, WaitingRequest, placement_policy,
 };
@@ -301,22 +301,22 @@
             speed: self.speed(),
             capacity: self.room(request.tier),
             event_tokens: self.plan.event_tokens,
-            pause: request.pause,
-            left: request.deadline.since(now),
-            fit: self.fit(request, now),
+            max_pause: request.pause,
+            time_left: request.deadline.since(now),
+            required_fit: self.fit(request, now),
             now,
         };
         self.placement.place(&self.upstreams, &query, rng)
     }
 
     /// How well a place must fit the request, or it waits for another one.
-    fn fit(&self, request: &WaitingRequest, now: Moment) -> PlaceFit {
+    fn fit(&self, request: &WaitingRequest, now: Moment) -> RequiredFit {
         if !self.plan.mechanisms.has(Mechanism::FitPlaces) {
-            return PlaceFit::Any;
+            return RequiredFit::Any;
         }
         match now < request.start_by {
-            true => PlaceFit::Safe,
-            false => PlaceFit::Likely,
+            true => RequiredFit::Safe,
+            false => RequiredFit::Likely,
         }
     }
 
