--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -60,7 +60,7 @@
     /// Estimates the microseconds until the first event.
     fn first_event_micros(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> f64 {
         let (gap, slowness) = Self::gap_and_slowness(status, query);
-        let unread = status.all_unread();
+        let unread = status.total_unread_tokens();
         let prompt = (unread as f64 + f64::from(query.prompt_tokens)) * query.speed.prefill_micros;
         let load = status.occupancy().min(1.0);
         let total = prompt * slowness + STEPS_BEFORE_FIRST_EVENT * gap + load * gap;
@@ -71,8 +71,8 @@
         // others and is then cut by its deadline, having held a slot for its entire duration.
         let is_too_slow = total + run > query.time_left.as_micros() as f64;
         let total = if is_too_slow { total * MISSED_DEADLINE_PENALTY } else { total };
-        let total = if status.is_home { total } else { total * OTHER_GROUP_PENALTY };
-        total * (1.0 + FAILURE_PENALTY * status.failing)
+        let total = if status.is_in_group { total } else { total * OTHER_GROUP_PENALTY };
+        total * (1.0 + FAILURE_PENALTY * status.failure_rate)
     }
 }
 
@@ -119,7 +119,7 @@
         slowness: f64,
     ) -> f64 {
         let Some(pause) = query.max_pause else { return 1.0 };
-        let unread = status.all_unread();
+        let unread = status.total_unread_tokens();
         let prefill_tokens =
             (unread as f64 + f64::from(query.prompt_tokens)).min(MAX_PREFILL_TOKENS_BETWEEN_EVENTS);
         let stall = f64::from(query.event_tokens) * gap
--- a/src/policy/learned_limit.rs
+++ b/src/policy/learned_limit.rs
@@ -93,7 +93,7 @@
     }
 
     /// The share of the limit that this much work uses; above 1.0 if it exceeds the limit.
-    pub fn used(&self, tokens: u64, requests: u32) -> f64 {
+    pub fn utilisation(&self, tokens: u64, requests: u32) -> f64 {
         (tokens as f64 / self.tokens.value).max(f64::from(requests) / self.requests.value)
     }
 
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -20,7 +20,7 @@
         let prompt_tokens = running.request.prompt_tokens;
         let (ahead, slowness) = (running.ahead, running.slowness);
         let upstream = running.upstream;
-        self.upstreams.update(upstream, |status| status.read(unread));
+        self.upstreams.update(upstream, |status| status.record_processed_tokens(unread));
         let expected = f64::from(prompt_tokens) * self.model.speed().prefill_micros;
         self.model.learn_prefill(prompt_tokens, after);
         self.first_events.learn(ahead, slowness, after);
@@ -63,10 +63,10 @@
             self.reservations.settled();
         }
         if !is_asking && outcome != DispatchOutcome::NotSent {
-            self.upstreams.update(upstream, UpstreamStatus::uncrowd);
+            self.upstreams.update(upstream, UpstreamStatus::clear_refusals);
             self.reservations.freed();
         }
-        self.upstreams.update(upstream, |status| status.read(unread));
+        self.upstreams.update(upstream, |status| status.record_processed_tokens(unread));
         self.upstreams.record_outcome(upstream, outcome, now);
         match outcome {
             DispatchOutcome::Completed { prompt_tokens, output_tokens } => {
@@ -94,14 +94,14 @@
         let Some(running) = self.running.get_mut(&id) else { return };
         if std::mem::take(&mut running.is_asking) {
             let upstream = running.upstream;
-            self.upstreams.update(upstream, UpstreamStatus::uncrowd);
+            self.upstreams.update(upstream, UpstreamStatus::clear_refusals);
             self.reservations.granted();
         }
     }
 
     /// An upstream had no place to reserve: the request waits again, and nothing was lost but a moment.
     fn crowded(&mut self, request: WaitingRequest, upstream: UpstreamIndex, now: Moment) {
-        self.upstreams.update(upstream, |status| status.crowd(now));
+        self.upstreams.update(upstream, |status| status.record_refusal(now));
         self.reservations.refused(now);
         self.queue.push_back_first(request);
     }
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -266,7 +266,7 @@
 
     /// Places of the group's upstreams that become free within a time, by Little's law.
     fn freed_places(&self, time: Duration) -> f64 {
-        let home = self.upstreams.iter().filter(|status| status.is_home);
+        let home = self.upstreams.iter().filter(|status| status.is_in_group);
         let running: u32 = home.map(|status| status.in_flight + status.others.requests).sum();
         f64::from(running) / self.run_seconds() * time.as_secs_f64()
     }
@@ -387,7 +387,7 @@
     /// Prompt tokens that an upstream reads before the first event of a request sent now, and how slow it is.
     fn ahead_of(&self, upstream: UpstreamIndex, own: u32) -> (u64, f64) {
         let Some(status) = self.upstreams.get(upstream) else { return (u64::from(own), 1.0) };
-        (status.all_unread() + u64::from(own), self.slowness(upstream))
+        (status.total_unread_tokens() + u64::from(own), self.slowness(upstream))
     }
 
     /// How many times slower than the pool's usual an upstream is; 1 if that is not known.
@@ -439,7 +439,7 @@
 
     /// The largest part of an upstream's limit that work of this daemon takes up.
     pub fn used_share(&self) -> f64 {
-        let used = self.upstreams.iter().map(UpstreamStatus::used);
+        let used = self.upstreams.iter().map(UpstreamStatus::utilisation);
         used.fold(0.0, f64::max)
     }
 
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -235,7 +235,7 @@
                 status.others = *others;
                 let reported_gap = (others.gap_micros > 0).then(|| f64::from(others.gap_micros));
                 status.peer_gap_micros = reported_gap.or(status.peer_gap_micros);
-                let is_known_reachable = now.since(status.learned_at) < REACHABLE_WINDOW;
+                let is_known_reachable = now.since(status.gap_measured_at) < REACHABLE_WINDOW;
                 if others.is_down && is_trusted && !is_known_reachable {
                     status.paused_until = Some(now + REMOTE_DOWN_PAUSE);
                 }
@@ -262,8 +262,8 @@
         let total = order.len();
         let is_shared = total < group.count * MIN_GROUP_UPSTREAMS;
         for (at, (_, index)) in order.into_iter().enumerate() {
-            let is_home = is_shared || FleetGroup::of(at, total, group.count) == group.index;
-            self.update(index, |status| status.is_home = is_home);
+            let is_in_group = is_shared || FleetGroup::of(at, total, group.count) == group.index;
+            self.update(index, |status| status.is_in_group = is_in_group);
         }
     }
 
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -150,7 +150,7 @@
     /// Prompt tokens of this daemon's requests that the upstream has not yet processed.
     pub unread_tokens: u64,
     /// Moving average of failures, from 0.0 (none) to 1.0 (all).
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Consecutive failures.
     consecutive_failures: u32,
     /// After consecutive failures, it gets work until then only if no other upstream has capacity.
@@ -160,11 +160,11 @@
     /// Consecutive refusals of a slot.
     consecutive_refusals: u32,
     /// True if the upstream belongs to this daemon's group, whose upstreams are preferred.
-    pub is_home: bool,
+    pub is_in_group: bool,
     /// Time between tokens as reported by another daemon, in microseconds.
     pub(super) peer_gap_micros: Option<f64>,
     /// When this daemon last measured the time between tokens.
-    pub learned_at: Moment,
+    pub gap_measured_at: Moment,
     pub(super) open_positions: [Option<usize>; CAPACITY_CLASSES],
 }
 
@@ -229,14 +229,14 @@
             headroom,
             others: OthersWork::default(),
             unread_tokens: 0,
-            failing: 0.0,
+            failure_rate: 0.0,
             consecutive_failures: 0,
             backoff_until: Moment(0),
             paused_until: None,
             consecutive_refusals: 0,
-            is_home: true,
+            is_in_group: true,
             peer_gap_micros: None,
-            learned_at: Moment(0),
+            gap_measured_at: Moment(0),
             open_positions: [None; CAPACITY_CLASSES],
         }
     }
@@ -256,17 +256,17 @@
             && self.share > 0.0
             && self.paused_until.is_none()
             && (self.in_flight + self.others.requests == 0
-                || self.used() < self.share * usable_share)
+                || self.utilisation() < self.share * usable_share)
     }
 
     /// The share of the limit in use by this daemon's work, including the requests of the other
     /// daemons known from current reports.
-    pub fn used(&self) -> f64 {
-        self.limit.used(self.in_flight_tokens, self.in_flight + self.others.requests)
+    pub fn utilisation(&self) -> f64 {
+        self.limit.utilisation(self.in_flight_tokens, self.in_flight + self.others.requests)
     }
 
     /// Prompt tokens not yet processed there, of this daemon's requests and of the others'.
-    pub fn all_unread(&self) -> u64 {
+    pub fn total_unread_tokens(&self) -> u64 {
         self.unread_tokens + self.others.unread_tokens
     }
 
@@ -281,20 +281,20 @@
     }
 
     /// Records that the upstream refused a slot.
-    pub(super) fn crowd(&mut self, now: Moment) {
+    pub(super) fn record_refusal(&mut self, now: Moment) {
         let doublings = self.consecutive_refusals.min(MAX_REFUSAL_PAUSE_DOUBLINGS);
         self.consecutive_refusals += 1;
         self.paused_until = Some(now + INITIAL_REFUSAL_PAUSE * 2u32.pow(doublings));
     }
 
     /// Records that a slot there became free.
-    pub(super) fn uncrowd(&mut self) {
+    pub(super) fn clear_refusals(&mut self) {
         self.paused_until = None;
         self.consecutive_refusals = 0;
     }
 
     /// Records that the upstream has processed this many prompt tokens, or never will.
-    pub fn read(&mut self, tokens: u32) {
+    pub fn record_processed_tokens(&mut self, tokens: u32) {
         self.unread_tokens = self.unread_tokens.saturating_sub(u64::from(tokens));
     }
 
@@ -303,7 +303,7 @@
     /// is idle.
     pub(super) fn record_outcome(&mut self, has_failed: bool, now: Moment) {
         let sample = f64::from(u8::from(has_failed));
-        self.failing += (sample - self.failing) * FAILURE_WEIGHT;
+        self.failure_rate += (sample - self.failure_rate) * FAILURE_WEIGHT;
         self.consecutive_failures = if has_failed { self.consecutive_failures + 1 } else { 0 };
         if self.consecutive_failures >= BACKOFF_AFTER_FAILURES {
             let doublings =
@@ -312,9 +312,9 @@
         }
     }
 
-    /// The work counted by [`UpstreamStatus::used`], relative to this daemon's share of the limit.
+    /// The work counted by [`UpstreamStatus::utilisation`], relative to this daemon's share of the limit.
     pub fn load(&self) -> f64 {
-        self.used() / self.share.max(1e-6)
+        self.utilisation() / self.share.max(1e-6)
     }
 
     /// True if the last report shows no queue inside the upstream.
@@ -383,7 +383,7 @@
 
     /// Adds a time between tokens, in microseconds, to the moving average.
     pub fn learn_gap(&mut self, micros: f64, now: Moment) {
-        self.learned_at = now;
+        self.gap_measured_at = now;
         self.gap_micros =
             Some(self.gap_micros.map_or(micros, |mean| mean + (micros - mean) * GAP_WEIGHT));
     }
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -386,7 +386,7 @@
         let service = &pool.service;
         pool.inspect(|scheduler| {
             rows.extend(scheduler.upstreams().iter().filter_map(|status| {
-                let learned = status.gap_micros.filter(|_| status.learned_at > since);
+                let learned = status.gap_micros.filter(|_| status.gap_measured_at > since);
                 let work = OthersWork {
                     requests: status.in_flight,
                     unread_tokens: status.unread_tokens,
