--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -1,6 +1,6 @@
 //! The messages in which daemons report their state.
 
-use crate::policy::{OthersWork, UpstreamHash, WorthLevel};
+use crate::policy::{PeerWork, UpstreamHash, WorthLevel};
 use crate::quarantine::SuspectNews;
 use crate::table::{DaemonName, OrganisationName, ServiceName};
 use serde::{Deserialize, Serialize};
@@ -55,7 +55,7 @@
 }
 
 /// Work at one upstream.
-pub type WorkRow = (UpstreamHash, OthersWork);
+pub type WorkRow = (UpstreamHash, PeerWork);
 
 /// Who sent a message, and which of its messages it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -8,7 +8,7 @@
     Departure, FleetMessage, FleetSummary, FlowRow, GroupSum, MemberReport, OrganisationHash,
     WorkRow,
 };
-use crate::policy::{Moment, OthersWork, UpstreamHash};
+use crate::policy::{Moment, PeerWork, UpstreamHash};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -100,7 +100,7 @@
         outgoing.push(OutgoingMessage { to, message: FleetMessage::Summary(summary) });
     }
 
-    fn group_work(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
+    fn group_work(&self, now: Moment) -> BTreeMap<UpstreamHash, PeerWork> {
         let life = self.work_life();
         let mut sums = BTreeMap::new();
         let fresh = self.reporters.values().filter(|member| now.since(member.heard) < life);
@@ -123,7 +123,7 @@
         WORK_LIFE.max(self.layout.pause() * super::SILENT_PAUSES)
     }
 
-    fn group_sum(&mut self, work: &BTreeMap<UpstreamHash, OthersWork>, now: Moment) -> GroupSum {
+    fn group_sum(&mut self, work: &BTreeMap<UpstreamHash, PeerWork>, now: Moment) -> GroupSum {
         let flows = rows(&self.group_flows, &self.own.flows);
         let chosen = self.group_turn.next_rows(work);
         GroupSum {
@@ -142,7 +142,7 @@
 
     fn fleet_summary(
         &mut self,
-        work: &BTreeMap<UpstreamHash, OthersWork>,
+        work: &BTreeMap<UpstreamHash, PeerWork>,
         now: Moment,
     ) -> FleetSummary {
         let flows = rows(&self.fleet_flows, &self.own.flows);
@@ -221,6 +221,6 @@
     rows.collect()
 }
 
-fn work_rows(sums: &BTreeMap<UpstreamHash, OthersWork>) -> Vec<WorkRow> {
+fn work_rows(sums: &BTreeMap<UpstreamHash, PeerWork>) -> Vec<WorkRow> {
     sums.iter().map(|(upstream, work)| (*upstream, *work)).collect()
 }
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -4,7 +4,7 @@
 use crate::fleet_state::OrganisationHash;
 use crate::fleet_state::waiting_table::{WaitingTable, add_waiting, subtract_waiting};
 use crate::fleet_state::work_tables::{add_hints, add_work, subtract_work};
-use crate::policy::{FleetGroup, LimitForecast, Moment, OthersWork, UpstreamHash};
+use crate::policy::{FleetGroup, LimitForecast, Moment, PeerWork, UpstreamHash};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -184,7 +184,7 @@
 
     /// The requests of all others at each upstream, and its speed as one of them measured it last. Only what those of
     /// this daemon's group have there is known well enough to take up places.
-    pub fn others(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
+    pub fn others(&self, now: Moment) -> BTreeMap<UpstreamHash, PeerWork> {
         let mut sums = BTreeMap::new();
         if self.counts_itself(now) {
             let life = self.work_life();
--- a/src/fleet_state/work_tables.rs
+++ b/src/fleet_state/work_tables.rs
@@ -1,7 +1,7 @@
 //! Requests of the others at upstreams, as far as they are known.
 
 use super::WorkRow;
-use crate::policy::{Moment, OthersWork, UpstreamHash};
+use crate::policy::{Moment, PeerWork, UpstreamHash};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// Adds rows to sums by upstream.
 pub fn add_work(
-    sums: &mut BTreeMap<UpstreamHash, OthersWork>,
+    sums: &mut BTreeMap<UpstreamHash, PeerWork>,
     rows: impl IntoIterator<Item = WorkRow>,
 ) {
     for (upstream, work) in rows {
@@ -29,7 +29,7 @@
 }
 
 /// Takes a part of sums away again.
-pub fn subtract_work(sums: &mut BTreeMap<UpstreamHash, OthersWork>, rows: &[WorkRow]) {
+pub fn subtract_work(sums: &mut BTreeMap<UpstreamHash, PeerWork>, rows: &[WorkRow]) {
     for (upstream, work) in rows {
         let Some(sum) = sums.get_mut(upstream) else { continue };
         sum.requests = sum.requests.saturating_sub(work.requests);
@@ -39,7 +39,7 @@
 
 /// Adds rows as hints: they are of other groups, so old, and take up no places.
 pub fn add_hints(
-    sums: &mut BTreeMap<UpstreamHash, OthersWork>,
+    sums: &mut BTreeMap<UpstreamHash, PeerWork>,
     rows: impl IntoIterator<Item = WorkRow>,
 ) {
     for (upstream, work) in rows {
@@ -52,7 +52,7 @@
 /// Rows that may come a few at a time, each of which counts for [`AWAY_LIFE`].
 #[derive(Clone, Debug, Default)]
 pub struct TimedRows {
-    rows: BTreeMap<UpstreamHash, (OthersWork, Moment)>,
+    rows: BTreeMap<UpstreamHash, (PeerWork, Moment)>,
 }
 
 impl TimedRows {
@@ -90,7 +90,7 @@
 
 impl RowTurn {
     /// Some of `sums`, those that had no turn for the longest first.
-    pub fn next_rows(&mut self, sums: &BTreeMap<UpstreamHash, OthersWork>) -> Vec<WorkRow> {
+    pub fn next_rows(&mut self, sums: &BTreeMap<UpstreamHash, PeerWork>) -> Vec<WorkRow> {
         let start = self.last.map_or(Bound::Unbounded, Bound::Excluded);
         let later = sums.range((start, Bound::Unbounded));
         let chosen = later.chain(sums.iter()).take(AWAY_ROWS.min(sums.len()));
@@ -125,7 +125,7 @@
     }
 
     /// Puts the speeds that are known into sums.
-    pub fn add_speeds(&self, sums: &mut BTreeMap<UpstreamHash, OthersWork>) {
+    pub fn add_speeds(&self, sums: &mut BTreeMap<UpstreamHash, PeerWork>) {
         for (upstream, (gap_micros, _)) in &self.speeds {
             sums.entry(*upstream).or_default().gap_micros = *gap_micros;
         }
--- a/src/policy/earliest.rs
+++ b/src/policy/earliest.rs
@@ -127,7 +127,7 @@
         if stall <= pause.as_micros() as f64 {
             return 1.0;
         }
-        let running = status.in_flight + status.others.total_requests();
+        let running = status.in_flight + status.peer_work.total_requests();
         1.0 + STALL_PENALTY * f64::from(running)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -62,7 +62,7 @@
 pub use upstream_hash::UpstreamHash;
 pub use upstream_set::UpstreamSet;
 pub use upstreams::{
-    CapacityClass, LoadReport, OthersWork, UpstreamEvent, UpstreamSource, UpstreamState,
+    CapacityClass, LoadReport, PeerWork, UpstreamEvent, UpstreamSource, UpstreamState,
     UpstreamStatus, upstream_chart,
 };
 pub use urgency_queue::UrgencyQueue;
--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -3,7 +3,7 @@
 use super::PoolPlan;
 use crate::answer::AnswerKind;
 use crate::policy::{
-    FleetGroup, FloorOrder, LoadReport, Moment, OrganisationIndex, OthersWork, RequestId,
+    FleetGroup, FloorOrder, LoadReport, Moment, OrganisationIndex, PeerWork, RequestId,
     RequestSizes, RouteKey, SizeTenth, TierRank, UpstreamEvent, UpstreamIndex, UpstreamSource,
     WaitingLevels,
 };
@@ -148,7 +148,7 @@
     /// What the other daemons have at each upstream, as last heard, and how fast it is by their word.
     Others {
         /// The upstreams of which something new was heard.
-        rows: Vec<(UpstreamName, OthersWork)>,
+        rows: Vec<(UpstreamName, PeerWork)>,
         /// This daemon's part of the fleet.
         group: FleetGroup,
         /// What waits at the other daemons of the group.
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -157,7 +157,7 @@
                 self.evict_below_floor(now, actions);
             }
             PoolEvent::Others { rows, group, waiting } => {
-                self.upstreams.set_others(&rows, now);
+                self.upstreams.set_peer_work(&rows, now);
                 self.upstreams.set_group(group);
                 self.others_waiting = waiting;
             }
@@ -267,7 +267,7 @@
     /// Places of the group's upstreams that become free within a time, by Little's law.
     fn freed_places(&self, time: Duration) -> f64 {
         let home = self.upstreams.iter().filter(|status| status.is_in_group);
-        let running: u32 = home.map(|status| status.in_flight + status.others.requests).sum();
+        let running: u32 = home.map(|status| status.in_flight + status.peer_work.requests).sum();
         f64::from(running) / self.run_seconds() * time.as_secs_f64()
     }
 
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -2,7 +2,7 @@
 
 use super::upstreams::CAPACITY_CLASSES;
 use super::{
-    CapacityClass, DispatchOutcome, FleetGroup, LearnedLimit, LoadReport, Moment, OthersWork,
+    CapacityClass, DispatchOutcome, FleetGroup, LearnedLimit, LoadReport, Moment, PeerWork,
     UpstreamEvent, UpstreamIndex, UpstreamSource, UpstreamState, UpstreamStatus,
 };
 use crate::table::UpstreamName;
@@ -226,17 +226,17 @@
     /// Applies the work that other daemons report for each upstream. An upstream that they cannot
     /// reach gets no work for a while. A daemon that reaches nothing is itself disconnected, so
     /// reports that cover more than half of the live upstreams are not trusted.
-    pub fn set_others(&mut self, rows: &[(UpstreamName, OthersWork)], now: Moment) {
-        let down = rows.iter().filter(|(_, others)| others.is_down).count();
+    pub fn set_peer_work(&mut self, rows: &[(UpstreamName, PeerWork)], now: Moment) {
+        let down = rows.iter().filter(|(_, work)| work.is_down).count();
         let is_trusted = down * 2 <= self.live;
-        for (name, others) in rows {
+        for (name, work) in rows {
             let Some(index) = self.find(name) else { continue };
             self.update(index, |status| {
-                status.others = *others;
-                let reported_gap = (others.gap_micros > 0).then(|| f64::from(others.gap_micros));
+                status.peer_work = *work;
+                let reported_gap = (work.gap_micros > 0).then(|| f64::from(work.gap_micros));
                 status.peer_gap_micros = reported_gap.or(status.peer_gap_micros);
                 let is_known_reachable = now.since(status.gap_measured_at) < REACHABLE_WINDOW;
-                if others.is_down && is_trusted && !is_known_reachable {
+                if work.is_down && is_trusted && !is_known_reachable {
                     status.paused_until = Some(now + REMOTE_DOWN_PAUSE);
                 }
             });
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -146,7 +146,7 @@
     /// The part of the share that is reserved for the highest tier.
     pub(super) headroom: f64,
     /// The other daemons' work there, as last reported.
-    pub others: OthersWork,
+    pub peer_work: PeerWork,
     /// Prompt tokens of this daemon's requests that the upstream has not yet processed.
     pub unread_tokens: u64,
     /// Moving average of failures, from 0.0 (none) to 1.0 (all).
@@ -170,7 +170,7 @@
 
 /// The other daemons' work at an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OthersWork {
+pub struct PeerWork {
     pub requests: u32,
     /// Prompt tokens that the upstream has not yet processed.
     pub unread_tokens: u64,
@@ -184,7 +184,7 @@
     pub hinted: u32,
 }
 
-impl OthersWork {
+impl PeerWork {
     /// The known requests there, including those from outdated reports.
     pub fn total_requests(&self) -> u32 {
         self.requests + self.hinted
@@ -227,7 +227,7 @@
             clock_offset: None,
             recent_changes: VecDeque::new(),
             headroom,
-            others: OthersWork::default(),
+            peer_work: PeerWork::default(),
             unread_tokens: 0,
             failure_rate: 0.0,
             consecutive_failures: 0,
@@ -255,24 +255,24 @@
         self.state() == UpstreamState::Live
             && self.share > 0.0
             && self.paused_until.is_none()
-            && (self.in_flight + self.others.requests == 0
+            && (self.in_flight + self.peer_work.requests == 0
                 || self.utilisation() < self.share * usable_share)
     }
 
     /// The share of the limit in use by this daemon's work, including the requests of the other
     /// daemons known from current reports.
     pub fn utilisation(&self) -> f64 {
-        self.limit.utilisation(self.in_flight_tokens, self.in_flight + self.others.requests)
+        self.limit.utilisation(self.in_flight_tokens, self.in_flight + self.peer_work.requests)
     }
 
     /// Prompt tokens not yet processed there, of this daemon's requests and of the others'.
     pub fn total_unread_tokens(&self) -> u64 {
-        self.unread_tokens + self.others.unread_tokens
+        self.unread_tokens + self.peer_work.unread_tokens
     }
 
     /// All known requests there relative to the limit on requests.
     pub fn occupancy(&self) -> f64 {
-        f64::from(self.in_flight + self.others.total_requests()) / self.limit.requests().max(1.0)
+        f64::from(self.in_flight + self.peer_work.total_requests()) / self.limit.requests().max(1.0)
     }
 
     /// Mean time between tokens in microseconds, measured by this daemon or else by another one.
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -12,7 +12,7 @@
     WorkRow,
 };
 use crate::policy::{
-    Moment, OthersWaiting, OthersWork, PoolEvent, UpstreamHash, UpstreamSet, UpstreamState,
+    Moment, OthersWaiting, PeerWork, PoolEvent, UpstreamHash, UpstreamSet, UpstreamState,
 };
 use crate::table::{ServiceName, UpstreamName};
 use crate::upstream::PlatformList;
@@ -268,12 +268,12 @@
 fn changed_rows(
     service: &ServiceName,
     upstreams: &UpstreamSet,
-    others: &BTreeMap<UpstreamHash, OthersWork>,
-) -> Vec<(UpstreamName, OthersWork)> {
+    others: &BTreeMap<UpstreamHash, PeerWork>,
+) -> Vec<(UpstreamName, PeerWork)> {
     let rows = upstreams.iter().map(|status| {
         let name = &status.source.name;
         let work = others.get(&UpstreamHash::of(service, name, status.source.incarnation));
-        (name, status.others, work.copied().unwrap_or_default())
+        (name, status.peer_work, work.copied().unwrap_or_default())
     });
     let changed = rows.filter(|(_, known, work)| known != work);
     changed.map(|(name, _, work)| (name.clone(), work)).collect()
@@ -387,7 +387,7 @@
         pool.inspect(|scheduler| {
             rows.extend(scheduler.upstreams().iter().filter_map(|status| {
                 let learned = status.gap_micros.filter(|_| status.gap_measured_at > since);
-                let work = OthersWork {
+                let work = PeerWork {
                     requests: status.in_flight,
                     unread_tokens: status.unread_tokens,
                     gap_micros: learned.unwrap_or(0.0) as u32,
@@ -396,7 +396,7 @@
                 };
                 let hash =
                     UpstreamHash::of(service, &status.source.name, status.source.incarnation);
-                (work != OthersWork::default()).then_some((hash, work))
+                (work != PeerWork::default()).then_some((hash, work))
             }));
         });
     }
--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
 use tarragonknot::policy::{
-    DispatchOutcome, FleetGroup, Mechanism, MechanismSet, Moment, OthersWaiting, OthersWork,
+    DispatchOutcome, FleetGroup, Mechanism, MechanismSet, Moment, OthersWaiting, PeerWork,
     PoolAction, PoolEvent, PoolScheduler, RequestId, UpstreamIndex, WaitingLevels,
 };
 
@@ -179,7 +179,7 @@
     fn speak(&mut self, now: u64) {
         for daemon in 0..DAEMONS {
             let mut levels = WaitingLevels::default();
-            let mut work: BTreeMap<_, OthersWork> = BTreeMap::new();
+            let mut work: BTreeMap<_, PeerWork> = BTreeMap::new();
             let others = self.daemons.iter().enumerate().filter(|(other, _)| *other != daemon);
             for (_, other) in others {
                 other.waiting_levels().iter().for_each(|(level, count)| levels.add(level, count));
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
 use tarragonknot::policy::{
-    ArrivedRequest, DispatchOutcome, FleetGroup, Moment, OthersWaiting, OthersWork, PoolAction,
+    ArrivedRequest, DispatchOutcome, FleetGroup, Moment, OthersWaiting, PeerWork, PoolAction,
     PoolEvent, PoolPlan, PoolScheduler, RequestId, RequestSizes, RouteKey, RouteSizes,
     UpstreamIndex, WaitingLevels,
 };
@@ -350,7 +350,7 @@
             waiting[daemon].iter().for_each(|(level, count)| others.subtract(level, count));
             let work = all.iter().map(|(name, count)| {
                 let requests = count - rows[daemon].get(name).copied().unwrap_or(0);
-                (name.clone(), OthersWork { requests, ..OthersWork::default() })
+                (name.clone(), PeerWork { requests, ..PeerWork::default() })
             });
             let age = Duration::from_micros(WORD_AGE + PAUSE);
             let waiting = OthersWaiting { levels: others, age };
--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tarragonknot::policy::UpstreamHash;
 use tarragonknot::policy::{
-    OthersWork, PoolEvent, RequestId, UpstreamEvent, UpstreamIndex, UpstreamSource, UpstreamState,
+    PeerWork, PoolEvent, RequestId, UpstreamEvent, UpstreamIndex, UpstreamSource, UpstreamState,
     UpstreamStatus,
 };
 
@@ -45,7 +45,7 @@
     let after = current(&pool);
     assert_ne!(after.index, before);
     assert_eq!((after.in_flight, after.unread_tokens, after.gap()), (0, 0, None));
-    assert_eq!((after.failure_rate, after.others), (0.0, OthersWork::default()));
+    assert_eq!((after.failure_rate, after.peer_work), (0.0, PeerWork::default()));
     let old = pool.scheduler.upstreams().get(before).expect("it has a request");
     assert_eq!(old.state(), UpstreamState::Leaving);
 }
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -6,7 +6,7 @@
 use tarragonknot::fleet_state::{
     Departure, FleetMessage, FlowRow, MemberReport, MessageRefusal, MessageSource,
 };
-use tarragonknot::policy::{OthersWork, UpstreamHash};
+use tarragonknot::policy::{PeerWork, UpstreamHash};
 use tarragonknot::quarantine::SuspectNews;
 use tarragonknot::traffic::{DaemonMessage, MessageFault, read_message, write_message};
 
@@ -17,7 +17,7 @@
 }
 
 fn report(sequence: u64, flow: FlowRow) -> MemberReport {
-    let work = OthersWork { requests: 3, ..OthersWork::default() };
+    let work = PeerWork { requests: 3, ..PeerWork::default() };
     MemberReport {
         source: MessageSource { daemon: "entry-9".into(), boot: 1, sequence, address: address(9) },
         flows: vec![flow],
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -9,7 +9,7 @@
     AggregatorChoice, FleetLayout, FleetRole, FlowLedger, FlowRates, FlowRow, MessageRefusal,
     RowRotation, SourceStamp,
 };
-use tarragonknot::policy::{Moment, OthersWork, UpstreamHash};
+use tarragonknot::policy::{Moment, PeerWork, UpstreamHash};
 use tarragonknot::table::DaemonName;
 
 #[rstest]
@@ -346,8 +346,8 @@
     }
 }
 
-fn work(requests: u32, gap_micros: u32) -> OthersWork {
-    OthersWork { requests, gap_micros, ..OthersWork::default() }
+fn work(requests: u32, gap_micros: u32) -> PeerWork {
+    PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
 fn engine(number: usize) -> UpstreamHash {
--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tarragonknot::policy::{
-    FleetGroup, OthersWaiting, OthersWork, PoolAction, PoolEvent, RequestId, RequestSizes,
+    FleetGroup, OthersWaiting, PeerWork, PoolAction, PoolEvent, RequestId, RequestSizes,
     UpstreamIndex,
 };
 
-fn work(requests: u32, gap_micros: u32) -> OthersWork {
-    OthersWork { requests, gap_micros, ..OthersWork::default() }
+fn work(requests: u32, gap_micros: u32) -> PeerWork {
+    PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
 /// A pool of `count` engines with three places each, numbered from 1, of which this daemon's group is the first of
@@ -77,7 +77,7 @@
     let mut pool = pool_of(2, 1);
     // The second engine is three times slower, and idle enough to begin first; streams run on it.
     let rows = vec![
-        ("e001".into(), OthersWork { unread_tokens: 30_000, gap_micros: 6_000, ..work(0, 0) }),
+        ("e001".into(), PeerWork { unread_tokens: 30_000, gap_micros: 6_000, ..work(0, 0) }),
         ("e002".into(), work(2, 18_000)),
     ];
     pool.tell(
