--- a/src/policy/drain_meter.rs
+++ b/src/policy/drain_meter.rs
@@ -80,7 +80,7 @@
     /// Estimates the seconds until a request of `tier` is served that has `virtual_span` of virtual
     /// time before it, assuming that lower tiers yield to it; `None` if the tier never had a
     /// backlog.
-    pub fn wait(&self, tier: TierRank, virtual_span: u64) -> Option<f64> {
+    pub fn wait_seconds(&self, tier: TierRank, virtual_span: u64) -> Option<f64> {
         let flow = self.flows.get(&tier)?;
         let lower: f64 = self.flows.range(tier..).skip(1).map(|(_, flow)| flow.rate).sum();
         let lower_tier_speedup = 1.0 + lower / flow.rate.max(IDLE_TOKENS_PER_SECOND);
--- a/src/policy/estimate.rs
+++ b/src/policy/estimate.rs
@@ -115,7 +115,7 @@
     }
 
     /// Estimates a request whose sizes its caller has declared.
-    pub fn of_sizes(&self, sizes: RequestSizes) -> CostEstimate {
+    pub fn estimate_from_sizes(&self, sizes: RequestSizes) -> CostEstimate {
         if !self.counts_tokens {
             return self.estimate(OrganisationIndex(0), TierRank(0), 0, None);
         }
--- a/src/policy/learned_limit.rs
+++ b/src/policy/learned_limit.rs
@@ -104,7 +104,7 @@
 
     /// Records that the upstream queues requests internally while `running` requests are in its
     /// batch. These fill the batch, so the bound is not decreased below their number.
-    pub fn crowded(&mut self, running: u32, now: Moment) {
+    pub fn record_queueing(&mut self, running: u32, now: Moment) {
         if self.is_adaptive && f64::from(running) < self.requests.value {
             self.requests.decrease(now);
             self.requests.value = self.requests.value.max(f64::from(running));
@@ -112,7 +112,7 @@
     }
 
     /// Records that a first token or the gap between tokens exceeded its objective.
-    pub fn slowed(&mut self, now: Moment) {
+    pub fn record_slow_response(&mut self, now: Moment) {
         if self.is_adaptive {
             self.tokens.decrease(now);
         }
@@ -120,7 +120,7 @@
 
     /// Records that work of `cost` tokens finished within its objectives while the limit was
     /// reached.
-    pub fn succeeded(&mut self, cost: u32) {
+    pub fn record_success(&mut self, cost: u32) {
         if self.is_adaptive {
             self.tokens.increase(f64::from(cost));
             self.requests.increase(1.0);
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -124,7 +124,7 @@
 
     pub(super) fn estimated(&self, request: ArrivedRequest, now: Moment) -> WaitingRequest {
         let estimate = match request.sizes {
-            Some(sizes) => self.model.of_sizes(sizes),
+            Some(sizes) => self.model.estimate_from_sizes(sizes),
             None => self.model.estimate(
                 request.organisation,
                 request.tier,
@@ -291,7 +291,7 @@
     pub(super) fn least_wait(&self, request: &WaitingRequest) -> Duration {
         let (tier, organisation) = (request.tier, request.organisation);
         let span = self.queue.virtual_span(tier, organisation, request.weight);
-        let measured = self.meter.wait(tier, span);
+        let measured = self.meter.wait_seconds(tier, span);
         let reckoned = || self.queue.waiting_tokens(tier) as f64 / self.drain_rate();
         Duration::try_from_secs_f64(measured.unwrap_or_else(reckoned)).unwrap_or(Duration::MAX)
     }
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -31,7 +31,7 @@
             // a long prompt in the same step is late by itself.
             self.upstreams.update(upstream, |status| {
                 if !status.reports_no_queue() {
-                    status.limit.slowed(now);
+                    status.limit.record_slow_response(now);
                 }
             });
         }
@@ -44,7 +44,7 @@
         self.upstreams.update(running.upstream, |status| {
             status.learn_gap(gap.as_micros() as f64, now);
             if is_late {
-                status.limit.slowed(now);
+                status.limit.record_slow_response(now);
             }
         });
     }
@@ -132,13 +132,13 @@
             self.upstreams.update(*upstream, |status| {
                 status.learn_gap(time.as_micros() as f64, now);
                 if is_late {
-                    status.limit.slowed(now);
+                    status.limit.record_slow_response(now);
                 }
             });
         }
         self.learn_run(request.cost, time);
         if running.was_bound {
-            self.upstreams.update(*upstream, |status| status.limit.succeeded(request.cost));
+            self.upstreams.update(*upstream, |status| status.limit.record_success(request.cost));
         }
     }
 
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -373,7 +373,7 @@
         self.report = Some((time, report));
         let has_queue = report.queued > QUEUED_TOLERANCE + report.running / QUEUED_BATCH_DIVISOR;
         if has_queue && self.had_queue {
-            self.limit.crowded(report.running, now);
+            self.limit.record_queueing(report.running, now);
         }
         self.had_queue = has_queue;
         if report.step_micros > 0 {
--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -95,8 +95,8 @@
 
     meter.tick(progress(1_000), Moment::from_millis(500));
 
-    assert_eq!(meter.wait(TierRank(0), 4_000), Some(2.0));
-    assert_eq!(meter.wait(TierRank(1), 4_000), None);
+    assert_eq!(meter.wait_seconds(TierRank(0), 4_000), Some(2.0));
+    assert_eq!(meter.wait_seconds(TierRank(1), 4_000), None);
 }
 
 /// A time without a backlog measures the demand, not the pool.
@@ -108,7 +108,7 @@
     meter.tick(idle.into_iter(), Moment::from_millis(0));
     meter.tick(idle.into_iter(), Moment::from_millis(600));
 
-    assert_eq!(meter.wait(TierRank(0), 1), None);
+    assert_eq!(meter.wait_seconds(TierRank(0), 1), None);
 }
 
 /// A scheduler before engines that take ten requests each.
