--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,7 +5,6 @@
 //! does the same for the dispatch of one request. The surrounding traffic code performs the I/O.
 
 mod caller_returns;
-mod crowd_meter;
 mod drain_meter;
 mod earliest;
 mod estimate;
@@ -25,6 +24,7 @@
 mod shed_floor;
 mod size_shares;
 mod upstream_hash;
+mod upstream_queue_meter;
 mod upstream_set;
 mod upstreams;
 mod urgency_queue;
@@ -32,7 +32,6 @@
 mod worth;
 
 pub use caller_returns::CallerTimes;
-pub use crowd_meter::CrowdMeter;
 pub use drain_meter::{DrainMeter, TierProgress};
 pub use earliest::EarliestPlacement;
 pub use estimate::{CostEstimate, CostModel, EngineSpeed, RequestSizes};
@@ -60,6 +59,7 @@
 pub use shed_floor::{FloorOrder, ShedFloor};
 pub use size_shares::{RouteKey, SizeClaim, SizeShares};
 pub use upstream_hash::UpstreamHash;
+pub use upstream_queue_meter::UpstreamQueueMeter;
 pub use upstream_set::UpstreamSet;
 pub use upstreams::{
     CapacityClass, LoadReport, PeerWork, UpstreamEvent, UpstreamSource, UpstreamState,
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -86,7 +86,7 @@
             return;
         }
         let Some(status) = self.upstreams.get(upstream) else { return };
-        self.crowd.report(queued, status.limit.requests() as u32, now);
+        self.crowd.record(queued, status.limit.requests() as u32, now);
     }
 
     /// The upstream has a place for the request, which is on its way.
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -11,10 +11,10 @@
 use reservations::ReservationPace;
 
 use super::{
-    CapacityClass, CostModel, CrowdMeter, DrainMeter, EngineSpeed, FirstEventModel, Mechanism,
-    Moment, OrganisationIndex, PlacementPolicy, PlacementQuery, RequestId, RequiredFit, ShedAudit,
-    ShedFloor, SizeShares, TierRank, UpstreamIndex, UpstreamSet, UpstreamState, UpstreamStatus,
-    WaitingLevels, WaitingQueue, WaitingRequest, placement_policy,
+    CapacityClass, CostModel, DrainMeter, EngineSpeed, FirstEventModel, Mechanism, Moment,
+    OrganisationIndex, PlacementPolicy, PlacementQuery, RequestId, RequiredFit, ShedAudit,
+    ShedFloor, SizeShares, TierRank, UpstreamIndex, UpstreamQueueMeter, UpstreamSet, UpstreamState,
+    UpstreamStatus, WaitingLevels, WaitingQueue, WaitingRequest, placement_policy,
 };
 use crate::answer::AnswerKind;
 use crate::table::QueueChoice;
@@ -83,7 +83,7 @@
     others_waiting: OthersWaiting,
     shares: SizeShares,
     /// Queues inside the upstreams of a plain service.
-    crowd: CrowdMeter,
+    crowd: UpstreamQueueMeter,
 }
 
 impl PoolScheduler {
@@ -110,7 +110,7 @@
             reservations: ReservationPace::default(),
             others_waiting: OthersWaiting::default(),
             shares: SizeShares::default(),
-            crowd: CrowdMeter::default(),
+            crowd: UpstreamQueueMeter::default(),
             plan,
         }
     }
@@ -261,7 +261,7 @@
         !self.plan.counts_tokens
             && self.plan.sheds_alone
             && self.plan.mechanisms.has(Mechanism::LateWait)
-            && self.crowd.is_crowded(now)
+            && self.crowd.has_long_queues(now)
     }
 
     /// Places of the group's upstreams that become free within a time, by Little's law.
--- a/src/policy/crowd_meter.rs
+++ b/src/policy/upstream_queue_meter.rs
@@ -21,15 +21,15 @@
 
 /// Running average of the queue lengths at a pool's upstreams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CrowdMeter {
+pub struct UpstreamQueueMeter {
     /// Waiting requests per slot.
     queued_per_slot: f64,
     reported_at: Option<Moment>,
 }
 
-impl CrowdMeter {
+impl UpstreamQueueMeter {
     /// Records that `queued` requests wait at an upstream with `places` slots.
-    pub fn report(&mut self, queued: u32, places: u32, now: Moment) {
+    pub fn record(&mut self, queued: u32, places: u32, now: Moment) {
         let sample = f64::from(queued) / f64::from(places.max(1));
         let age = self.reported_at.map_or(AVERAGING_TIME, |at| now.since(at));
         let weight = 1.0 - (-age.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
@@ -38,7 +38,7 @@
     }
 
     /// True while the queues are long.
-    pub fn is_crowded(&self, now: Moment) -> bool {
+    pub fn has_long_queues(&self, now: Moment) -> bool {
         let Some(at) = self.reported_at else { return false };
         let age = now.since(at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         self.queued_per_slot * (-age).exp() >= LONG_QUEUE_PER_SLOT
