--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,7 +4,6 @@
 //! [`PoolScheduler`] consumes timestamped [`PoolEvent`]s and emits [`PoolAction`]s. [`Exchange`]
 //! does the same for the dispatch of one request. The surrounding traffic code performs the I/O.
 
-mod caller_returns;
 mod drain_meter;
 mod earliest;
 mod estimate;
@@ -18,6 +17,7 @@
 mod queue;
 mod repeat_budget;
 mod request_sizes;
+mod retry_detector;
 mod scheduler;
 mod shared_list;
 mod shed_audit;
@@ -31,7 +31,6 @@
 mod waiting_levels;
 mod worth;
 
-pub use caller_returns::CallerTimes;
 pub use drain_meter::{DrainMeter, TierProgress};
 pub use earliest::EarliestPlacement;
 pub use estimate::{CostEstimate, CostModel, EngineSpeed, RequestSizes};
@@ -50,6 +49,7 @@
 pub use queue::{FairQueue, FifoQueue, TierShare, WaitingQueue, WaitingRequest};
 pub use repeat_budget::{RepeatBound, RepeatBudget};
 pub use request_sizes::{RouteSizes, SizeTenth};
+pub use retry_detector::RetryDetector;
 pub use scheduler::{
     ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
     PoolStatus,
--- a/src/policy/caller_returns.rs
+++ b/src/policy/retry_detector.rs
@@ -21,14 +21,14 @@
 
 /// The recent times that callers of one route allowed for an answer.
 #[derive(Clone, Debug, Default)]
-pub struct CallerTimes {
+pub struct RetryDetector {
     recent: VecDeque<Duration>,
 }
 
-impl CallerTimes {
+impl RetryDetector {
     /// Records the time that a caller will wait for an answer, and returns true if the request
     /// looks like a retry.
-    pub fn has_returned(&mut self, time: Duration) -> bool {
+    pub fn is_retry(&mut self, time: Duration) -> bool {
         if self.recent.len() == WINDOW_ATTEMPTS {
             self.recent.pop_front();
         }
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -15,8 +15,8 @@
 use crate::clock::TrafficClock;
 use crate::control::ClaimKeeper;
 use crate::policy::{
-    CallerTimes, LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RepeatBound,
-    RepeatBudget, RequestSizes, RouteSizes, SizeTenth,
+    LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RepeatBound, RepeatBudget,
+    RequestSizes, RetryDetector, RouteSizes, SizeTenth,
 };
 use crate::rollout::version_pool;
 use crate::table::{
@@ -76,7 +76,7 @@
     repeat_bound: OnceLock<RepeatBound>,
     mechanisms: OnceLock<MechanismSet>,
     /// The time that callers have, by route.
-    caller_times: Mutex<HashMap<String, CallerTimes>>,
+    caller_times: Mutex<HashMap<String, RetryDetector>>,
     /// Sizes of recent requests, by route.
     route_sizes: Mutex<HashMap<String, RouteSizes>>,
     is_ready: AtomicBool,
@@ -251,9 +251,9 @@
         }
         let mut times = self.caller_times.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(times) = times.get_mut(route) {
-            return times.has_returned(time);
+            return times.is_retry(time);
         }
-        times.entry(route.to_owned()).or_default().has_returned(time)
+        times.entry(route.to_owned()).or_default().is_retry(time)
     }
 
     /// The tenth by size of a request among the recent ones of its route; none while too few are known.
--- a/tests/test_worth.rs
+++ b/tests/test_worth.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tarragonknot::policy::{
-    ArrivedRequest, CallerTimes, CostLadder, FirstEventModel, LaneMeans, Mechanism, MechanismSet,
-    PoolEvent, RequestId, RequestSizes,
+    ArrivedRequest, CostLadder, FirstEventModel, LaneMeans, Mechanism, MechanismSet, PoolEvent,
+    RequestId, RequestSizes, RetryDetector,
 };
 
 fn millis(millis: u64) -> Duration {
@@ -107,31 +107,31 @@
 /// comes back with what is left of its time. Cause: its objective is taken to begin anew.
 #[test]
 fn a_caller_with_much_less_time_than_usual_has_been_here_before() {
-    let mut times = CallerTimes::default();
+    let mut times = RetryDetector::default();
     let first: Vec<bool> =
-        (0..60).map(|step| times.has_returned(millis(2_550 + step % 10 * 50))).collect();
+        (0..60).map(|step| times.is_retry(millis(2_550 + step % 10 * 50))).collect();
 
     assert!(first.iter().all(|has_returned| !has_returned));
-    assert!(times.has_returned(millis(1_900)));
-    assert!(!times.has_returned(millis(2_500)));
+    assert!(times.is_retry(millis(1_900)));
+    assert!(!times.is_retry(millis(2_500)));
 }
 
 #[test]
 fn a_few_who_wait_for_long_do_not_make_everyone_a_returned_caller() {
-    let mut times = CallerTimes::default();
+    let mut times = RetryDetector::default();
     (0..60).for_each(|step| {
-        times.has_returned(millis(if step % 20 == 0 { 600_000 } else { 3_000 }));
+        times.is_retry(millis(if step % 20 == 0 { 600_000 } else { 3_000 }));
     });
 
-    assert!(!times.has_returned(millis(3_000)));
+    assert!(!times.is_retry(millis(3_000)));
 }
 
 #[test]
 fn nobody_is_a_returned_caller_before_what_is_usual_is_known() {
-    let mut times = CallerTimes::default();
-    times.has_returned(millis(3_000));
+    let mut times = RetryDetector::default();
+    times.is_retry(millis(3_000));
 
-    assert!(!times.has_returned(millis(100)));
+    assert!(!times.is_retry(millis(100)));
 }
 
 /// Symptom: prompts of 2,000 tokens are kept from engines that they would not stall, and short requests are sent too late.
