--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,7 +5,7 @@
 //! does the same for the dispatch of one request. The surrounding traffic code performs the I/O.
 
 mod drain_meter;
-mod earliest;
+mod earliest_placement;
 mod estimate;
 mod exchange;
 mod first_event;
@@ -32,7 +32,7 @@
 mod worth;
 
 pub use drain_meter::{DrainMeter, TierProgress};
-pub use earliest::EarliestPlacement;
+pub use earliest_placement::EarliestPlacement;
 pub use estimate::{CostEstimate, CostModel, EngineSpeed, RequestSizes};
 pub use exchange::{Exchange, ExchangeAction, ExchangeEvent, RequestState, request_chart};
 pub use first_event::FirstEventModel;
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,6 +1,6 @@
 //! Placement policies, which choose an upstream for a request, behind one trait.
 
-use super::earliest::EarliestPlacement;
+use super::earliest_placement::EarliestPlacement;
 use super::{CapacityClass, EngineSpeed, Moment, UpstreamIndex, UpstreamSet, UpstreamStatus};
 use crate::table::PlacementChoice;
 use rand::{Rng, RngCore};
