--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -312,7 +312,8 @@
         }
     }
 
-    /// The work counted by [`UpstreamStatus::utilisation`], relative to this daemon's share of the limit.
+    /// The work counted by [`UpstreamStatus::utilisation`], relative to this daemon's share of the
+    /// limit.
     pub fn load(&self) -> f64 {
         self.utilisation() / self.share.max(1e-6)
     }
