--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Ends pauses after refusals that have expired.
+    /// Ends expired pauses, so that these upstreams may be given work again.
     pub fn resume_paused(&mut self, now: Moment) {
         let is_expired = |status: &&UpstreamStatus| status.paused_until.is_some_and(|at| at <= now);
         let expired: Vec<UpstreamIndex> =
