--- a/src/policy/earliest_placement.rs
+++ b/src/policy/earliest_placement.rs
@@ -25,7 +25,7 @@
 const MAX_PREFILL_TOKENS_BETWEEN_EVENTS: f64 = 8_192.0;
 /// Added to the estimate's factor for each running stream that would pause for too long. Without
 /// this penalty, a long prompt on an engine four times slower than the others delays every stream
-/// there: in a measurement, 28 % of the streams on such engines were late and none on the others.
+/// there: 28 % of the streams on such engines were late, and none on the others.
 const STALL_PENALTY: f64 = 1.0;
 /// Factor applied to the estimate of an upstream of another group, which is likely to be busy with
 /// that group's work and needs a new connection. It is below the slowness of the slowest engines of
@@ -90,7 +90,7 @@
     /// uncertainty of its length, and if no stream running there would pause for too long. Without
     /// this rule, under load the slowest engines are the ones with free slots; long answers go
     /// there, hold a slot until their callers' deadlines and are cut, which wasted a tenth of all
-    /// engine time in a measurement.
+    /// engine time.
     fn fits(status: &UpstreamStatus, query: &PlacementQuery<'_>) -> bool {
         let (gap, slowness) = Self::gap_and_slowness(status, query);
         let prefill_micros = f64::from(query.prompt_tokens) * query.speed.prefill_micros * slowness;
