--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -234,10 +234,11 @@
     let prefill =
         (f64::from(query.prompt_tokens) - cached_tokens).max(0.0) * query.speed.prefill_micros;
     let gap = status.gap_micros.unwrap_or(query.speed.gap_micros);
-    let others = (status.corrected_requests(query.now) - f64::from(status.in_flight)).max(0.0);
+    let other_requests =
+        (status.corrected_requests(query.now) - f64::from(status.in_flight)).max(0.0);
     let mean_cost = f64::from(query.prompt_tokens + query.output_tokens).max(1.0);
-    let load =
-        status.load() + others * mean_cost / status.limit.tokens_at_mean_cost(mean_cost).max(1.0);
+    let load = status.load()
+        + other_requests * mean_cost / status.limit.tokens_at_mean_cost(mean_cost).max(1.0);
     let run = f64::from(query.output_tokens.max(1)) * gap * (1.0 + load);
     let total = prefill * (1.0 + load) + run;
     if status.is_straggler { total * STRAGGLER_PENALTY } else { total }
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -261,8 +261,9 @@
         order.sort_unstable();
         let total = order.len();
         let is_shared = total < group.count * MIN_GROUP_UPSTREAMS;
-        for (at, (_, index)) in order.into_iter().enumerate() {
-            let is_in_group = is_shared || FleetGroup::of(at, total, group.count) == group.index;
+        for (position, (_, index)) in order.into_iter().enumerate() {
+            let is_in_group =
+                is_shared || FleetGroup::of(position, total, group.count) == group.index;
             self.update(index, |status| status.is_in_group = is_in_group);
         }
     }
--- a/src/policy/upstreams.rs
+++ b/src/policy/upstreams.rs
@@ -26,7 +26,7 @@
 /// Consecutive failures after which an upstream is backed off; a single one is often the fault of
 /// the request or the connection.
 const BACKOFF_AFTER_FAILURES: u32 = 2;
-/// The initial backoff.
+/// Duration of the first backoff.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// A backoff is doubled at most this many times, to 4 s, so that a recovered upstream is soon used
 /// again.
