--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,7 +1,8 @@
-//! Waiting requests: weighted fair queueing by tier, then organisation, in tokens.
+//! Queues of waiting requests: weighted fair queueing over tiers and organisations, and plain FIFO.
 //!
-//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) at two levels. A request that would miss its
-//! deadline in its fair turn, but not if it went first, is taken before lower tiers ("rescue").
+//! [`FairQueue`] applies start-time fair queueing (Goyal, Vin and Cheng, 1996) in two levels, tiers
+//! and the organisations within a tier, measured in tokens. A request that would miss its deadline
+//! in its fair turn, but can still meet it if sent now, is served ahead of lower tiers.
 
 use super::{
     Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeTenth, TierProgress, TierRank,
@@ -11,67 +12,67 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Virtual time per token at weight 1; large, so that integer division by weights loses little.
+/// Virtual time per token at weight 1; large enough to keep rounding in divisions by weight small.
 const TAG_SCALE: u64 = 1 << 20;
-/// A head request is rescued when this share of its estimated run time is all the slack it has left.
+/// A head request is urgent once its slack is at most this fraction of its estimated run time.
 const RESCUE_SLACK: f64 = 0.25;
 
-/// A tier's weight.
+/// The weight of a tier in fair queueing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TierShare {
     /// The tier.
     pub rank: TierRank,
-    /// Its weight among the tiers that wait.
+    /// Its weight relative to the other backlogged tiers.
     pub weight: u32,
 }
 
 /// A request in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingRequest {
-    /// Its id.
     pub id: RequestId,
-    /// Whose it is.
+    /// The organisation that sent it.
     pub organisation: OrganisationIndex,
     /// The organisation's weight.
     pub weight: u32,
-    /// Its tier.
     pub tier: TierRank,
     /// Its rank within the tier, 0 the highest.
     pub rank: u8,
-    /// When it must be sent to meet its objective.
+    /// Latest dispatch time that still meets its latency objective.
     pub start_by: Moment,
-    /// Estimated tokens.
+    /// Estimated cost in tokens.
     pub cost: u32,
     /// Estimated prompt tokens.
     pub prompt_tokens: u32,
     /// Estimated output tokens.
     pub output_tokens: u32,
-    /// The longest good pause between its events.
+    /// Objective for the longest pause between two events of its answer.
     pub pause: Option<Duration>,
-    /// When its answer must be complete.
+    /// Time by which its answer must be complete.
     pub deadline: Moment,
-    /// Estimated time from dispatch to the end.
+    /// Estimated time from dispatch to the end of the answer.
     pub run_time: Duration,
-    /// When it came.
+    /// Arrival time.
     pub arrived: Moment,
     /// Cumulative hashes of the prompt's leading blocks.
     pub prefix: Box<[u64]>,
-    /// Bytes of the prompt.
+    /// Size of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// When the queue should give the request up as late; at first the latest start.
+    /// Time after which [`WaitingQueue::pop_late`] returns it to be reviewed or refused as late.
+    /// Initially the latest start.
     pub late_at: Moment,
-    /// Its caller waits no longer; [`WaitingRequest::late_at`] comes before that where its prospects are looked at.
+    /// Time after which its caller no longer waits. [`WaitingRequest::late_at`] is earlier where
+    /// the request's chance of being dispatched is reviewed before that.
     pub gives_up_at: Moment,
-    /// Its kind.
+    /// The route it came by.
     pub route: RouteKey,
-    /// Its tenth by size among the requests of its kind, if that is known.
+    /// Its decile by size among the requests of its route, if known.
     pub size_tenth: Option<SizeTenth>,
-    /// True if it is owed service, since too few of its size are served.
+    /// True if it has priority because too few requests of its size are served.
     pub is_owed: bool,
 }
 
 impl WaitingRequest {
-    /// Where it counts by size.
+    /// The key under which it is accounted for by size.
     pub fn size_claim(&self) -> SizeClaim {
         SizeClaim {
             lane: (self.tier, self.rank),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The last moment at which a dispatch still meets the deadline.
+    /// Latest dispatch time that still meets the deadline.
     pub fn latest_start(&self) -> Moment {
         Moment(self.deadline.0.saturating_sub(self.run_time.as_micros() as u64))
     }
@@ -92,51 +93,53 @@
     }
 }
 
-/// An order of waiting requests.
+/// A queue of waiting requests and its service order.
 pub trait WaitingQueue: Send {
     /// Adds a request.
     fn push(&mut self, request: WaitingRequest);
-    /// Puts a request that was popped but not sent back at the front of its turn.
+    /// Returns a request that was popped but not sent to the front of its lane.
     fn push_back_first(&mut self, request: WaitingRequest);
-    /// Takes the next request; tiers below `lowest` are passed over.
+    /// Removes and returns the next request, skipping tiers below `lowest`.
     fn pop(&mut self, lowest: TierRank, now: Moment) -> Option<WaitingRequest>;
-    /// Takes a request out, wherever it is.
+    /// Removes a request from any position.
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest>;
-    /// Takes out the newest request of the lowest tier below `tier`, if any waits.
+    /// Removes a request from the lowest tier below `tier` that has any waiting.
     fn evict_below(&mut self, tier: TierRank) -> Option<WaitingRequest>;
-    /// Takes out a request whose `late_at` has passed.
+    /// Removes a request whose `late_at` has passed.
     fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest>;
-    /// Requests waiting.
+    /// Number of waiting requests.
     fn len(&self) -> usize;
-    /// True if none wait.
+    /// True if no request waits.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// Estimated tokens waiting in `tier`.
+    /// Estimated cost in tokens of the requests waiting in `tier`.
     fn waiting_tokens(&self, tier: TierRank) -> u64;
-    /// How far a tier has come; an order without tiers has none.
+    /// Progress of a tier in virtual time; no backlog and 0 for a queue without tiers.
     fn progress(&self, tier: TierRank) -> TierProgress {
         TierProgress { rank: tier, has_backlog: false, virtual_time: 0 }
     }
-    /// Virtual time that passes before a new request of an organisation has its turn in its tier.
+    /// Virtual time until a new request of an organisation is served within its tier.
     fn virtual_span(&self, _tier: TierRank, _organisation: OrganisationIndex, _weight: u32) -> u64 {
         0
     }
-    /// Requests waiting in `tier`.
+    /// Number of requests waiting in `tier`.
     fn waiting_count(&self, tier: TierRank) -> usize;
-    /// Tokens waiting that go before a request: while it is in time, or once it is late.
+    /// Cost in tokens of the waiting requests served before `request`, with `request` rated as in
+    /// time or as late.
     fn cost_before(&mut self, _request: &WaitingRequest, _is_late: bool, _now: Moment) -> u64 {
         0
     }
-    /// Waiting requests by what they are worth for their cost; none in an order that knows no worth.
+    /// Waiting requests by level of value density; empty for a queue that does not rate requests.
     fn levels(&self) -> WaitingLevels {
         WaitingLevels::default()
     }
-    /// The level of a request, waiting or not; none in an order that knows no worth.
+    /// Level of value density of a request, whether it is in the queue or not; `None` for a queue
+    /// that does not rate requests.
     fn level(&mut self, _request: &WaitingRequest, _now: Moment) -> Option<WorthLevel> {
         None
     }
-    /// Takes everything out, oldest first.
+    /// Removes all requests and returns them, oldest first.
     fn drain(&mut self) -> Vec<WaitingRequest>;
 }
 
@@ -196,7 +199,8 @@
         }
     }
 
-    /// The organisation whose turn it is and its first request, after dropping emptied lanes.
+    /// The organisation with the least start tag, with that tag and its first request. Drops ids
+    /// of removed requests and lanes left empty by them.
     fn head(
         &mut self,
         entries: &HashMap<RequestId, WaitingRequest>,
@@ -217,7 +221,7 @@
         None
     }
 
-    /// Charges the head's organisation and moves it to its next turn.
+    /// Dequeues the head request, charges its organisation and computes the next start tag.
     fn take_head(&mut self, start: u64, organisation: OrganisationIndex, request: &WaitingRequest) {
         self.heap.pop();
         self.virtual_time = self.virtual_time.max(start);
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Takes a request out of the counts; its id stays in the lane until it comes to the front.
+    /// Subtracts a request from the counters; its id stays in the lane until it reaches the front.
     fn forget(&mut self, request: &WaitingRequest) {
         self.tokens -= u64::from(request.cost);
         self.count -= 1;
@@ -243,7 +247,7 @@
         }
     }
 
-    /// The newest request of the organisation with the most tokens waiting.
+    /// The newest request of the organisation with the most waiting tokens.
     fn newest(&mut self, entries: &HashMap<RequestId, WaitingRequest>) -> Option<RequestId> {
         let largest = self.lanes.iter().filter(|(_, lane)| lane.live > 0);
         let (organisation, _) =
@@ -260,7 +264,7 @@
     }
 }
 
-/// Weighted fair queueing by tier, then organisation.
+/// Weighted fair queue over tiers and over the organisations within each tier.
 #[derive(Debug)]
 pub struct FairQueue {
     tiers: Vec<TierLane>,
@@ -270,14 +274,15 @@
 }
 
 impl FairQueue {
-    /// An empty queue over `shares`, any order.
+    /// Creates an empty queue for the tiers in `shares`, given in any order.
     pub fn new(shares: &[TierShare]) -> Self {
         let mut tiers: Vec<TierLane> = shares.iter().copied().map(TierLane::new).collect();
         tiers.sort_by_key(|lane| lane.rank);
         FairQueue { tiers, entries: HashMap::new(), late: BTreeSet::new(), virtual_time: 0 }
     }
 
-    /// The lane of `rank`; a rank that the table no longer has counts as the lowest tier.
+    /// Index of the lane of `rank`; a rank that the table no longer has maps to the next lower
+    /// tier, or to the lowest.
     fn position(&self, rank: TierRank) -> usize {
         self.tiers
             .iter()
@@ -296,7 +301,7 @@
         self.entries.insert(request.id, request);
     }
 
-    /// The tier to serve: the least start tag, unless a higher tier's head cannot wait for its turn.
+    /// The tier to serve: the one with the least start tag, unless a higher tier's head is urgent.
     fn next_tier(&mut self, lowest: TierRank, now: Moment) -> Option<usize> {
         let mut fair: Option<usize> = None;
         let mut urgent: Option<usize> = None;
@@ -408,7 +413,7 @@
     }
 }
 
-/// First in, first out, without tiers: the baseline.
+/// First in, first out, without tiers; the baseline for comparisons.
 #[derive(Debug, Default)]
 pub struct FifoQueue {
     ids: VecDeque<RequestId>,
