--- a/src/policy/urgency_queue.rs
+++ b/src/policy/urgency_queue.rs
@@ -1,11 +1,13 @@
-//! The queue of pools whose requests have objectives: by worth for cost, those still in time first.
+//! Queue for pools whose requests have latency objectives: ordered by value density (value per unit
+//! of cost), with requests that are still in time first.
 //!
-//! Answers the load of a burst of twice what the engines carry. First in, first out then makes every request
-//! late: each waits behind those that are late already. Here what earns most for the engines' time goes first: a request
-//! that can still meet its objective is worth more than one that cannot any more, one of a higher rank more than one
-//! of a lower, and a short one more for its cost than a long one. Every [`TURN`]th place goes round among the lanes, to the
-//! request due first, so that no lane starves; every [`OWED_TURN`]th goes to a request that is owed service, so that no size
-//! does.
+//! Designed for bursts of twice the engines' capacity, where first in, first out makes every
+//! request late because each waits behind others that are late already. Serving by density makes
+//! the most of engine time: a request that can still meet its objective has more value than one
+//! that no longer can, a higher rank more than a lower one, and a short request more per unit of
+//! cost than a long one. A lane holds the requests of one tier and rank. Every [`TURN`]th dispatch
+//! rotates among the lanes and takes the request due first, so that no lane starves; every
+//! [`OWED_TURN`]th takes a request of an underserved size, so that no size starves.
 
 use super::queue::{WaitingQueue, WaitingRequest};
 use super::worth::{CostLadder, LATE_WORTH, LaneMeans, step_worth};
@@ -16,13 +18,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
-/// One place in so many goes round among the lanes.
+/// Interval, in dispatches, at which one rotates among the lanes.
 const TURN: u32 = 16;
-/// One place in so many goes to a request that is owed service. Not each: such requests are large, and the few engines that
-/// fit them are seldom free.
+/// Interval, in dispatches, at which one goes to a request of an underserved size. Not every
+/// dispatch: such requests are large, and the few engines that fit them are seldom free.
 const OWED_TURN: u32 = 4;
 
-/// Worth for cost as a number that sorts as it does: positive floats sort as their bits.
+/// Value density as an ordered integer: non-negative floats sort in the order of their bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DensityKey(u64);
 
@@ -36,14 +38,14 @@
     }
 }
 
-/// A request and what it is worth for its cost, in time or late as it is.
+/// A request and its current value density, reduced once it is late.
 #[derive(Debug)]
 struct QueuedRequest {
     request: WaitingRequest,
     density: DensityKey,
 }
 
-/// The most worth for its cost first, then the one due first.
+/// Requests by descending density, then by due time.
 type DenseOrder = BTreeSet<(Reverse<DensityKey>, Moment, RequestId)>;
 
 /// Requests of one tier and one rank within it.
@@ -51,10 +53,11 @@
 struct UrgencyLane {
     tier: TierRank,
     rank: u8,
-    /// What a request of the mean size is worth.
+    /// Value of a request of mean size.
     worth: f64,
     means: LaneMeans,
-    /// Requests that are owed service, in time or late, by when they are due; they are in no other order of the lane.
+    /// Requests of underserved sizes, in time or late, by due time; they are in no other set of the
+    /// lane.
     owed: BTreeSet<(Moment, RequestId)>,
     due: BTreeSet<(Moment, RequestId)>,
     in_time: DenseOrder,
@@ -93,19 +96,19 @@
         }
     }
 
-    /// The next request that is not owed service, and its worth for its cost: those in time first.
+    /// The next request outside `owed` and its density; requests in time come first.
     fn head(&self) -> Option<(f64, RequestId)> {
         let in_time = self.in_time.first().map(|(density, _, id)| (density.0.density(), *id));
         let late = self.late.first().map(|(density, _, id)| (density.0.density(), *id));
         in_time.or(late)
     }
 
-    /// The one due first of those in time, or else of the late ones.
+    /// The request in time that is due first, or else the first of the late ones.
     fn due_first(&self) -> Option<RequestId> {
         self.due.first().map(|(_, id)| *id).or_else(|| self.late.first().map(|(.., id)| *id))
     }
 
-    /// The one to be evicted first.
+    /// The request to evict first.
     fn last(&self) -> Option<RequestId> {
         let usual = self.late.last().or(self.in_time.last()).map(|(.., id)| *id);
         usual.or(self.owed.last().map(|(_, id)| *id))
@@ -115,13 +118,13 @@
         self.owed.len() + self.usual_len()
     }
 
-    /// Requests that are not owed service.
+    /// Number of requests outside `owed`.
     fn usual_len(&self) -> usize {
         self.in_time.len() + self.late.len()
     }
 }
 
-/// The queue.
+/// Queue ordered by value density.
 #[derive(Debug)]
 pub struct UrgencyQueue {
     tiers: Vec<TierShare>,
@@ -135,7 +138,7 @@
 }
 
 impl UrgencyQueue {
-    /// An empty queue over `tiers`.
+    /// Creates an empty queue for `tiers`.
     pub fn new(tiers: &[TierShare], mechanisms: MechanismSet) -> Self {
         UrgencyQueue {
             tiers: tiers.to_vec(),
@@ -168,7 +171,7 @@
         &mut self.lanes[position]
     }
 
-    /// Moves those whose time to start has passed to the late ones.
+    /// Marks requests whose latest start has passed as late and lowers their density.
     fn age(&mut self, now: Moment) {
         for lane in &mut self.lanes {
             while let Some((start_by, id)) = lane.due.first().copied().filter(|due| due.0 < now) {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// The request that is owed service in the highest lane.
+    /// The first request of an underserved size in the highest lane that has one.
     fn first_owed(&self) -> Option<RequestId> {
         let owed = self.lanes.iter().filter_map(|lane| Some((lane, lane.owed.first()?)));
         owed.min_by_key(|(lane, first)| (lane.tier, lane.rank, **first)).map(|(_, (_, id))| *id)
@@ -293,7 +296,8 @@
 
     fn levels(&self) -> WaitingLevels {
         let mut levels = WaitingLevels::default();
-        // Requests that are owed service have turns of their own; others leave no places to them.
+        // Requests of underserved sizes have dispatches reserved for them; others do not yield to
+        // them.
         let usual = self.entries.values().filter(|queued| !queued.request.is_owed);
         let densities = usual.map(|queued| queued.density.density());
         densities.for_each(|density| levels.add(WorthLevel::of(density), 1));
