--- a/src/policy/organisation_limits.rs
+++ b/src/policy/organisation_limits.rs
@@ -1,7 +1,7 @@
-//! Limits of organisations: token rate and requests in progress.
+//! Limits per organisation: token rate and concurrent requests.
 //!
-//! The rate is a token bucket in the form of the generic cell rate algorithm (ITU-T I.371): one time
-//! stamp for each organisation.
+//! The rate limit is a token bucket in the form of the generic cell rate algorithm (ITU-T I.371),
+//! which keeps one timestamp per organisation.
 
 use super::{Mechanism, MechanismSet, Moment, OrganisationIndex, RouteKey};
 use crate::answer::AnswerKind;
@@ -9,83 +9,86 @@
 use std::time::Duration;
 
 const MICROS: f64 = 1_000_000.0;
-/// The part of the difference by which a bucket moves towards the others' with a round of messages, all senders together:
-/// with 10 rounds a second, buckets are level again within a second, while what is on its way weighs little.
+/// Fraction of the difference to the other daemons' buckets that one round of messages corrects,
+/// all senders together. At 10 rounds a second, buckets converge within a second, while admissions
+/// that are still being reported have little effect.
 const LEVEL_STEP: f64 = 0.18;
-/// The part by which it moves towards one sender's at most.
+/// Largest fraction of the difference corrected for one sender.
 const MOST_LEVEL_STEP: f64 = 0.1;
-/// Differences between buckets up to this are not made level, in microseconds.
+/// Differences between buckets up to this many microseconds are not corrected.
 const LEVEL_GAP: f64 = 0.3 * MICROS;
-/// The part of a bucket that is left to higher ranks, by rank.
+/// Fraction of a bucket reserved for higher ranks, by rank.
 const RESERVES: [f64; 3] = [0.0, 0.2, 0.5];
-/// The part that is left to newcomers by callers who have been here before, whose answers are late in any case.
+/// Fraction that returning callers, whose answers are late in any case, leave to new callers.
 const RETURN_RESERVE: f64 = 0.35;
-/// Kinds whose requests cost at most this part of the burst leave nothing to higher ranks: refusing a booking of 200 tokens saves
-/// next to nothing of a limit of 65,000.
+/// Routes whose requests cost at most this fraction of the burst are exempt from reserves: refusing
+/// a booking of 200 tokens saves next to nothing of a limit of 65,000.
 const SMALL_PART: f64 = 0.01;
-/// A bucket is never charged further below empty than this, in microseconds until it is empty again.
+/// Largest debt of a bucket, in microseconds of refill until it is back at empty.
 const MOST_DEBT: f64 = 2.0 * MICROS;
-/// A process that has not run for this long stood still: it is told to run each 100 ms.
+/// A process that has not run for this long counts as paused; it is scheduled every 100 ms.
 const PAUSED_AFTER: Duration = Duration::from_millis(700);
-/// Seconds' worth of tokens that may be used at once where the table names no burst.
+/// Burst, in seconds of the token rate, where the table sets none.
 const DEFAULT_BURST_SECONDS: f64 = 10.0;
 
-/// The limits of one organisation, as one daemon applies them.
+/// The limits of one organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OrganisationLimit {
-    /// Estimated tokens a second.
+    /// Estimated tokens per second.
     pub tokens_per_second: Option<u64>,
-    /// Tokens usable at once.
+    /// Tokens that may be used at once.
     pub burst_tokens: Option<u64>,
-    /// Requests in progress.
+    /// Concurrent requests.
     pub concurrent: Option<u32>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct LimitState {
-    /// When the bucket will be full again, in microseconds.
+    /// Time at which the bucket is full again, in microseconds.
     full_at: f64,
     in_progress: u32,
-    /// Tokens let through here since the start, less those given back.
+    /// Tokens admitted by this daemon since the start, less those given back.
     taken: i64,
-    /// Tokens asked for here since the start.
+    /// Tokens requested from this daemon since the start.
     asked: u64,
-    /// What is known of the others.
+    /// Expected traffic of the other daemons.
     forecast: LimitForecast,
-    /// By kind of request, from the first request of the kind that needs it.
+    /// By route; created by the first request of the route that needs pacing.
     paces: HashMap<RouteKey, AdmissionPace>,
 }
 
-/// What is known of the others that share an organisation's limit.
+/// Expected traffic of the other daemons that share an organisation's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitForecast {
-    /// Tokens a second that the others let through.
+    /// Tokens per second that the other daemons admit.
     pub others_taken: f64,
-    /// Tokens a second that the whole fleet is asked for.
+    /// Tokens per second requested from the whole fleet.
     pub fleet_asked: f64,
-    /// The time up to which the others have been counted, in the mean.
+    /// Mean time up to which the other daemons' admissions have been counted.
     pub counted_until: Moment,
-    /// Time until the others know what this daemon does now.
+    /// Time until the other daemons know what this daemon admits now.
     pub horizon: Duration,
 }
 
 impl LimitForecast {
-    /// Tokens that the others have let through since they were counted.
+    /// Tokens that the other daemons are expected to have admitted since they were last counted.
     fn unknown(&self, now: Moment) -> f64 {
         self.others_taken * now.since(self.counted_until).min(LONGEST_FORECAST).as_secs_f64()
     }
 
-    /// Tokens that the fleet is asked for until all know of what is let through now.
+    /// Tokens requested from the fleet until all daemons know what is admitted now.
     fn contended(&self) -> f64 {
         self.fleet_asked * self.horizon.as_secs_f64()
     }
 }
 
-/// What others do is foreseen for this long; after that, silent ones are accounted for by what is assumed of them.
+/// Longest time for which the others' traffic is extrapolated; after that, daemons that stay silent
+/// are accounted for by an assumed rate.
 const LONGEST_FORECAST: Duration = Duration::from_millis(600);
 
-/// Lets a part of the tokens asked for through, evenly over the requests: each adds its part, and passes once that makes
-/// up a whole one. Daemons begin at different points, or the first requests of all would fare alike.
+/// Admits a fraction of the requested tokens, spread evenly over the requests: each request adds
+/// that fraction of its cost as credit, and one passes once the credit covers its cost. Daemons
+/// start with different credit, since otherwise all would treat their first requests alike.
 #[derive(Clone, Copy, Debug)]
 struct AdmissionPace {
     credit: f64,
@@ -96,23 +99,23 @@
         self.credit += cost * part;
         let passes = self.credit >= cost;
         self.credit -= if passes { cost } else { 0.0 };
-        // What a large request leaves over must not let many small ones through at once.
+        // Credit left over by a large request must not admit many small ones at once.
         self.credit = self.credit.min(cost.max(1.0) * MOST_CREDIT);
         passes
     }
 }
 
-/// Kinds of request whose paces are kept for an organisation, at most: routes come and go.
+/// Maximum number of routes paced per organisation; bounds the map, since routes come and go.
 const MOST_PACES: usize = 256;
 
-/// Credit that is kept, in requests of the last one's size.
+/// Maximum credit kept, in requests of the size of the last one.
 const MOST_CREDIT: f64 = 2.0;
 
 impl LimitState {
-    /// Where the rest of a bucket could be spent by all daemons at once before they know of each other: lets through the part of
-    /// what the fleet is asked for that the limit allows.
-    /// Without it, each daemon spends the same rest of the bucket.
-    /// Each kind has a pace of its own: in a common one, cheap kinds use up the credit that a dear one waits for.
+    /// Admits the fraction of the fleet's requested tokens that the limit allows. Used when all
+    /// daemons together could spend the rest of a bucket before they learn of each other's
+    /// admissions; without it, each daemon spends the same rest. Each route is paced separately: in
+    /// a shared pace, cheap routes would use up the credit that an expensive one waits for.
     fn passes_paced(&mut self, kind: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
         let part = rate / self.forecast.fleet_asked.max(rate);
         if self.paces.len() >= MOST_PACES && !self.paces.contains_key(&kind) {
@@ -123,22 +126,22 @@
     }
 }
 
-/// What a request asks of its organisation's limit.
+/// What a request needs from its organisation's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitClaim {
-    /// Its kind of request.
+    /// The route it came by.
     pub kind: RouteKey,
-    /// Tokens.
+    /// Estimated cost in tokens.
     pub cost: u32,
-    /// Tokens of a usual request of its kind.
+    /// Mean cost of recent requests of its route, in tokens.
     pub usual_cost: u32,
     /// Rank of its route, 0 the highest.
     pub rank: u8,
-    /// True if its caller has been here before with it.
+    /// True if its caller has sent it before.
     pub has_returned: bool,
 }
 
-/// The state of all organisations' limits in one daemon.
+/// The limits of all organisations and their state in one daemon.
 #[derive(Clone, Debug)]
 pub struct LimitTable {
     limits: HashMap<OrganisationIndex, OrganisationLimit>,
@@ -147,21 +150,21 @@
     share: f64,
     tolerance: LimitTolerance,
     mechanisms: MechanismSet,
-    /// When this table began with empty buckets; none if it began with full ones.
+    /// Time at which all buckets were empty, after a start or a pause; `None` if they started full.
     began_empty: Option<Moment>,
-    /// When this process was last known to run.
+    /// Time at which this process was last known to run.
     alive_at: Option<Moment>,
-    /// Where this daemon's paces begin, 0.0 to 1.0 of a request.
+    /// Initial credit of this daemon's paces, as a fraction of a request, 0.0 to 1.0.
     pace_start: f64,
 }
 
-/// How far limits on tokens may be exceeded, where operators allow it because a fleet cannot count exactly.
-/// Refusing nothing that lies below the limit is worth more to callers than the last token of exactness.
+/// How far token limits may be exceeded, where operators allow it because a fleet cannot count
+/// exactly. Callers gain more from never being refused below the limit than from an exact limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitTolerance {
-    /// Share of the rate and of the burst, 0.1 for a tenth.
+    /// Fraction added to the rate, and to a burst derived from it; 0.1 is a tenth.
     pub overage: f64,
-    /// Tokens beside that.
+    /// Tokens added to the burst.
     pub slack: u64,
 }
 
@@ -177,8 +180,8 @@
     }
 }
 
-/// The part of the tolerance that is given to callers; the rest is for what other daemons let through and have not
-/// yet told.
+/// Fraction of the tolerance given to callers; the rest covers what other daemons have admitted and
+/// not yet reported.
 const TOLERANCE_USED: f64 = 0.5;
 
 impl Default for LimitTable {
@@ -197,12 +200,13 @@
 }
 
 impl LimitTable {
-    /// Sets where this daemon's paces begin, 0.0 to 1.0 of a request: daemons draw it, so that they differ.
+    /// Sets the initial credit of this daemon's paces, as a fraction of a request, 0.0 to 1.0. Each
+    /// daemon draws it at random, so that they differ.
     pub fn set_pace_start(&mut self, start: f64) {
         self.pace_start = start.clamp(0.0, 1.0);
     }
 
-    /// Replaces the limits; what is in progress stays counted.
+    /// Replaces the limits; requests in progress stay counted.
     pub fn set_limits(&mut self, limits: HashMap<OrganisationIndex, OrganisationLimit>) {
         self.limits = limits;
     }
@@ -212,18 +216,18 @@
         self.tolerance = tolerance;
     }
 
-    /// Switches mechanisms off.
+    /// Sets which mechanisms are switched off.
     pub fn set_mechanisms(&mut self, mechanisms: MechanismSet) {
         self.mechanisms = mechanisms;
     }
 
-    /// Every bucket is empty now: a new process does not know what the fleet has just let through.
+    /// Empties all buckets, since a new process does not know what the fleet has just admitted.
     pub fn start_empty(&mut self, now: Moment) {
         self.began_empty = Some(now);
     }
 
-    /// Notes that the process runs. After a pause all buckets are empty, as in a new process: what the others let through
-    /// meanwhile is not known.
+    /// Records that the process is running. After a pause all buckets are emptied, as in a new
+    /// process, since it is unknown what the others admitted meanwhile.
     pub fn alive(&mut self, now: Moment) {
         let has_paused = self.alive_at.is_some_and(|at| now.since(at) >= PAUSED_AFTER);
         self.alive_at = Some(now);
@@ -240,14 +244,14 @@
         }
     }
 
-    /// Takes what is known of the others.
+    /// Updates the expected traffic of the other daemons.
     pub fn foresee(&mut self, organisation: OrganisationIndex, forecast: LimitForecast) {
         if let Some(state) = self.states.get_mut(&organisation) {
             state.forecast = forecast;
         }
     }
 
-    /// The state of an organisation that is met for the first time.
+    /// The initial state of an organisation at its first request.
     fn first_state(&self, organisation: OrganisationIndex) -> LimitState {
         let limit = self.limits.get(&organisation).copied().unwrap_or_default();
         let (Some(began), Some(rate)) = (self.began_empty, limit.tokens_per_second) else {
@@ -257,12 +261,12 @@
         LimitState { full_at: began.0 as f64 + refill, ..LimitState::default() }
     }
 
-    /// The whole burst, in tokens.
+    /// The burst of the whole fleet, in tokens.
     fn burst(&self, limit: &OrganisationLimit, rate: u64) -> f64 {
         self.tolerance.burst(limit, rate)
     }
 
-    /// The rate that is let through, in tokens a second.
+    /// The rate admitted by the whole fleet, in tokens per second.
     fn let_through(&self, rate: u64) -> f64 {
         self.tolerance.let_through(rate)
     }
@@ -272,7 +276,7 @@
         self.share = share.clamp(0.0, 1.0);
     }
 
-    /// Takes `cost` tokens and a place in progress, or says which limit binds.
+    /// Takes `cost` tokens and a concurrency slot, or returns the limit that refuses the request.
     pub fn admit(
         &mut self,
         organisation: OrganisationIndex,
@@ -286,9 +290,10 @@
         )
     }
 
-    /// The same for a request of a rank: lower ranks leave the last part of the bucket to higher ones. What goes wrong
-    /// without it: an organisation at its limit spends it on what came first, its long notes, and its urgent requests
-    /// are refused. Below the limit the bucket is full and nothing is refused.
+    /// Like [`LimitTable::admit`], but with reserves: lower ranks leave the last part of the bucket
+    /// to higher ones. Without them, an organisation at its limit spends its tokens on the requests
+    /// that came first, such as long low-priority ones, and its urgent requests are refused. Below
+    /// the limit the bucket is full and nothing is refused.
     pub fn admit_claim(
         &mut self,
         organisation: OrganisationIndex,
@@ -320,10 +325,11 @@
             let full_at = state.full_at.max(time_now);
             let unknown = state.forecast.unknown(now);
             let spent = (full_at - time_now) * rate / MICROS + unknown;
-            // A request larger than the whole burst passes when the bucket is full: it could never pass otherwise.
+            // A request larger than the burst passes when the bucket is full; otherwise it never
+            // could.
             let is_full = full_at <= time_now && unknown < f64::from(cost);
-            // What decides is the usual cost of the kind: with each request's own, small ones would use up what a large
-            // one waits for.
+            // The decision uses the mean cost of the route: with each request's own cost, small
+            // ones would use up the tokens that a large one waits for.
             let usual_cost = f64::from(claim.usual_cost);
             let is_small = usual_cost <= burst * SMALL_PART;
             let usable = if is_small { burst } else { burst * (1.0 - reserve) };
@@ -344,7 +350,7 @@
         Ok(())
     }
 
-    /// The part of a bucket that a request leaves to others.
+    /// The fraction of a bucket that a request must leave to others.
     fn reserve(&self, claim: LimitClaim) -> f64 {
         let by_rank = match self.mechanisms.has(Mechanism::RankReserve) {
             true => RESERVES[usize::from(claim.rank).min(RESERVES.len() - 1)],
@@ -354,7 +360,7 @@
         if is_late { by_rank + (1.0 - by_rank) * RETURN_RESERVE } else { by_rank }
     }
 
-    /// Gives back a place in progress; `unused` tokens (of work that did not run) return to the bucket.
+    /// Frees a concurrency slot and returns `unused` tokens, those of work that did not run.
     pub fn release(&mut self, organisation: OrganisationIndex, unused: u32) {
         let rate = self.limits.get(&organisation).and_then(|limit| limit.tokens_per_second);
         let rate = rate.map(|rate| self.let_through(rate));
@@ -366,8 +372,8 @@
         }
     }
 
-    /// Charges tokens that other daemons have let through: with all of them told, the whole limit is one bucket
-    /// that every daemon knows.
+    /// Charges tokens that other daemons have admitted. Once all are charged everywhere, every
+    /// daemon sees the whole limit as one bucket.
     pub fn charge(&mut self, organisation: OrganisationIndex, tokens: i64, now: Moment) {
         let rate = self.limits.get(&organisation).and_then(|limit| limit.tokens_per_second);
         let limit = self.limits.get(&organisation).copied().unwrap_or_default();
@@ -381,15 +387,15 @@
         let state = self.states.entry(organisation).or_insert(first);
         let full_at = state.full_at.max(now.0 as f64);
         let full_at = full_at + tokens as f64 / rate * MICROS;
-        // What was let through out of our sight is not owed for ever: after a cut heals, a debt of many seconds
-        // would refuse an organisation that has long been back within its limit.
+        // Debt from admissions that were not known here is capped: after a network partition heals,
+        // a debt of many seconds would refuse an organisation that is long back within its limit.
         let most = now.0 as f64 + empty + MOST_DEBT;
         state.full_at = full_at.min(most.max(state.full_at));
     }
 
-    /// Moves an organisation's bucket a little towards what another daemon estimates. What goes wrong without
-    /// it: after lost messages or a cut the daemons' buckets differ for ever, since each is refilled at the same
-    /// rate, and the one with the least in it refuses everything while the others let the whole limit through.
+    /// Moves an organisation's bucket a little towards another daemon's estimate. Without it, the
+    /// daemons' buckets stay apart after lost messages or a network partition, since all refill at
+    /// the same rate, and the emptiest refuses everything while the others admit the whole limit.
     pub fn level(
         &mut self,
         organisation: OrganisationIndex,
@@ -401,42 +407,42 @@
         let own = state.full_at.max(now.0 as f64);
         let told = now.0 as f64 + refill.as_micros() as f64;
         let gap = told - own;
-        // Small gaps are what each has let through and not yet told.
+        // Small gaps are admissions not yet reported.
         let lasting = gap.signum() * (gap.abs() - LEVEL_GAP).max(0.0);
         let step = (LEVEL_STEP / senders.max(1) as f64).min(MOST_LEVEL_STEP);
         state.full_at = own + lasting * step;
     }
 
-    /// Tokens of an organisation asked for here since the start.
+    /// Tokens of an organisation requested from this daemon since the start.
     pub fn asked(&self, organisation: OrganisationIndex) -> u64 {
         self.states.get(&organisation).map_or(0, |state| state.asked)
     }
 
-    /// The rate that an organisation's limit lets through, in tokens a second.
+    /// The rate that an organisation's limit admits, in tokens per second.
     pub fn rate(&self, organisation: OrganisationIndex) -> Option<f64> {
         let rate = self.limits.get(&organisation)?.tokens_per_second?;
         Some(self.let_through(rate))
     }
 
-    /// The time after which an organisation's bucket is full again.
+    /// Time until an organisation's bucket is full again.
     pub fn refilled_in(&self, organisation: OrganisationIndex, now: Moment) -> Duration {
         let full_at = self.states.get(&organisation).map_or(0.0, |state| state.full_at);
         Duration::from_micros((full_at - now.0 as f64).max(0.0) as u64)
     }
 
-    /// Tokens of an organisation let through here since the start.
+    /// Tokens of an organisation admitted by this daemon since the start, less those given back.
     pub fn taken(&self, organisation: OrganisationIndex) -> i64 {
         self.states.get(&organisation).map_or(0, |state| state.taken)
     }
 
-    /// Requests in progress of organisations that have limits: what this daemon's share should follow.
+    /// Requests in progress of organisations with limits, the basis of this daemon's share.
     pub fn demand(&self) -> u64 {
         self.limits.keys().map(|organisation| u64::from(self.in_progress(*organisation))).sum()
     }
 
-    /// The largest part of a whole limit on requests in progress that this daemon takes up. A share that was
-    /// made smaller still counts for as much until they have ended: else another daemon would fill the part
-    /// that was taken away while it is still in use.
+    /// The largest fraction of a whole concurrency limit that this daemon uses. After its share was
+    /// reduced, requests beyond the new share still count until they end: otherwise another daemon
+    /// would fill the part taken away while it is still in use.
     pub fn used(&self) -> f64 {
         let used = self.limits.iter().filter_map(|(organisation, limit)| {
             let most = f64::from(limit.concurrent?.max(1));
