--- a/src/policy/size_shares.rs
+++ b/src/policy/size_shares.rs
@@ -1,55 +1,59 @@
-//! The promise by size: each tenth of a kind's requests is served at least a part as often as its lane.
+//! Minimum service by request size: each size decile of a route is served at least a guaranteed
+//! fraction as often as its lane (tier and rank).
 //!
-//! An order by worth for cost alone leaves the largest requests of a kind for last, and under lasting overload the last
-//! are never served. Here each tenth of each kind has an account. Each end adds the promised part of the share of requests
-//! that its lane serves, and an answer takes one request away. A request that finds a whole one in its account is owed
-//! service: one place in four goes to such requests before all others. What is not served stays owed to the next.
+//! An order by value density alone leaves the largest requests of a route for last, and under
+//! lasting overload the last are never served. Each decile of each route therefore has an account
+//! of its service deficit. Every request that ends adds the guaranteed fraction of the lane's
+//! served share, and one that was answered subtracts 1. A request that arrives at a deficit of at
+//! least 1 is underserved: one dispatch in four goes to such requests before all others. If it
+//! isn't served, the deficit passes on to the next.
 
 use super::{Moment, SizeTenth, TierRank};
 use std::collections::HashMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Requests owed to one account at most.
+/// Largest deficit of one account, in requests.
 const MOST_OWED: f64 = 2.0;
-/// Requests beyond the promise that an account remembers at most.
+/// Largest surplus that an account remembers, in requests beyond the guarantee.
 const MOST_AHEAD: f64 = 2.0;
-/// Ends over which a lane's share is a plain mean; after that a new end has the weight of one in so many.
+/// Number of ended requests over which a lane's share is a plain mean; after that it is an
+/// exponential moving average with the reciprocal as weight.
 const WARM_ENDS: f64 = 30.0;
-/// Accounts kept at most; beyond, those that nobody used for [`IDLE_AFTER`] are dropped.
+/// Maximum number of accounts; once reached, those unused for [`IDLE_AFTER`] are dropped.
 const MOST_ACCOUNTS: usize = 4_096;
 const IDLE_AFTER: Duration = Duration::from_secs(60);
 
-/// A kind of requests: those of one route.
+/// Identifies a route by a hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RouteKey(u64);
 
 impl RouteKey {
-    /// The kind of a route's requests.
+    /// The key of the route named `route`.
     pub fn of(route: &str) -> Self {
         RouteKey(xxh3_64(route.as_bytes()))
     }
 
-    /// A shorter number for messages: of 100 routes two have the same one in one table of 13.
+    /// A shorter hash for messages. With 100 routes, one table in 13 has two that collide.
     pub fn short(self) -> u32 {
         u32::from(self.0 as u16)
     }
 }
 
-/// Where a request counts.
+/// Identifies the accounts that a request counts towards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SizeClaim {
-    /// Its lane: tier, and rank within it.
+    /// Its lane: tier and rank within the tier.
     pub lane: (TierRank, u8),
-    /// Its kind.
+    /// Its route.
     pub route: RouteKey,
-    /// Its tenth by size; none if that is not known.
+    /// Its decile by size, if known.
     pub tenth: Option<SizeTenth>,
-    /// True if it is owed service.
+    /// True if it was marked as underserved on arrival.
     pub is_owed: bool,
 }
 
-/// The part of a lane's requests that is served.
+/// The fraction of a lane's requests that is served.
 #[derive(Clone, Copy, Debug)]
 struct ServedShare {
     ends: f64,
@@ -71,12 +75,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct SizeAccount {
-    /// Requests that should have been served and were not, less those that were beyond the promise.
+    /// Requests due under the guarantee but not served, less those served beyond it.
     owed: f64,
     used_at: Moment,
 }
 
-/// The accounts of one pool at one daemon.
+/// The service accounts of one pool in one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct SizeShares {
     lanes: HashMap<(TierRank, u8), ServedShare>,
@@ -84,8 +88,9 @@
 }
 
 impl SizeShares {
-    /// True if a request that arrives is owed service. `draw`, from 0.0..1.0, is where a new account begins: accounts of many
-    /// daemons, each with few requests, would otherwise all owe their first to nobody.
+    /// Charges an arriving request to its account; true if the request is underserved. `draw`, a
+    /// random number from 0.0..1.0, is the initial deficit of a new account: otherwise the accounts
+    /// of many daemons with few requests each would never reach a deficit of 1.
     pub fn arrived(&mut self, claim: &SizeClaim, draw: f64, now: Moment) -> bool {
         let Some(tenth) = claim.tenth else { return false };
         let key = (claim.route, tenth);
@@ -102,7 +107,7 @@
         is_owed
     }
 
-    /// Counts an end, with an answer or without, under the promise of `part`.
+    /// Counts a request that ended, answered or not, under a guarantee of the fraction `part`.
     pub fn ended(&mut self, claim: &SizeClaim, is_served: bool, part: f64) {
         let lane = self.lanes.entry(claim.lane).or_default();
         lane.learn(is_served);
