--- a/src/policy/request_sizes.rs
+++ b/src/policy/request_sizes.rs
@@ -1,42 +1,41 @@
-//! Where a request stands by size among the recent requests of its route.
+//! Size deciles of requests among the recent requests of their route.
 
 use super::RequestSizes;
 use super::worth::size;
 use std::collections::VecDeque;
 
-/// Requests of a route that a new one is compared with.
+/// Number of recent requests of a route that a new one is compared with.
 const RECENT_REQUESTS: usize = 256;
-/// Fewer say nothing of what is large.
+/// Minimum number of requests needed to determine a decile.
 const LEAST_REQUESTS: usize = 10;
-/// Weight of a request in the usual cost of its route.
+/// Weight of a new request in the moving average of its route's cost.
 const COST_WEIGHT: f64 = 0.05;
 
-/// A tenth of a route's requests by size: 0 the smallest, 9 the largest.
+/// A decile of a route's requests by size: 0 the smallest, 9 the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SizeTenth(u8);
 
 impl SizeTenth {
-    /// The largest tenth.
+    /// The decile of the largest requests.
     pub const LARGEST: SizeTenth = SizeTenth(9);
     const NAMES: [&str; 10] = ["0", "1", "2", "3", "4", "5", "6", "7", "8", "9"];
 
-    /// The tenth of a request that is larger than `smaller` of `all` others.
+    /// The decile of a request that is larger than `smaller` of `all` others.
     pub fn of_rank(smaller: usize, all: usize) -> Self {
         SizeTenth((smaller * 10 / all.max(1)).min(9) as u8)
     }
 
-    /// Its number as a label.
+    /// Its number as a metric label.
     pub fn name(self) -> &'static str {
         Self::NAMES[usize::from(self.0)]
     }
 
-    /// Its number.
     pub fn number(self) -> u8 {
         self.0
     }
 }
 
-/// The sizes of one route's recent requests, as estimated when they came.
+/// The sizes of one route's recent requests, as estimated on arrival.
 #[derive(Clone, Debug, Default)]
 pub struct RouteSizes {
     recent: VecDeque<f64>,
@@ -44,7 +43,7 @@
 }
 
 impl RouteSizes {
-    /// Takes what a request costs of a limit. The usual cost, this one counted.
+    /// Adds the token cost of a request and returns the moving average of the route, including it.
     pub fn usual_cost(&mut self, cost: u32) -> u32 {
         let cost = f64::from(cost);
         let usual = self.usual_cost.map_or(cost, |usual| usual + (cost - usual) * COST_WEIGHT);
@@ -52,7 +51,8 @@
         usual as u32
     }
 
-    /// Takes a request's sizes. Its tenth among those before it; none while too few are known.
+    /// Adds the sizes of a request and returns its decile among those before it, or `None` while
+    /// too few are known.
     pub fn tenth(&mut self, sizes: RequestSizes) -> Option<SizeTenth> {
         let size = size(sizes.prompt, sizes.output);
         let known = self.recent.len();
