--- a/src/policy/worth.rs
+++ b/src/policy/worth.rs
@@ -1,37 +1,38 @@
-//! What requests are worth beside one another, and for what they cost.
+//! Relative value of requests, and their value density (value per unit of cost).
 //!
-//! Operators give ranks and tiers, not worths. The defaults here say what a rank means where nothing else does; what a
-//! request costs is learned, so that which lane earns most for an engine's time follows from the load that is seen.
+//! Operators configure ranks and tiers, not values; the constants here give each rank and tier its
+//! value. Costs are learned, so that the lane with the most value for an engine's time follows from
+//! the observed load.
 
 use super::{TierRank, TierShare};
 
-/// Worth of a request of a rank beside one of the rank above. Ranks are for kinds of work that differ by much: a quarter
-/// makes four requests of the lower rank worth one of the higher, whatever their size.
+/// Value of a request relative to one of the next higher rank. Ranks separate kinds of work of very
+/// different importance: four requests of a rank have the value of one of the next higher rank,
+/// whatever their size.
 const RANK_STEP: f64 = 0.25;
-/// Worth of a request of a tier beside one of the tier above. So little less that a late request of a high tier never
-/// goes before one in time of a lower tier and the same rank and cost.
+/// Value of a request relative to one of the next higher tier. High enough that a late request of a
+/// high tier never goes before one in time of a lower tier with the same rank and cost.
 const TIER_STEP: f64 = 0.8;
-/// What a late answer is worth beside one in time, where operators say nothing: it is still used, by a caller who has
-/// had to wait for it.
+/// Value of a late answer relative to one in time; the caller still uses it, but had to wait.
 pub const LATE_WORTH: f64 = 0.3;
-/// The part of a request's worth that does not depend on its size.
+/// Fraction of a request's value that does not depend on its size.
 const SIZE_FREE: f64 = 0.3;
-/// Worth by size grows up to this many times the mean of its lane.
+/// Largest value by size, relative to the mean request of the lane.
 const MOST_SIZE_WORTH: f64 = 4.0;
-/// A token that is made is worth as much as this many that are read.
+/// Weight of an output token in the size of a request; a prompt token has weight 1.
 const OUTPUT_WORTH: f64 = 10.0;
-/// Weight of a new request in a lane's means once it has seen [`WARM_COUNT`].
+/// Weight of a new request in a lane's means after the first [`WARM_COUNT`] requests.
 const MEAN_WEIGHT: f64 = 0.02;
-/// Requests over which a lane's means are plain means.
+/// Number of requests over which a lane's means are plain means.
 const WARM_COUNT: f64 = 50.0;
 
-/// Worth of a request by its tier and its rank, before its size.
+/// Value of a request by its tier and rank, before its size is considered.
 pub fn step_worth(tiers: &[TierShare], tier: TierRank, rank: u8) -> f64 {
     let above = tiers.iter().filter(|share| share.rank < tier).count();
     TIER_STEP.powi(above as i32) * RANK_STEP.powi(i32::from(rank))
 }
 
-/// Size and cost of a lane's requests, as means.
+/// Mean size and mean cost of a lane's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LaneMeans {
     count: f64,
@@ -40,7 +41,7 @@
 }
 
 impl LaneMeans {
-    /// Counts a request.
+    /// Adds a request to the means.
     pub fn learn(&mut self, prompt_tokens: u32, output_tokens: u32, cost: u32) {
         self.count = (self.count + 1.0).min(WARM_COUNT);
         let weight = (1.0 / self.count).max(MEAN_WEIGHT);
@@ -48,32 +49,33 @@
         self.cost += (f64::from(cost.max(1)) - self.cost) * weight;
     }
 
-    /// Worth for cost of a request of this lane, where the mean request of the lane is worth 1.
+    /// Value density of a request of this lane, with the value of the mean request as 1.
     pub fn density(&self, prompt_tokens: u32, output_tokens: u32, cost: u32) -> f64 {
         let relative = size(prompt_tokens, output_tokens) / self.size.max(1.0);
         let worth = SIZE_FREE + (1.0 - SIZE_FREE) * relative;
         worth.min(MOST_SIZE_WORTH) / f64::from(cost.max(1))
     }
 
-    /// The same for the mean request.
+    /// Value density of the lane's mean request.
     pub fn mean_density(&self) -> f64 {
         1.0 / self.cost.max(1.0)
     }
 }
 
-/// Size of a request as its worth counts it, in prompt tokens.
+/// Size of a request for its value, in prompt tokens.
 pub(super) fn size(prompt_tokens: u32, output_tokens: u32) -> f64 {
     f64::from(prompt_tokens) + OUTPUT_WORTH * f64::from(output_tokens)
 }
 
-/// Steps of the ladder in a doubling of worth for cost.
+/// Number of histogram buckets per doubling of density.
 const STEPS_IN_DOUBLING: f64 = 4.0;
-/// Steps of the ladder; with the one above, 2^40 between the lowest and the highest.
+/// Number of histogram buckets; they cover a ratio of 2^40 between lowest and highest density.
 const LADDER_STEPS: usize = 160;
-/// The lowest step's worth for cost, as a power of two.
+/// Density of the lowest bucket, as an exponent of 2.
 const LOWEST_POWER: f64 = -36.0;
 
-/// Waiting cost by worth for cost, in steps, so that what waits before a request is summed up without a walk over all.
+/// Histogram of waiting cost by value density, from which the cost ahead of a request is summed
+/// without visiting every waiting request.
 #[derive(Clone, Debug)]
 pub struct CostLadder {
     steps: [u64; LADDER_STEPS],
@@ -91,18 +93,18 @@
         step.clamp(0.0, (LADDER_STEPS - 1) as f64) as usize
     }
 
-    /// A request waits.
+    /// Adds the cost of a waiting request.
     pub fn add(&mut self, density: f64, cost: u32) {
         self.steps[Self::step(density)] += u64::from(cost);
     }
 
-    /// It waits no more, or with another density.
+    /// Subtracts the cost of a request that no longer waits, or no longer at this density.
     pub fn remove(&mut self, density: f64, cost: u32) {
         let step = &mut self.steps[Self::step(density)];
         *step = step.saturating_sub(u64::from(cost));
     }
 
-    /// Cost of all that is worth as much for its cost, or more.
+    /// Total cost of the requests of this density or higher, to the precision of a bucket.
     pub fn cost_from(&self, density: f64) -> u64 {
         self.steps[Self::step(density)..].iter().sum()
     }
