--- a/src/policy/size_shares.rs
+++ b/src/policy/size_shares.rs
@@ -6,7 +6,7 @@
 //! of its service deficit. Every request that ends adds the guaranteed fraction of the lane's
 //! served share, and one that was answered subtracts 1. A request that arrives at a deficit of at
 //! least 1 is underserved: one dispatch in four goes to such requests before all others. If it
-//! isn't served, the deficit passes on to the next.
+//! is not served, the deficit passes on to the next.
 
 use super::{Moment, SizeTenth, TierRank};
 use std::collections::HashMap;
