--- a/src/policy/shed_floor.rs
+++ b/src/policy/shed_floor.rs
@@ -1,45 +1,45 @@
-//! The shed floor: which tiers a pool admits.
+//! The shed floor: the lowest tier that a pool admits.
 //!
-//! What goes wrong without it: one daemon refuses a high tier while another, or a moment later the
-//! same one, admits a low tier. One would notice by a shed high-tier request whose time lies inside
-//! the admission of a lower one. The floor prevents it by order: a tier is dropped only once nothing
-//! below it is admitted on any daemon. So the floor rises one tier at a time, each step confirmed by
-//! the whole fleet before the next.
+//! Without it, one daemon would refuse a high tier while another, or the same one a moment later,
+//! admits a low tier; the symptom is a high-tier request shed during the admission of a lower one.
+//! The floor prevents this by order: a tier is dropped only once no daemon admits anything below
+//! it. The floor therefore rises one tier at a time, and the whole fleet confirms each step before
+//! the next.
 
 use super::{Moment, TierRank};
 use std::time::Duration;
 
-/// How long the floor stays after the last shed request that needed it.
+/// Time for which the floor stays up after the last shed request that needed it.
 const HOLD: Duration = Duration::from_millis(1_000);
 
-/// The fleet's word on one pool's floor, as the answer to a report brings it.
+/// The leader's order for one pool's floor, received in the answer to a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FloorOrder {
-    /// What this daemon wanted when it reported.
+    /// The floor that this daemon wanted when it reported.
     pub wanted_then: Option<TierRank>,
-    /// The lowest tier that any daemon admits; none if all tiers are admitted somewhere.
+    /// The lowest tier that any daemon admits; `None` if every tier is admitted somewhere.
     pub confirmed: Option<TierRank>,
-    /// The floor this daemon must keep until the next order.
+    /// The floor that this daemon must enforce until the next order.
     pub imposed: Option<TierRank>,
-    /// True if this daemon admitted nothing until now: it may take the whole floor over at once.
+    /// True if this daemon has admitted nothing so far, and so may adopt the whole floor at once.
     pub is_fresh: bool,
 }
 
-/// One pool's floor at one daemon. Floors are the lowest tier admitted; none means every tier.
+/// One pool's floor in one daemon. A floor is the lowest tier admitted; `None` admits every tier.
 #[derive(Clone, Debug, Default)]
 pub struct ShedFloor {
     /// All ranks, highest tier first.
     ranks: Vec<TierRank>,
-    /// What this daemon wants of the fleet.
+    /// The floor that this daemon requests from the fleet.
     wanted: Option<TierRank>,
-    /// What the fleet wants of this daemon.
+    /// The floor that the fleet requires of this daemon.
     imposed: Option<TierRank>,
-    /// What the whole fleet keeps for as long as this daemon wants what it wants.
+    /// The floor that the whole fleet enforces while this daemon's `wanted` stays as strict.
     held: Option<TierRank>,
-    /// What this daemon keeps now.
+    /// The floor that this daemon enforces now.
     kept: Option<TierRank>,
     needed_at: Moment,
-    /// True where other daemons share the pool and must confirm first.
+    /// True if other daemons share the pool and must confirm each step.
     is_shared: bool,
 }
 
@@ -54,20 +54,21 @@
 }
 
 impl ShedFloor {
-    /// Takes the table's ranks.
+    /// Sets the ranks of the table's tiers.
     pub fn set_ranks(&mut self, mut ranks: Vec<TierRank>) {
         ranks.sort_unstable();
         self.ranks = ranks;
         self.update(self.held);
     }
 
-    /// The lowest tier still admitted, or none if all are.
+    /// The lowest tier still admitted, or `None` if all are.
     pub fn lowest_admitted(&self) -> Option<TierRank> {
         self.kept
     }
 
-    /// Moves what is kept to what is wanted and imposed: back at once, forward a tier at a time, each
-    /// only once no daemon admits anything below it, by `confirmed`.
+    /// Moves the enforced floor to the stricter of the wanted and the imposed one. It is lowered at
+    /// once, but raised one tier at a time, each only once `confirmed` shows that no daemon admits
+    /// anything below it.
     fn update(&mut self, confirmed: Option<TierRank>) {
         let target = stricter(self.wanted, self.imposed);
         if !is_stricter(target, self.kept) {
@@ -78,7 +79,7 @@
             let Some(dropped) = self.kept.or_else(|| self.ranks.last().copied()) else { return };
             let above = self.ranks.iter().rev().copied().find(|rank| *rank < dropped);
             let Some(above) = above.filter(|_| self.is_clear_below(dropped, confirmed)) else {
-                // Keeping the lowest tier as the floor drops nothing yet.
+                // A floor at the lowest tier does not drop any tier yet.
                 self.kept = Some(dropped);
                 return;
             };
@@ -86,13 +87,13 @@
         }
     }
 
-    /// True if work of `tier` may be admitted.
+    /// True if requests of `tier` may be admitted.
     pub fn admits(&self, tier: TierRank) -> bool {
         self.kept.is_none_or(|lowest| tier <= lowest)
     }
 
-    /// Asks that no tier below `tier` be admitted. Returns true if it is so everywhere, so that
-    /// `tier` itself may be shed.
+    /// Requests that no tier below `tier` be admitted. Returns true if that already holds on every
+    /// daemon, so that `tier` itself may be shed.
     pub fn raise(&mut self, tier: TierRank, now: Moment) -> bool {
         self.needed_at = now;
         self.wanted = stricter(self.wanted, Some(tier));
@@ -110,7 +111,7 @@
         !self.is_shared || is_lowest || confirmed.is_some_and(|confirmed| confirmed <= tier)
     }
 
-    /// Lowers the floor by one tier once it has not been needed for a while.
+    /// Lowers the floor by one tier once it has not been needed for [`HOLD`].
     pub fn relax(&mut self, now: Moment) {
         let Some(wanted) = self.wanted else { return };
         if now.since(self.needed_at) < HOLD {
@@ -123,21 +124,21 @@
         self.update(None);
     }
 
-    /// What this daemon wants the fleet's floor to be.
+    /// The floor that this daemon requests from the fleet.
     pub fn wanted(&self) -> Option<TierRank> {
         self.wanted
     }
 
-    /// What this daemon will keep until the next order, whatever it wants itself.
+    /// The floor that this daemon enforces until the next order, whatever it wants itself.
     pub fn guaranteed(&self) -> Option<TierRank> {
         let imposed = self.imposed?;
         self.kept.map(|kept| kept.max(imposed))
     }
 
-    /// Takes the fleet's word. What is confirmed is true now, and serves to raise this daemon's own floor
-    /// now: the leader loosens nobody before the next report. Later it is true only as far as the leader
-    /// holds it for this daemon: up to the floor that was wanted when it was asked, and for as long as
-    /// this daemon wants at least that.
+    /// Applies the leader's order. The confirmed floor is valid now and may be used to raise this
+    /// daemon's own floor now, since the leader relaxes no daemon's floor before the next report.
+    /// Afterwards it is valid only as far as the leader holds it for this daemon: up to the floor
+    /// wanted in the report, and for as long as this daemon wants at least that.
     pub fn take(&mut self, order: FloorOrder) {
         self.is_shared = true;
         let still_wants =
