--- a/src/policy/shared_list.rs
+++ b/src/policy/shared_list.rs
@@ -1,8 +1,10 @@
-//! The platform's list of upstreams as daemons tell it to each other: what changed, and a digest of the whole.
+//! The platform's list of upstreams, shared between daemons as changes and a digest of the whole
+//! list.
 //!
-//! What goes wrong with whole lists: 64 daemons and 143 upstreams make 8 KB for each daemon and reading, which fills
-//! links of 10 Mbit/s, so that lists and all other messages are lost, every daemon reads the list for itself and tells
-//! it too. One would notice by calls to the platform that grow with the fleet.
+//! Sending whole lists does not scale: with 64 daemons and 143 upstreams, each read of the list
+//! costs 8 KB per daemon, which saturates links of 10 Mbit/s. Lists and all other messages are then
+//! lost, and every daemon reads the list for itself and sends it too. The symptom is a number of
+//! calls to the platform that grows with the fleet.
 
 use crate::table::{ServiceName, SoftwareVersion, UpstreamName};
 use serde::{Deserialize, Serialize};
@@ -10,40 +12,39 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Rows in one part of a whole list: about 1,200 bytes, so that a part is one packet.
+/// Rows in one part of a whole list; about 1,200 bytes, so that a part fits into one packet.
 const PART_ROWS: usize = 25;
 
-/// One upstream of the list.
+/// One upstream in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedUpstream {
-    /// Its service.
+    /// The service it belongs to.
     pub service: ServiceName,
-    /// Its name.
     pub upstream: UpstreamName,
-    /// Its address and port.
+    /// Address and port.
     pub address: SocketAddr,
-    /// Grows when another process takes the name or address.
+    /// Increases when another process takes over the name or address.
     pub incarnation: u64,
-    /// True if it is about to go.
+    /// True if it is about to leave.
     pub is_leaving: bool,
-    /// Requests that it works on at once, where the platform says.
+    /// Number of requests it processes concurrently, if the platform reports it.
     pub places: Option<u32>,
-    /// The version of its software, where the platform says.
+    /// Version of its software, if the platform reports it.
     pub version: Option<SoftwareVersion>,
 }
 
 type ListKey = (ServiceName, UpstreamName);
 
-/// What a reading of the list changed.
+/// The difference between two successive reads of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListChange {
-    /// Digest of the list before.
+    /// Digest of the list before the change.
     pub base: u64,
-    /// Digest of the list after.
+    /// Digest of the list after the change.
     pub digest: u64,
     /// Rows that are new or differ.
     pub changed: Vec<ListedUpstream>,
-    /// Rows that are there no more.
+    /// Keys of rows that were removed.
     pub gone: Vec<ListKey>,
 }
 
@@ -52,26 +53,26 @@
 pub struct ListPart {
     /// Digest of the whole list.
     pub digest: u64,
-    /// Number of this part, from 0.
+    /// Index of this part, from 0.
     pub part: u32,
     /// Number of parts.
     pub parts: u32,
-    /// Its rows.
+    /// The rows of this part.
     pub rows: Vec<ListedUpstream>,
 }
 
-/// What a daemon makes of another one's change.
+/// Result of applying a change received from another daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeVerdict {
-    /// It knew that list already.
+    /// The list was up to date already.
     Known,
-    /// Its list is now the same.
+    /// The list is now the same as the sender's.
     Applied,
-    /// It knows another list than the one that changed, and must ask for the whole.
+    /// The change is based on another list; the daemon must request the whole list.
     Unknown,
 }
 
-/// The list as one daemon knows it.
+/// The list as known to one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct SharedList {
     rows: BTreeMap<ListKey, ListedUpstream>,
@@ -79,7 +80,7 @@
     assembly: Option<ListAssembly>,
 }
 
-/// Parts of a list that came so far.
+/// The parts of a whole list received so far.
 #[derive(Clone, Debug)]
 struct ListAssembly {
     digest: u64,
@@ -87,12 +88,12 @@
 }
 
 impl SharedList {
-    /// Its rows, in order of their services and names.
+    /// The rows, ordered by service and name.
     pub fn rows(&self) -> impl Iterator<Item = &ListedUpstream> {
         self.rows.values()
     }
 
-    /// Digest of the list; none while none is known.
+    /// Digest of the list, or `None` while no list is known.
     pub fn digest(&self) -> Option<u64> {
         self.digest
     }
@@ -102,14 +103,14 @@
         self.digest.is_some()
     }
 
-    /// Takes a list as it was just read, and tells what it changed.
+    /// Replaces the list with one just read and returns the difference.
     pub fn replace(&mut self, rows: impl IntoIterator<Item = ListedUpstream>) -> ListChange {
         let keyed = rows.into_iter().map(|row| ((row.service.clone(), row.upstream.clone()), row));
         let new: BTreeMap<ListKey, ListedUpstream> = keyed.collect();
         let changed = new.iter().filter(|(key, row)| self.rows.get(key) != Some(row));
         let changed = changed.map(|(_, row)| row.clone()).collect();
         let gone = self.rows.keys().filter(|key| !new.contains_key(key)).cloned().collect();
-        // A daemon that knew no list has told none: nobody has its base.
+        // A daemon without a list has not sent one, so no other daemon can match this base.
         let base = self.digest.unwrap_or(0);
         let digest = digest_of(&new);
         self.rows = new;
@@ -117,7 +118,7 @@
         ListChange { base, digest, changed, gone }
     }
 
-    /// Takes what another daemon's reading changed.
+    /// Applies a change found by another daemon.
     pub fn take(&mut self, change: &ListChange) -> ChangeVerdict {
         if self.digest == Some(change.digest) {
             return ChangeVerdict::Known;
@@ -140,7 +141,7 @@
         ChangeVerdict::Applied
     }
 
-    /// The whole list in parts, for a daemon that asks for it.
+    /// The whole list in parts, for a daemon that requests it.
     pub fn parts(&self) -> Vec<ListPart> {
         let Some(digest) = self.digest else { return Vec::new() };
         let rows: Vec<ListedUpstream> = self.rows.values().cloned().collect();
@@ -155,7 +156,7 @@
         parts.collect()
     }
 
-    /// Takes a part of a whole list; true once the list is whole and differs from what was known.
+    /// Adds a part of a whole list; true once that list is complete and replaces a different one.
     pub fn take_part(&mut self, part: ListPart) -> bool {
         if self.digest == Some(part.digest) {
             return false;
