--- a/src/policy/fleet_group.rs
+++ b/src/policy/fleet_group.rs
@@ -1,13 +1,14 @@
-//! Which part of the fleet a daemon belongs to, and so which upstreams it uses first.
+//! Groups of daemons, which decide the upstreams that a daemon prefers.
 
-/// A group of daemons, by place in the order of addresses, so that those of one data centre mostly meet.
+/// A group of daemons. Daemons are grouped by their position in the order of addresses, so that
+/// those of one data centre mostly share a group.
 ///
-/// What goes wrong without groups: every daemon uses every upstream, so connections are hardly ever met again, and
-/// each place that becomes free is asked for by the whole fleet. One would notice by new connections as many as
-/// requests, and by calls for places that are refused.
+/// Without groups, every daemon uses every upstream: connections are hardly ever reused, and the
+/// whole fleet competes for each slot that becomes free. The symptoms are as many new connections
+/// as requests, and refused reservations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetGroup {
-    /// Its number, from 0.
+    /// Number of this group, from 0.
     pub index: usize,
     /// Number of groups.
     pub count: usize,
@@ -20,7 +21,7 @@
 }
 
 impl FleetGroup {
-    /// The group of the one at `position` among `total` in order.
+    /// The group of the daemon at `position` of `total`, if they form `count` groups.
     pub fn of(position: usize, total: usize, count: usize) -> usize {
         position * count / total.max(1)
     }
