--- a/src/policy/exchange.rs
+++ b/src/policy/exchange.rs
@@ -1,7 +1,7 @@
-//! One request's life from waiting to its single end, as a state chart.
+//! Life cycle of one request, from waiting to its single final state, as a state chart.
 //!
-//! The chart (`charts/request.json`) gives the order of states; this module adds the counts that
-//! decide between its events: pieces seen, resume attempts, echoed ids.
+//! The chart (`charts/request.json`) defines the transitions; this module keeps the data that
+//! selects its events: received pieces, resume attempts and echoed ids.
 
 use super::{Moment, UpstreamIndex};
 use crate::answer::AnswerKind;
@@ -10,11 +10,11 @@
 use std::sync::{Arc, LazyLock};
 use std::time::Duration;
 
-/// Resume attempts for one request before its stream counts as lost.
+/// Maximum resume attempts for one request before its stream counts as lost.
 const RESUME_ATTEMPTS: u32 = 3;
 
 chart_names! {
-    /// Where a request is.
+    /// State of a request.
     RequestState {
         /// In the queue; nothing sent.
         Waiting,
@@ -24,47 +24,48 @@
         Sent,
         /// The answer is arriving.
         Streaming,
-        /// The answer stopped; being picked up again on a new connection, without a new dispatch.
+        /// The answer was interrupted and is being resumed on a new connection, without a new
+        /// dispatch.
         Resuming,
-        /// Ended: the caller has the whole answer.
+        /// Final: the whole answer was sent to the caller.
         Answered,
-        /// Ended: refused, not run.
+        /// Final: refused without being run.
         Refused,
-        /// Ended: dispatched, but no whole answer.
+        /// Final: dispatched, but without a whole answer.
         Failed,
-        /// Ended: the caller left.
+        /// Final: the caller disconnected.
         Abandoned,
     }
 }
 
 chart_names! {
-    /// What happens to a request, as the chart names it.
+    /// Event of the request chart.
     RequestEvent {
         /// The scheduler chose an upstream.
         Placed,
-        /// The scheduler refused.
+        /// The scheduler refused the request.
         Refused,
         /// The connection failed before a byte was sent.
         NotSent,
         /// The request was sent.
         Opened,
-        /// The answer's head came and echoes the request's id.
+        /// The answer's head arrived, without the id of another request.
         Head,
-        /// An id of another request came back.
+        /// The answer carries the id of another request.
         Crossed,
-        /// A new piece of the answer came.
+        /// A new piece of the answer arrived.
         Piece,
-        /// The answer's end mark or declared length was reached.
+        /// The answer's end marker or declared length was reached.
         Ended,
         /// The connection ended before the answer did, and the upstream can resume.
         Cut,
-        /// No byte for too long, and the upstream can resume.
+        /// No byte arrived for too long, and the upstream can resume.
         Silent,
-        /// The stream is attached again.
+        /// The stream was resumed.
         Resumed,
-        /// The answer ended early, and cannot be resumed.
+        /// The answer ended early and cannot be resumed.
         Lost,
-        /// The caller closed its side.
+        /// The caller closed its connection.
         CallerLeft,
         /// The deadline passed.
         Deadline,
@@ -72,32 +73,32 @@
 }
 
 chart_names! {
-    /// What the traffic code must do.
+    /// Action for the traffic code to execute.
     ExchangeAction {
-        /// Open a connection to the chosen upstream and send.
+        /// Open a connection to the chosen upstream and send the request.
         Connect,
-        /// Send the refusal.
+        /// Send the refusal to the caller.
         Refuse,
-        /// Take the request out of the queue.
+        /// Remove the request from the queue.
         Withdraw,
-        /// Give the request back to the scheduler; nothing was sent.
+        /// Return the request to the scheduler; nothing was sent.
         Requeue,
-        /// Pass the piece to the caller.
+        /// Forward the piece to the caller.
         Relay,
-        /// Open the stream again on a new connection, from the next piece.
+        /// Reopen the stream on a new connection, from the next piece.
         Resume,
-        /// Tell the upstream to stop, and close the connection.
+        /// Cancel the work at the upstream and close the connection.
         Cancel,
-        /// Give back the place at the upstream.
+        /// Free the slot at the upstream.
         Release,
-        /// End the caller's answer well.
+        /// Complete the caller's answer.
         Finish,
-        /// Tell the caller that there is no whole answer; never as if complete.
+        /// Report the failure to the caller; a partial answer must never look complete.
         Fail,
     }
 }
 
-/// The chart of a request.
+/// State chart of a request.
 pub type RequestChart = StateChart<RequestState, RequestEvent, ExchangeAction>;
 
 static CHART: LazyLock<RequestChart> = LazyLock::new(|| {
@@ -105,49 +106,49 @@
         .expect("charts/request.json is checked by a test")
 });
 
-/// The request chart, loaded once.
+/// The request chart, loaded on first use.
 pub fn request_chart() -> &'static RequestChart {
     &CHART
 }
 
-/// What the traffic code saw.
+/// Event observed by the traffic code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent<'a> {
     /// The scheduler chose an upstream.
     Placed(UpstreamIndex),
-    /// The scheduler refused.
+    /// The scheduler refused the request.
     Refused(AnswerKind),
     /// The connection failed before a byte was sent.
     NotSent,
-    /// The request was sent, or its stream opened again.
+    /// The request was sent, or its stream was reopened.
     Opened,
-    /// An answer's head; `echo` is the request id it carries, if any.
+    /// The head of an answer.
     Head {
-        /// The echoed id.
+        /// The request id that the upstream echoes, if any.
         echo: Option<&'a str>,
     },
-    /// A piece with its number, counted from 1, and the id it carries, if any.
+    /// A piece of the answer.
     Piece {
-        /// Its number.
+        /// Sequence number, counted from 1.
         sequence: u64,
-        /// The echoed id.
+        /// The request id that the upstream echoes, if any.
         echo: Option<&'a str>,
     },
-    /// The end mark or declared length.
+    /// The end marker or declared length was reached.
     Ended,
-    /// The connection ended early.
+    /// The connection ended before the answer did.
     Cut,
-    /// No byte for longer than the silence limit.
+    /// No byte arrived for longer than the silence limit.
     Silent,
-    /// The upstream does not know the request, or would not resume.
+    /// The upstream does not know the request, or refused to resume it.
     ResumeRefused,
-    /// The caller closed its side.
+    /// The caller closed its connection.
     CallerLeft,
     /// The deadline passed.
     Deadline,
 }
 
-/// One request's exchange.
+/// The exchange of one request with its upstream.
 #[derive(Debug)]
 pub struct Exchange {
     machine: ChartMachine<RequestState, RequestEvent, ExchangeAction>,
@@ -162,7 +163,7 @@
 }
 
 impl Exchange {
-    /// The exchange of a request that is waiting; `id` is what the upstream must echo.
+    /// Creates the exchange of a waiting request; an id echoed by the upstream must equal `id`.
     pub fn new(id: impl Into<Arc<str>>, can_resume: bool) -> Self {
         Exchange {
             machine: request_chart().start(),
@@ -177,13 +178,13 @@
         }
     }
 
-    /// Takes an event; returns what to do, in order.
+    /// Processes an event and returns the actions to execute, in order.
     pub fn on(&mut self, event: ExchangeEvent<'_>, now: Moment) -> &'static [ExchangeAction] {
         let Some(event) = self.classify(event, now) else { return &[] };
         self.machine.step(event)
     }
 
-    /// Turns what was seen into the chart's event, by counts and ids.
+    /// Maps an observed event to an event of the chart; `None` if it is to be ignored.
     fn classify(&mut self, event: ExchangeEvent<'_>, now: Moment) -> Option<RequestEvent> {
         let chart_event = match event {
             ExchangeEvent::Placed(upstream) => {
@@ -232,8 +233,9 @@
         }
     }
 
-    /// A piece that came before is dropped: a resumed stream may begin earlier than asked. A gap in
-    /// the numbers means that pieces are missing; the stream is opened again from the last good one.
+    /// Drops duplicate pieces, since a resumed stream may begin earlier than requested. A gap in
+    /// the sequence numbers means that pieces are missing; the stream is resumed after the last
+    /// contiguous one.
     fn classify_piece(
         &mut self,
         sequence: u64,
@@ -256,7 +258,8 @@
         Some(RequestEvent::Piece)
     }
 
-    /// The stream stopped early: resume if the upstream can and attempts are left, else lost.
+    /// Selects the event for a stream that ended early: `event` if it can be resumed and attempts
+    /// are left, otherwise lost.
     fn interrupted(&mut self, event: RequestEvent, kind: AnswerKind) -> RequestEvent {
         if !self.can_resume || self.resumes >= RESUME_ATTEMPTS {
             return self.fail(RequestEvent::Lost, kind);
@@ -272,32 +275,31 @@
         event
     }
 
-    /// Where the request is.
+    /// Current state of the request.
     pub fn state(&self) -> RequestState {
         self.machine.state()
     }
 
-    /// True once the request has ended, one way or another.
+    /// True once the request is in a final state.
     pub fn is_final(&self) -> bool {
         self.machine.is_final()
     }
 
-    /// Why there is no whole answer.
+    /// The reason why there is no whole answer.
     pub fn failure(&self) -> AnswerKind {
         self.failure.unwrap_or(AnswerKind::UpstreamLost)
     }
 
-    /// Pieces passed on so far; a resume asks for what follows.
+    /// Number of pieces forwarded so far; a resume starts after them.
     pub fn pieces(&self) -> u64 {
         self.pieces
     }
 
-    /// The chosen upstream.
     pub fn upstream(&self) -> Option<UpstreamIndex> {
         self.upstream
     }
 
-    /// Time from sending to the first piece.
+    /// Time from sending the request to the first piece.
     pub fn first_piece(&self) -> Option<Duration> {
         self.first_piece
     }
