--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 /// Virtual time per token at weight 1; large enough to keep rounding in divisions by weight small.
-const TAG_SCALE: u64 = 1 << 20;
+const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 /// A head request is urgent once its slack is at most this fraction of its estimated run time.
-const RESCUE_SLACK: f64 = 0.25;
+const URGENT_SLACK_RATIO: f64 = 0.25;
 
 /// The weight of a tier in fair queueing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 
     /// True if it must be dispatched now to meet its deadline.
     fn is_urgent(&self, now: Moment) -> bool {
-        now + self.run_time.mul_f64(RESCUE_SLACK) >= self.latest_start()
+        now + self.run_time.mul_f64(URGENT_SLACK_RATIO) >= self.latest_start()
     }
 }
 
@@ -146,10 +146,10 @@
 #[derive(Debug, Default)]
 struct OrganisationLane {
     ids: VecDeque<RequestId>,
-    finish: u64,
+    finish_tag: u64,
     tokens: u64,
-    live: usize,
-    in_heap: bool,
+    waiting_count: usize,
+    is_in_heap: bool,
     weight: u32,
 }
 
@@ -157,8 +157,8 @@
 struct TierLane {
     rank: TierRank,
     weight: u64,
-    start: u64,
-    finish: u64,
+    start_tag: u64,
+    finish_tag: u64,
     virtual_time: u64,
     tokens: u64,
     count: usize,
@@ -171,8 +171,8 @@
         TierLane {
             rank: share.rank,
             weight: u64::from(share.weight.max(1)),
-            start: 0,
-            finish: 0,
+            start_tag: 0,
+            finish_tag: 0,
             virtual_time: 0,
             tokens: 0,
             count: 0,
@@ -181,21 +181,21 @@
         }
     }
 
-    fn push(&mut self, request: &WaitingRequest, first: bool) {
+    fn push(&mut self, request: &WaitingRequest, is_front: bool) {
         let lane = self.lanes.entry(request.organisation).or_default();
         lane.weight = request.weight.max(1);
-        match first {
+        match is_front {
             true => lane.ids.push_front(request.id),
             false => lane.ids.push_back(request.id),
         }
-        lane.live += 1;
+        lane.waiting_count += 1;
         lane.tokens += u64::from(request.cost);
         self.tokens += u64::from(request.cost);
         self.count += 1;
-        if !lane.in_heap {
-            lane.in_heap = true;
-            let start = lane.finish.max(self.virtual_time);
-            self.heap.push(Reverse((start, request.organisation)));
+        if !lane.is_in_heap {
+            lane.is_in_heap = true;
+            let start_tag = lane.finish_tag.max(self.virtual_time);
+            self.heap.push(Reverse((start_tag, request.organisation)));
         }
     }
 
@@ -205,15 +205,15 @@
         &mut self,
         entries: &HashMap<RequestId, WaitingRequest>,
     ) -> Option<(u64, OrganisationIndex, RequestId)> {
-        while let Some(Reverse((start, organisation))) = self.heap.peek().copied() {
+        while let Some(Reverse((start_tag, organisation))) = self.heap.peek().copied() {
             let lane = self.lanes.get_mut(&organisation)?;
             while lane.ids.front().is_some_and(|id| !entries.contains_key(id)) {
                 lane.ids.pop_front();
             }
             match lane.ids.front() {
-                Some(id) => return Some((start, organisation, *id)),
+                Some(id) => return Some((start_tag, organisation, *id)),
                 None => {
-                    lane.in_heap = false;
+                    lane.is_in_heap = false;
                     self.heap.pop();
                 }
             }
@@ -222,34 +222,40 @@
     }
 
     /// Dequeues the head request, charges its organisation and computes the next start tag.
-    fn take_head(&mut self, start: u64, organisation: OrganisationIndex, request: &WaitingRequest) {
+    fn take_head(
+        &mut self,
+        start_tag: u64,
+        organisation: OrganisationIndex,
+        request: &WaitingRequest,
+    ) {
         self.heap.pop();
-        self.virtual_time = self.virtual_time.max(start);
-        self.forget(request);
+        self.virtual_time = self.virtual_time.max(start_tag);
+        self.deduct(request);
         let Some(lane) = self.lanes.get_mut(&organisation) else { return };
         lane.ids.pop_front();
-        lane.finish = start + u64::from(request.cost) * TAG_SCALE / u64::from(lane.weight);
-        lane.in_heap = lane.live > 0;
-        if lane.in_heap {
-            self.heap.push(Reverse((lane.finish, organisation)));
+        lane.finish_tag =
+            start_tag + u64::from(request.cost) * VIRTUAL_TIME_PER_TOKEN / u64::from(lane.weight);
+        lane.is_in_heap = lane.waiting_count > 0;
+        if lane.is_in_heap {
+            self.heap.push(Reverse((lane.finish_tag, organisation)));
         }
     }
 
     /// Subtracts a request from the counters; its id stays in the lane until it reaches the front.
-    fn forget(&mut self, request: &WaitingRequest) {
+    fn deduct(&mut self, request: &WaitingRequest) {
         self.tokens -= u64::from(request.cost);
         self.count -= 1;
         let Some(lane) = self.lanes.get_mut(&request.organisation) else { return };
-        lane.live -= 1;
+        lane.waiting_count -= 1;
         lane.tokens -= u64::from(request.cost);
-        if lane.live == 0 {
+        if lane.waiting_count == 0 {
             lane.ids.clear();
         }
     }
 
     /// The newest request of the organisation with the most waiting tokens.
     fn newest(&mut self, entries: &HashMap<RequestId, WaitingRequest>) -> Option<RequestId> {
-        let largest = self.lanes.iter().filter(|(_, lane)| lane.live > 0);
+        let largest = self.lanes.iter().filter(|(_, lane)| lane.waiting_count > 0);
         let (organisation, _) =
             largest.max_by_key(|(organisation, lane)| (lane.tokens, **organisation))?;
         let organisation = *organisation;
@@ -290,13 +296,13 @@
             .unwrap_or(self.tiers.len().saturating_sub(1))
     }
 
-    fn insert(&mut self, request: WaitingRequest, first: bool) {
+    fn insert(&mut self, request: WaitingRequest, is_front: bool) {
         let position = self.position(request.tier);
         let lane = &mut self.tiers[position];
         if lane.count == 0 {
-            lane.start = lane.finish.max(self.virtual_time);
+            lane.start_tag = lane.finish_tag.max(self.virtual_time);
         }
-        lane.push(&request, first);
+        lane.push(&request, is_front);
         self.late.insert((request.late_at, request.id));
         self.entries.insert(request.id, request);
     }
@@ -315,14 +321,14 @@
             if urgent.is_none() && head.is_urgent(now) {
                 urgent = Some(position);
             }
-            if fair.is_none_or(|best| self.tiers[position].start < self.tiers[best].start) {
+            if fair.is_none_or(|best| self.tiers[position].start_tag < self.tiers[best].start_tag) {
                 fair = Some(position);
             }
         }
         urgent.filter(|position| fair.is_none_or(|best| *position < best)).or(fair)
     }
 
-    fn take(&mut self, id: RequestId) -> Option<WaitingRequest> {
+    fn take_entry(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.entries.remove(&id)?;
         self.late.remove(&(request.late_at, id));
         Some(request)
@@ -340,20 +346,21 @@
 
     fn pop(&mut self, lowest: TierRank, now: Moment) -> Option<WaitingRequest> {
         let position = self.next_tier(lowest, now)?;
-        let (start, organisation, id) = self.tiers[position].head(&self.entries)?;
-        let request = self.take(id)?;
+        let (start_tag, organisation, id) = self.tiers[position].head(&self.entries)?;
+        let request = self.take_entry(id)?;
         let lane = &mut self.tiers[position];
-        lane.take_head(start, organisation, &request);
-        self.virtual_time = self.virtual_time.max(lane.start);
-        lane.finish = lane.start + u64::from(request.cost) * TAG_SCALE / lane.weight;
-        lane.start = lane.finish;
+        lane.take_head(start_tag, organisation, &request);
+        self.virtual_time = self.virtual_time.max(lane.start_tag);
+        lane.finish_tag =
+            lane.start_tag + u64::from(request.cost) * VIRTUAL_TIME_PER_TOKEN / lane.weight;
+        lane.start_tag = lane.finish_tag;
         Some(request)
     }
 
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
-        let request = self.take(id)?;
+        let request = self.take_entry(id)?;
         let position = self.position(request.tier);
-        self.tiers[position].forget(&request);
+        self.tiers[position].deduct(&request);
         Some(request)
     }
 
@@ -391,7 +398,7 @@
     fn virtual_span(&self, tier: TierRank, organisation: OrganisationIndex, weight: u32) -> u64 {
         let tier = self.tiers.iter().find(|lane| lane.rank == tier);
         let own = tier.and_then(|tier| tier.lanes.get(&organisation));
-        own.map_or(0, |lane| lane.tokens * TAG_SCALE / u64::from(weight.max(1)))
+        own.map_or(0, |lane| lane.tokens * VIRTUAL_TIME_PER_TOKEN / u64::from(weight.max(1)))
     }
 
     fn waiting_count(&self, tier: TierRank) -> usize {
@@ -422,7 +429,7 @@
 }
 
 impl FifoQueue {
-    fn take(&mut self, id: RequestId) -> Option<WaitingRequest> {
+    fn take_entry(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.entries.remove(&id)?;
         self.late.remove(&(request.deadline, id));
         Some(request)
@@ -447,7 +454,7 @@
 
     fn pop(&mut self, _lowest: TierRank, _now: Moment) -> Option<WaitingRequest> {
         while let Some(id) = self.ids.pop_front() {
-            if let Some(request) = self.take(id) {
+            if let Some(request) = self.take_entry(id) {
                 return Some(request);
             }
         }
@@ -455,7 +462,7 @@
     }
 
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
-        self.take(id)
+        self.take_entry(id)
     }
 
     fn evict_below(&mut self, _tier: TierRank) -> Option<WaitingRequest> {
@@ -464,7 +471,7 @@
 
     fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest> {
         let (deadline, id) = self.late.first().copied()?;
-        if deadline >= now { None } else { self.take(id) }
+        if deadline >= now { None } else { self.take_entry(id) }
     }
 
     fn len(&self) -> usize {
