--- a/src/policy/urgency_queue.rs
+++ b/src/policy/urgency_queue.rs
@@ -5,9 +5,9 @@
 //! request late because each waits behind others that are late already. Serving by density makes
 //! the most of engine time: a request that can still meet its objective has more value than one
 //! that no longer can, a higher rank more than a lower one, and a short request more per unit of
-//! cost than a long one. A lane holds the requests of one tier and rank. Every [`TURN`]th dispatch
+//! cost than a long one. A lane holds the requests of one tier and rank. Every [`ROTATION_INTERVAL`]th dispatch
 //! rotates among the lanes and takes the request due first, so that no lane starves; every
-//! [`OWED_TURN`]th takes a request of an underserved size, so that no size starves.
+//! [`UNDERSERVED_INTERVAL`]th takes a request of an underserved size, so that no size starves.
 
 use super::queue::{WaitingQueue, WaitingRequest};
 use super::worth::{CostLadder, LATE_WORTH, LaneMeans, step_worth};
@@ -19,10 +19,10 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Interval, in dispatches, at which one rotates among the lanes.
-const TURN: u32 = 16;
+const ROTATION_INTERVAL: u32 = 16;
 /// Interval, in dispatches, at which one goes to a request of an underserved size. Not every
 /// dispatch: such requests are large, and the few engines that fit them are seldom free.
-const OWED_TURN: u32 = 4;
+const UNDERSERVED_INTERVAL: u32 = 4;
 
 /// Value density as an ordered integer: non-negative floats sort in the order of their bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,7 +46,7 @@
 }
 
 /// Requests by descending density, then by due time.
-type DenseOrder = BTreeSet<(Reverse<DensityKey>, Moment, RequestId)>;
+type DensityOrder = BTreeSet<(Reverse<DensityKey>, Moment, RequestId)>;
 
 /// Requests of one tier and one rank within it.
 #[derive(Debug)]
@@ -54,14 +54,14 @@
     tier: TierRank,
     rank: u8,
     /// Value of a request of mean size.
-    worth: f64,
+    value: f64,
     means: LaneMeans,
     /// Requests of underserved sizes, in time or late, by due time; they are in no other set of the
     /// lane.
-    owed: BTreeSet<(Moment, RequestId)>,
+    underserved: BTreeSet<(Moment, RequestId)>,
     due: BTreeSet<(Moment, RequestId)>,
-    in_time: DenseOrder,
-    late: DenseOrder,
+    in_time: DensityOrder,
+    late: DensityOrder,
     cost: u64,
 }
 
@@ -71,14 +71,14 @@
             true => self.means.density(request.prompt_tokens, request.output_tokens, request.cost),
             false => self.means.mean_density(),
         };
-        self.worth * density
+        self.value * density
     }
 
     fn insert(&mut self, queued: &QueuedRequest) {
         let request = &queued.request;
         self.cost += u64::from(request.cost);
         if request.is_owed {
-            self.owed.insert((request.start_by, request.id));
+            self.underserved.insert((request.start_by, request.id));
             return;
         }
         self.due.insert((request.start_by, request.id));
@@ -90,13 +90,13 @@
         let key = (Reverse(queued.density), request.start_by, request.id);
         self.cost -= u64::from(request.cost);
         self.due.remove(&(request.start_by, request.id));
-        self.owed.remove(&(request.start_by, request.id));
+        self.underserved.remove(&(request.start_by, request.id));
         if !self.in_time.remove(&key) {
             self.late.remove(&key);
         }
     }
 
-    /// The next request outside `owed` and its density; requests in time come first.
+    /// The next request outside `underserved` and its density; requests in time come first.
     fn head(&self) -> Option<(f64, RequestId)> {
         let in_time = self.in_time.first().map(|(density, _, id)| (density.0.density(), *id));
         let late = self.late.first().map(|(density, _, id)| (density.0.density(), *id));
@@ -104,22 +104,22 @@
     }
 
     /// The request in time that is due first, or else the first of the late ones.
-    fn due_first(&self) -> Option<RequestId> {
+    fn earliest_due(&self) -> Option<RequestId> {
         self.due.first().map(|(_, id)| *id).or_else(|| self.late.first().map(|(.., id)| *id))
     }
 
     /// The request to evict first.
-    fn last(&self) -> Option<RequestId> {
-        let usual = self.late.last().or(self.in_time.last()).map(|(.., id)| *id);
-        usual.or(self.owed.last().map(|(_, id)| *id))
+    fn eviction_candidate(&self) -> Option<RequestId> {
+        let regular = self.late.last().or(self.in_time.last()).map(|(.., id)| *id);
+        regular.or(self.underserved.last().map(|(_, id)| *id))
     }
 
     fn len(&self) -> usize {
-        self.owed.len() + self.usual_len()
+        self.underserved.len() + self.regular_len()
     }
 
-    /// Number of requests outside `owed`.
-    fn usual_len(&self) -> usize {
+    /// Number of requests outside `underserved`.
+    fn regular_len(&self) -> usize {
         self.in_time.len() + self.late.len()
     }
 }
@@ -132,9 +132,9 @@
     lanes: Vec<UrgencyLane>,
     entries: HashMap<RequestId, QueuedRequest>,
     late: BTreeSet<(Moment, RequestId)>,
-    ladder: CostLadder,
+    histogram: CostLadder,
     popped: u32,
-    next_turn: usize,
+    next_lane: usize,
 }
 
 impl UrgencyQueue {
@@ -146,9 +146,9 @@
             lanes: Vec::new(),
             entries: HashMap::new(),
             late: BTreeSet::new(),
-            ladder: CostLadder::default(),
+            histogram: CostLadder::default(),
             popped: 0,
-            next_turn: 0,
+            next_lane: 0,
         }
     }
 
@@ -158,9 +158,9 @@
             self.lanes.push(UrgencyLane {
                 tier,
                 rank,
-                worth: step_worth(&self.tiers, tier, rank),
+                value: step_worth(&self.tiers, tier, rank),
                 means: LaneMeans::default(),
-                owed: BTreeSet::new(),
+                underserved: BTreeSet::new(),
                 due: BTreeSet::new(),
                 in_time: BTreeSet::new(),
                 late: BTreeSet::new(),
@@ -172,7 +172,7 @@
     }
 
     /// Marks requests whose latest start has passed as late and lowers their density.
-    fn age(&mut self, now: Moment) {
+    fn mark_late(&mut self, now: Moment) {
         for lane in &mut self.lanes {
             while let Some((start_by, id)) = lane.due.first().copied().filter(|due| due.0 < now) {
                 lane.due.remove(&(start_by, id));
@@ -181,37 +181,43 @@
                 lane.in_time.remove(&key);
                 let late = DensityKey::of(queued.density.density() * LATE_WORTH);
                 lane.late.insert((Reverse(late), start_by, id));
-                self.ladder.remove(queued.density.density(), queued.request.cost);
-                self.ladder.add(late.density(), queued.request.cost);
+                self.histogram.remove(queued.density.density(), queued.request.cost);
+                self.histogram.add(late.density(), queued.request.cost);
                 queued.density = late;
             }
         }
     }
 
     /// The first request of an underserved size in the highest lane that has one.
-    fn first_owed(&self) -> Option<RequestId> {
-        let owed = self.lanes.iter().filter_map(|lane| Some((lane, lane.owed.first()?)));
-        owed.min_by_key(|(lane, first)| (lane.tier, lane.rank, **first)).map(|(_, (_, id))| *id)
+    fn first_underserved(&self) -> Option<RequestId> {
+        let underserved =
+            self.lanes.iter().filter_map(|lane| Some((lane, lane.underserved.first()?)));
+        underserved
+            .min_by_key(|(lane, first)| (lane.tier, lane.rank, **first))
+            .map(|(_, (_, id))| *id)
     }
 
     fn next(&mut self) -> Option<RequestId> {
         self.popped += 1;
-        if self.popped % OWED_TURN == 1
-            && let Some(id) = self.first_owed()
+        if self.popped % UNDERSERVED_INTERVAL == 1
+            && let Some(id) = self.first_underserved()
         {
             return Some(id);
         }
-        if self.popped.is_multiple_of(TURN) && self.mechanisms.has(Mechanism::LaneTurns) {
+        if self.popped.is_multiple_of(ROTATION_INTERVAL)
+            && self.mechanisms.has(Mechanism::LaneTurns)
+        {
             let count = self.lanes.len();
-            let turns = (0..count).map(|step| (self.next_turn + step) % count.max(1));
-            let turn = turns.into_iter().find(|position| self.lanes[*position].usual_len() > 0);
-            let Some(turn) = turn else { return self.first_owed() };
-            self.next_turn = turn + 1;
-            return self.lanes[turn].due_first();
+            let lane_indices = (0..count).map(|step| (self.next_lane + step) % count.max(1));
+            let lane_idx =
+                lane_indices.into_iter().find(|position| self.lanes[*position].regular_len() > 0);
+            let Some(lane_idx) = lane_idx else { return self.first_underserved() };
+            self.next_lane = lane_idx + 1;
+            return self.lanes[lane_idx].earliest_due();
         }
         let heads = self.lanes.iter().filter_map(UrgencyLane::head);
         let best = heads.max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id);
-        best.or_else(|| self.first_owed())
+        best.or_else(|| self.first_underserved())
     }
 
     fn density(&mut self, request: &WaitingRequest) -> f64 {
@@ -221,7 +227,7 @@
 
     fn enqueue(&mut self, request: WaitingRequest) {
         let density = DensityKey::of(self.density(&request));
-        self.ladder.add(density.density(), request.cost);
+        self.histogram.add(density.density(), request.cost);
         self.late.insert((request.late_at, request.id));
         let queued = QueuedRequest { request, density };
         self.lane(queued.request.tier, queued.request.rank).insert(&queued);
@@ -241,7 +247,7 @@
     }
 
     fn pop(&mut self, _lowest: TierRank, now: Moment) -> Option<WaitingRequest> {
-        self.age(now);
+        self.mark_late(now);
         let id = self.next()?;
         self.remove(id)
     }
@@ -251,14 +257,14 @@
         let (tier, rank) = (queued.request.tier, queued.request.rank);
         self.late.remove(&(queued.request.late_at, id));
         self.lane(tier, rank).remove(&queued);
-        self.ladder.remove(queued.density.density(), queued.request.cost);
+        self.histogram.remove(queued.density.density(), queued.request.cost);
         Some(queued.request)
     }
 
     fn evict_below(&mut self, tier: TierRank) -> Option<WaitingRequest> {
         let lower = self.lanes.iter().filter(|lane| lane.tier > tier && lane.len() > 0);
-        let lowest = lower.min_by(|a, b| a.worth.total_cmp(&b.worth))?;
-        let id = lowest.last()?;
+        let lowest = lower.min_by(|a, b| a.value.total_cmp(&b.value))?;
+        let id = lowest.eviction_candidate()?;
         self.remove(id)
     }
 
@@ -289,17 +295,17 @@
     }
 
     fn cost_before(&mut self, request: &WaitingRequest, is_late: bool, now: Moment) -> u64 {
-        self.age(now);
+        self.mark_late(now);
         let density = self.density(request);
-        self.ladder.cost_from(if is_late { density * LATE_WORTH } else { density })
+        self.histogram.cost_from(if is_late { density * LATE_WORTH } else { density })
     }
 
     fn levels(&self) -> WaitingLevels {
         let mut levels = WaitingLevels::default();
         // Requests of underserved sizes have dispatches reserved for them; others do not yield to
         // them.
-        let usual = self.entries.values().filter(|queued| !queued.request.is_owed);
-        let densities = usual.map(|queued| queued.density.density());
+        let regular = self.entries.values().filter(|queued| !queued.request.is_owed);
+        let densities = regular.map(|queued| queued.density.density());
         densities.for_each(|density| levels.add(WorthLevel::of(density), 1));
         levels
     }
@@ -316,7 +322,7 @@
         requests.sort_by_key(|request| (request.arrived, request.id));
         self.late.clear();
         self.lanes.clear();
-        self.ladder = CostLadder::default();
+        self.histogram = CostLadder::default();
         requests
     }
 }
