--- a/src/policy/organisation_limits.rs
+++ b/src/policy/organisation_limits.rs
@@ -8,26 +8,26 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-const MICROS: f64 = 1_000_000.0;
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
 /// Fraction of the difference to the other daemons' buckets that one round of messages corrects,
 /// all senders together. At 10 rounds a second, buckets converge within a second, while admissions
 /// that are still being reported have little effect.
-const LEVEL_STEP: f64 = 0.18;
+const CONVERGENCE_RATIO: f64 = 0.18;
 /// Largest fraction of the difference corrected for one sender.
-const MOST_LEVEL_STEP: f64 = 0.1;
+const MAX_SENDER_CONVERGENCE_RATIO: f64 = 0.1;
 /// Differences between buckets up to this many microseconds are not corrected.
-const LEVEL_GAP: f64 = 0.3 * MICROS;
+const IGNORED_GAP_MICROS: f64 = 0.3 * MICROS_PER_SECOND;
 /// Fraction of a bucket reserved for higher ranks, by rank.
-const RESERVES: [f64; 3] = [0.0, 0.2, 0.5];
+const RANK_RESERVES: [f64; 3] = [0.0, 0.2, 0.5];
 /// Fraction that returning callers, whose answers are late in any case, leave to new callers.
 const RETURN_RESERVE: f64 = 0.35;
 /// Routes whose requests cost at most this fraction of the burst are exempt from reserves: refusing
 /// a booking of 200 tokens saves next to nothing of a limit of 65,000.
-const SMALL_PART: f64 = 0.01;
+const SMALL_COST_RATIO: f64 = 0.01;
 /// Largest debt of a bucket, in microseconds of refill until it is back at empty.
-const MOST_DEBT: f64 = 2.0 * MICROS;
+const MAX_DEBT_MICROS: f64 = 2.0 * MICROS_PER_SECOND;
 /// A process that has not run for this long counts as paused; it is scheduled every 100 ms.
-const PAUSED_AFTER: Duration = Duration::from_millis(700);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 /// Burst, in seconds of the token rate, where the table sets none.
 const DEFAULT_BURST_SECONDS: f64 = 10.0;
 
@@ -54,7 +54,7 @@
     /// Expected traffic of the other daemons.
     forecast: LimitForecast,
     /// By route; created by the first request of the route that needs pacing.
-    paces: HashMap<RouteKey, AdmissionPace>,
+    pacers: HashMap<RouteKey, AdmissionPacer>,
 }
 
 /// Expected traffic of the other daemons that share an organisation's limit.
@@ -72,57 +72,57 @@
 
 impl LimitForecast {
     /// Tokens that the other daemons are expected to have admitted since they were last counted.
-    fn unknown(&self, now: Moment) -> f64 {
-        self.others_taken * now.since(self.counted_until).min(LONGEST_FORECAST).as_secs_f64()
+    fn unreported_tokens(&self, now: Moment) -> f64 {
+        self.others_taken * now.since(self.counted_until).min(MAX_EXTRAPOLATION).as_secs_f64()
     }
 
     /// Tokens requested from the fleet until all daemons know what is admitted now.
-    fn contended(&self) -> f64 {
+    fn contended_tokens(&self) -> f64 {
         self.fleet_asked * self.horizon.as_secs_f64()
     }
 }
 
 /// Longest time for which the others' traffic is extrapolated; after that, daemons that stay silent
 /// are accounted for by an assumed rate.
-const LONGEST_FORECAST: Duration = Duration::from_millis(600);
+const MAX_EXTRAPOLATION: Duration = Duration::from_millis(600);
 
 /// Admits a fraction of the requested tokens, spread evenly over the requests: each request adds
 /// that fraction of its cost as credit, and one passes once the credit covers its cost. Daemons
 /// start with different credit, since otherwise all would treat their first requests alike.
 #[derive(Clone, Copy, Debug)]
-struct AdmissionPace {
+struct AdmissionPacer {
     credit: f64,
 }
 
-impl AdmissionPace {
-    fn passes(&mut self, cost: f64, part: f64) -> bool {
+impl AdmissionPacer {
+    fn admits(&mut self, cost: f64, part: f64) -> bool {
         self.credit += cost * part;
         let passes = self.credit >= cost;
         self.credit -= if passes { cost } else { 0.0 };
         // Credit left over by a large request must not admit many small ones at once.
-        self.credit = self.credit.min(cost.max(1.0) * MOST_CREDIT);
+        self.credit = self.credit.min(cost.max(1.0) * MAX_CREDIT_REQUESTS);
         passes
     }
 }
 
 /// Maximum number of routes paced per organisation; bounds the map, since routes come and go.
-const MOST_PACES: usize = 256;
+const MAX_PACERS: usize = 256;
 
 /// Maximum credit kept, in requests of the size of the last one.
-const MOST_CREDIT: f64 = 2.0;
+const MAX_CREDIT_REQUESTS: f64 = 2.0;
 
 impl LimitState {
     /// Admits the fraction of the fleet's requested tokens that the limit allows. Used when all
     /// daemons together could spend the rest of a bucket before they learn of each other's
     /// admissions; without it, each daemon spends the same rest. Each route is paced separately: in
-    /// a shared pace, cheap routes would use up the credit that an expensive one waits for.
-    fn passes_paced(&mut self, kind: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
+    /// a shared pacer, cheap routes would use up the credit that an expensive one waits for.
+    fn admits_paced(&mut self, kind: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
         let part = rate / self.forecast.fleet_asked.max(rate);
-        if self.paces.len() >= MOST_PACES && !self.paces.contains_key(&kind) {
-            self.paces.clear();
+        if self.pacers.len() >= MAX_PACERS && !self.pacers.contains_key(&kind) {
+            self.pacers.clear();
         }
-        let pace = self.paces.entry(kind).or_insert(AdmissionPace { credit: cost * start });
-        pace.passes(cost, part)
+        let pacer = self.pacers.entry(kind).or_insert(AdmissionPacer { credit: cost * start });
+        pacer.admits(cost, part)
     }
 }
 
@@ -151,11 +151,11 @@
     tolerance: LimitTolerance,
     mechanisms: MechanismSet,
     /// Time at which all buckets were empty, after a start or a pause; `None` if they started full.
-    began_empty: Option<Moment>,
+    emptied_at: Option<Moment>,
     /// Time at which this process was last known to run.
-    alive_at: Option<Moment>,
-    /// Initial credit of this daemon's paces, as a fraction of a request, 0.0 to 1.0.
-    pace_start: f64,
+    last_alive_at: Option<Moment>,
+    /// Initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0.
+    initial_credit: f64,
 }
 
 /// How far token limits may be exceeded, where operators allow it because a fleet cannot count
@@ -169,20 +169,20 @@
 }
 
 impl LimitTolerance {
-    fn let_through(&self, rate: u64) -> f64 {
-        rate as f64 * (1.0 + self.overage * TOLERANCE_USED)
+    fn admitted_rate(&self, rate: u64) -> f64 {
+        rate as f64 * (1.0 + self.overage * USED_TOLERANCE_RATIO)
     }
 
     fn burst(&self, limit: &OrganisationLimit, rate: u64) -> f64 {
-        let usual = || self.let_through(rate) * DEFAULT_BURST_SECONDS;
+        let usual = || self.admitted_rate(rate) * DEFAULT_BURST_SECONDS;
         let burst = limit.burst_tokens.map_or_else(usual, |burst| burst as f64);
-        burst + self.slack as f64 * TOLERANCE_USED
+        burst + self.slack as f64 * USED_TOLERANCE_RATIO
     }
 }
 
 /// Fraction of the tolerance given to callers; the rest covers what other daemons have admitted and
 /// not yet reported.
-const TOLERANCE_USED: f64 = 0.5;
+const USED_TOLERANCE_RATIO: f64 = 0.5;
 
 impl Default for LimitTable {
     fn default() -> Self {
@@ -192,18 +192,18 @@
             share: 1.0,
             tolerance: LimitTolerance::default(),
             mechanisms: MechanismSet::default(),
-            began_empty: None,
-            alive_at: None,
-            pace_start: 0.5,
+            emptied_at: None,
+            last_alive_at: None,
+            initial_credit: 0.5,
         }
     }
 }
 
 impl LimitTable {
-    /// Sets the initial credit of this daemon's paces, as a fraction of a request, 0.0 to 1.0. Each
+    /// Sets the initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0. Each
     /// daemon draws it at random, so that they differ.
     pub fn set_pace_start(&mut self, start: f64) {
-        self.pace_start = start.clamp(0.0, 1.0);
+        self.initial_credit = start.clamp(0.0, 1.0);
     }
 
     /// Replaces the limits; requests in progress stay counted.
@@ -223,24 +223,25 @@
 
     /// Empties all buckets, since a new process does not know what the fleet has just admitted.
     pub fn start_empty(&mut self, now: Moment) {
-        self.began_empty = Some(now);
+        self.emptied_at = Some(now);
     }
 
     /// Records that the process is running. After a pause all buckets are emptied, as in a new
     /// process, since it is unknown what the others admitted meanwhile.
     pub fn alive(&mut self, now: Moment) {
-        let has_paused = self.alive_at.is_some_and(|at| now.since(at) >= PAUSED_AFTER);
-        self.alive_at = Some(now);
-        if !has_paused || self.began_empty.is_none() {
+        let has_paused = self.last_alive_at.is_some_and(|at| now.since(at) >= PAUSE_THRESHOLD);
+        self.last_alive_at = Some(now);
+        if !has_paused || self.emptied_at.is_none() {
             return;
         }
-        self.began_empty = Some(now);
+        self.emptied_at = Some(now);
         for (organisation, state) in &mut self.states {
             let limit = self.limits.get(organisation).copied().unwrap_or_default();
             let Some(rate) = limit.tokens_per_second else { continue };
-            let (through, burst) =
-                (self.tolerance.let_through(rate), self.tolerance.burst(&limit, rate));
-            state.full_at = state.full_at.max(now.0 as f64 + burst / through * MICROS);
+            let (admitted_rate, burst) =
+                (self.tolerance.admitted_rate(rate), self.tolerance.burst(&limit, rate));
+            state.full_at =
+                state.full_at.max(now.0 as f64 + burst / admitted_rate * MICROS_PER_SECOND);
         }
     }
 
@@ -252,13 +253,13 @@
     }
 
     /// The initial state of an organisation at its first request.
-    fn first_state(&self, organisation: OrganisationIndex) -> LimitState {
+    fn initial_state(&self, organisation: OrganisationIndex) -> LimitState {
         let limit = self.limits.get(&organisation).copied().unwrap_or_default();
-        let (Some(began), Some(rate)) = (self.began_empty, limit.tokens_per_second) else {
+        let (Some(emptied_at), Some(rate)) = (self.emptied_at, limit.tokens_per_second) else {
             return LimitState::default();
         };
-        let refill = self.burst(&limit, rate) / self.let_through(rate) * MICROS;
-        LimitState { full_at: began.0 as f64 + refill, ..LimitState::default() }
+        let refill = self.burst(&limit, rate) / self.admitted_rate(rate) * MICROS_PER_SECOND;
+        LimitState { full_at: emptied_at.0 as f64 + refill, ..LimitState::default() }
     }
 
     /// The burst of the whole fleet, in tokens.
@@ -267,8 +268,8 @@
     }
 
     /// The rate admitted by the whole fleet, in tokens per second.
-    fn let_through(&self, rate: u64) -> f64 {
-        self.tolerance.let_through(rate)
+    fn admitted_rate(&self, rate: u64) -> f64 {
+        self.tolerance.admitted_rate(rate)
     }
 
     /// Sets this daemon's share of every limit.
@@ -300,7 +301,7 @@
         claim: LimitClaim,
         now: Moment,
     ) -> Result<(), AnswerKind> {
-        if self.alive_at.is_some() {
+        if self.last_alive_at.is_some() {
             self.alive(now);
         }
         let reserve = self.reserve(claim);
@@ -309,40 +310,41 @@
         if limit.tokens_per_second.is_some() && self.share <= 0.0 {
             return Err(AnswerKind::RateLimited);
         }
-        let whole =
-            limit.tokens_per_second.map(|rate| (self.let_through(rate), self.burst(&limit, rate)));
-        let first = self.first_state(organisation);
-        let state = self.states.entry(organisation).or_insert(first);
-        if limit.concurrent.is_some_and(|most| {
-            f64::from(state.in_progress) + 1.0 > (f64::from(most) * self.share).max(1.0)
+        let fleet_limit = limit
+            .tokens_per_second
+            .map(|rate| (self.admitted_rate(rate), self.burst(&limit, rate)));
+        let initial = self.initial_state(organisation);
+        let state = self.states.entry(organisation).or_insert(initial);
+        if limit.concurrent.is_some_and(|max| {
+            f64::from(state.in_progress) + 1.0 > (f64::from(max) * self.share).max(1.0)
         }) {
             return Err(AnswerKind::ConcurrencyLimited);
         }
         state.asked += u64::from(cost);
-        if let Some((rate, burst)) = whole {
+        if let Some((rate, burst)) = fleet_limit {
             let (rate, burst) = (rate * self.share, burst * self.share);
             let time_now = now.0 as f64;
             let full_at = state.full_at.max(time_now);
-            let unknown = state.forecast.unknown(now);
-            let spent = (full_at - time_now) * rate / MICROS + unknown;
+            let unreported_tokens = state.forecast.unreported_tokens(now);
+            let spent = (full_at - time_now) * rate / MICROS_PER_SECOND + unreported_tokens;
             // A request larger than the burst passes when the bucket is full; otherwise it never
             // could.
-            let is_full = full_at <= time_now && unknown < f64::from(cost);
+            let is_full = full_at <= time_now && unreported_tokens < f64::from(cost);
             // The decision uses the mean cost of the route: with each request's own cost, small
             // ones would use up the tokens that a large one waits for.
             let usual_cost = f64::from(claim.usual_cost);
-            let is_small = usual_cost <= burst * SMALL_PART;
+            let is_small = usual_cost <= burst * SMALL_COST_RATIO;
             let usable = if is_small { burst } else { burst * (1.0 - reserve) };
             let is_spent = spent + usual_cost > usable || spent + f64::from(cost) > burst;
             if is_spent && !is_full {
                 return Err(AnswerKind::RateLimited);
             }
-            if spent + usual_cost + state.forecast.contended() > usable
-                && !state.passes_paced(claim.kind, usual_cost, rate, self.pace_start)
+            if spent + usual_cost + state.forecast.contended_tokens() > usable
+                && !state.admits_paced(claim.kind, usual_cost, rate, self.initial_credit)
             {
                 return Err(AnswerKind::RateLimited);
             }
-            let full_at = full_at + f64::from(cost) / rate * MICROS;
+            let full_at = full_at + f64::from(cost) / rate * MICROS_PER_SECOND;
             state.full_at = full_at;
         }
         state.taken += i64::from(cost);
@@ -353,22 +355,22 @@
     /// The fraction of a bucket that a request must leave to others.
     fn reserve(&self, claim: LimitClaim) -> f64 {
         let by_rank = match self.mechanisms.has(Mechanism::RankReserve) {
-            true => RESERVES[usize::from(claim.rank).min(RESERVES.len() - 1)],
+            true => RANK_RESERVES[usize::from(claim.rank).min(RANK_RESERVES.len() - 1)],
             false => 0.0,
         };
-        let is_late = claim.has_returned && self.mechanisms.has(Mechanism::ReturnReserve);
-        if is_late { by_rank + (1.0 - by_rank) * RETURN_RESERVE } else { by_rank }
+        let is_returning = claim.has_returned && self.mechanisms.has(Mechanism::ReturnReserve);
+        if is_returning { by_rank + (1.0 - by_rank) * RETURN_RESERVE } else { by_rank }
     }
 
     /// Frees a concurrency slot and returns `unused` tokens, those of work that did not run.
     pub fn release(&mut self, organisation: OrganisationIndex, unused: u32) {
         let rate = self.limits.get(&organisation).and_then(|limit| limit.tokens_per_second);
-        let rate = rate.map(|rate| self.let_through(rate));
+        let rate = rate.map(|rate| self.admitted_rate(rate));
         let Some(state) = self.states.get_mut(&organisation) else { return };
         state.in_progress = state.in_progress.saturating_sub(1);
         state.taken -= i64::from(unused);
         if let Some(rate) = rate.filter(|_| self.share > 0.0) {
-            state.full_at -= f64::from(unused) / (rate * self.share) * MICROS;
+            state.full_at -= f64::from(unused) / (rate * self.share) * MICROS_PER_SECOND;
         }
     }
 
@@ -378,19 +380,19 @@
         let rate = self.limits.get(&organisation).and_then(|limit| limit.tokens_per_second);
         let limit = self.limits.get(&organisation).copied().unwrap_or_default();
         let Some((rate, empty)) = rate.map(|rate| {
-            let through = self.let_through(rate);
-            (through, self.burst(&limit, rate) / through * MICROS)
+            let admitted_rate = self.admitted_rate(rate);
+            (admitted_rate, self.burst(&limit, rate) / admitted_rate * MICROS_PER_SECOND)
         }) else {
             return;
         };
-        let first = self.first_state(organisation);
-        let state = self.states.entry(organisation).or_insert(first);
+        let initial = self.initial_state(organisation);
+        let state = self.states.entry(organisation).or_insert(initial);
         let full_at = state.full_at.max(now.0 as f64);
-        let full_at = full_at + tokens as f64 / rate * MICROS;
+        let full_at = full_at + tokens as f64 / rate * MICROS_PER_SECOND;
         // Debt from admissions that were not known here is capped: after a network partition heals,
         // a debt of many seconds would refuse an organisation that is long back within its limit.
-        let most = now.0 as f64 + empty + MOST_DEBT;
-        state.full_at = full_at.min(most.max(state.full_at));
+        let max = now.0 as f64 + empty + MAX_DEBT_MICROS;
+        state.full_at = full_at.min(max.max(state.full_at));
     }
 
     /// Moves an organisation's bucket a little towards another daemon's estimate. Without it, the
@@ -405,12 +407,12 @@
     ) {
         let Some(state) = self.states.get_mut(&organisation) else { return };
         let own = state.full_at.max(now.0 as f64);
-        let told = now.0 as f64 + refill.as_micros() as f64;
-        let gap = told - own;
+        let reported = now.0 as f64 + refill.as_micros() as f64;
+        let gap = reported - own;
         // Small gaps are admissions not yet reported.
-        let lasting = gap.signum() * (gap.abs() - LEVEL_GAP).max(0.0);
-        let step = (LEVEL_STEP / senders.max(1) as f64).min(MOST_LEVEL_STEP);
-        state.full_at = own + lasting * step;
+        let corrected_gap = gap.signum() * (gap.abs() - IGNORED_GAP_MICROS).max(0.0);
+        let step = (CONVERGENCE_RATIO / senders.max(1) as f64).min(MAX_SENDER_CONVERGENCE_RATIO);
+        state.full_at = own + corrected_gap * step;
     }
 
     /// Tokens of an organisation requested from this daemon since the start.
@@ -421,7 +423,7 @@
     /// The rate that an organisation's limit admits, in tokens per second.
     pub fn rate(&self, organisation: OrganisationIndex) -> Option<f64> {
         let rate = self.limits.get(&organisation)?.tokens_per_second?;
-        Some(self.let_through(rate))
+        Some(self.admitted_rate(rate))
     }
 
     /// Time until an organisation's bucket is full again.
@@ -445,8 +447,8 @@
     /// would fill the part taken away while it is still in use.
     pub fn used(&self) -> f64 {
         let used = self.limits.iter().filter_map(|(organisation, limit)| {
-            let most = f64::from(limit.concurrent?.max(1));
-            Some(f64::from(self.in_progress(*organisation)) / most)
+            let max = f64::from(limit.concurrent?.max(1));
+            Some(f64::from(self.in_progress(*organisation)) / max)
         });
         used.fold(0.0, f64::max)
     }
