--- a/src/policy/size_shares.rs
+++ b/src/policy/size_shares.rs
@@ -14,14 +14,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Largest deficit of one account, in requests.
-const MOST_OWED: f64 = 2.0;
+const MAX_DEFICIT: f64 = 2.0;
 /// Largest surplus that an account remembers, in requests beyond the guarantee.
-const MOST_AHEAD: f64 = 2.0;
+const MAX_SURPLUS: f64 = 2.0;
 /// Number of ended requests over which a lane's share is a plain mean; after that it is an
 /// exponential moving average with the reciprocal as weight.
-const WARM_ENDS: f64 = 30.0;
+const WARM_UP_COUNT: f64 = 30.0;
 /// Maximum number of accounts; once reached, those unused for [`IDLE_AFTER`] are dropped.
-const MOST_ACCOUNTS: usize = 4_096;
+const MAX_ACCOUNTS: usize = 4_096;
 const IDLE_AFTER: Duration = Duration::from_secs(60);
 
 /// Identifies a route by a hash of its name.
@@ -56,27 +56,27 @@
 /// The fraction of a lane's requests that is served.
 #[derive(Clone, Copy, Debug)]
 struct ServedShare {
-    ends: f64,
+    end_count: f64,
     share: f64,
 }
 
 impl Default for ServedShare {
     fn default() -> Self {
-        ServedShare { ends: 0.0, share: 1.0 }
+        ServedShare { end_count: 0.0, share: 1.0 }
     }
 }
 
 impl ServedShare {
     fn learn(&mut self, is_served: bool) {
-        self.ends = (self.ends + 1.0).min(WARM_ENDS);
-        self.share += (f64::from(u8::from(is_served)) - self.share) / self.ends;
+        self.end_count = (self.end_count + 1.0).min(WARM_UP_COUNT);
+        self.share += (f64::from(u8::from(is_served)) - self.share) / self.end_count;
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SizeAccount {
     /// Requests due under the guarantee but not served, less those served beyond it.
-    owed: f64,
+    deficit: f64,
     used_at: Moment,
 }
 
@@ -94,28 +94,30 @@
     pub fn arrived(&mut self, claim: &SizeClaim, draw: f64, now: Moment) -> bool {
         let Some(tenth) = claim.tenth else { return false };
         let key = (claim.route, tenth);
-        if self.accounts.len() >= MOST_ACCOUNTS && !self.accounts.contains_key(&key) {
+        if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(&key) {
             self.accounts.retain(|_, account| now.since(account.used_at) < IDLE_AFTER);
-            if self.accounts.len() >= MOST_ACCOUNTS {
+            if self.accounts.len() >= MAX_ACCOUNTS {
                 return false;
             }
         }
-        let account = self.accounts.entry(key).or_insert(SizeAccount { owed: draw, used_at: now });
+        let account =
+            self.accounts.entry(key).or_insert(SizeAccount { deficit: draw, used_at: now });
         account.used_at = now;
-        let is_owed = account.owed >= 1.0;
-        account.owed -= f64::from(u8::from(is_owed));
+        let is_owed = account.deficit >= 1.0;
+        account.deficit -= f64::from(u8::from(is_owed));
         is_owed
     }
 
-    /// Counts a request that ended, answered or not, under a guarantee of the fraction `part`.
-    pub fn ended(&mut self, claim: &SizeClaim, is_served: bool, part: f64) {
+    /// Counts a request that ended, answered or not, under a guarantee of the fraction `guarantee`.
+    pub fn ended(&mut self, claim: &SizeClaim, is_served: bool, guarantee: f64) {
         let lane = self.lanes.entry(claim.lane).or_default();
         lane.learn(is_served);
-        let promised = part * lane.share;
+        let guaranteed = guarantee * lane.share;
         let account = claim.tenth.and_then(|tenth| self.accounts.get_mut(&(claim.route, tenth)));
         let Some(account) = account else { return };
         let charged = f64::from(u8::from(claim.is_owed));
         let served = f64::from(u8::from(is_served));
-        account.owed = (account.owed + charged + promised - served).clamp(-MOST_AHEAD, MOST_OWED);
+        account.deficit =
+            (account.deficit + charged + guaranteed - served).clamp(-MAX_SURPLUS, MAX_DEFICIT);
     }
 }
