--- a/src/policy/request_sizes.rs
+++ b/src/policy/request_sizes.rs
@@ -7,9 +7,9 @@
 /// Number of recent requests of a route that a new one is compared with.
 const RECENT_REQUESTS: usize = 256;
 /// Minimum number of requests needed to determine a decile.
-const LEAST_REQUESTS: usize = 10;
+const MIN_REQUESTS: usize = 10;
 /// Weight of a new request in the moving average of its route's cost.
-const COST_WEIGHT: f64 = 0.05;
+const COST_SMOOTHING: f64 = 0.05;
 
 /// A decile of a route's requests by size: 0 the smallest, 9 the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,7 +46,7 @@
     /// Adds the token cost of a request and returns the moving average of the route, including it.
     pub fn usual_cost(&mut self, cost: u32) -> u32 {
         let cost = f64::from(cost);
-        let usual = self.usual_cost.map_or(cost, |usual| usual + (cost - usual) * COST_WEIGHT);
+        let usual = self.usual_cost.map_or(cost, |usual| usual + (cost - usual) * COST_SMOOTHING);
         self.usual_cost = Some(usual);
         usual as u32
     }
@@ -61,6 +61,6 @@
             self.recent.pop_front();
         }
         self.recent.push_back(size);
-        (known >= LEAST_REQUESTS).then(|| SizeTenth::of_rank(smaller, known))
+        (known >= MIN_REQUESTS).then(|| SizeTenth::of_rank(smaller, known))
     }
 }
