--- a/src/policy/shed_audit.rs
+++ b/src/policy/shed_audit.rs
@@ -6,7 +6,7 @@
 
 /// A lower tier admitted within this time after a higher one was shed counts as admitted while the
 /// higher one was being shed.
-const EPISODE: Duration = Duration::from_millis(500);
+const SHED_WINDOW: Duration = Duration::from_millis(500);
 
 /// Monitors the admissions and refusals of one pool.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
 
     /// Records that a request of `tier` was admitted.
     pub fn admitted(&mut self, tier: TierRank, now: Moment) {
-        let is_break = self.last_shed.range(..tier).any(|(_, shed)| now.since(*shed) < EPISODE);
+        let is_break = self.last_shed.range(..tier).any(|(_, shed)| now.since(*shed) < SHED_WINDOW);
         self.breaks += u64::from(is_break);
     }
 
