--- a/src/policy/shed_floor.rs
+++ b/src/policy/shed_floor.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Time for which the floor stays up after the last shed request that needed it.
-const HOLD: Duration = Duration::from_millis(1_000);
+const HOLD_TIME: Duration = Duration::from_millis(1_000);
 
 /// The leader's order for one pool's floor, received in the answer to a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// The floor that the whole fleet enforces while this daemon's `wanted` stays as strict.
     held: Option<TierRank>,
     /// The floor that this daemon enforces now.
-    kept: Option<TierRank>,
+    enforced: Option<TierRank>,
     needed_at: Moment,
     /// True if other daemons share the pool and must confirm each step.
     is_shared: bool,
@@ -63,7 +63,7 @@
 
     /// The lowest tier still admitted, or `None` if all are.
     pub fn lowest_admitted(&self) -> Option<TierRank> {
-        self.kept
+        self.enforced
     }
 
     /// Moves the enforced floor to the stricter of the wanted and the imposed one. It is lowered at
@@ -71,25 +71,27 @@
     /// anything below it.
     fn update(&mut self, confirmed: Option<TierRank>) {
         let target = stricter(self.wanted, self.imposed);
-        if !is_stricter(target, self.kept) {
-            self.kept = target;
+        if !is_stricter(target, self.enforced) {
+            self.enforced = target;
             return;
         }
-        while is_stricter(target, self.kept) {
-            let Some(dropped) = self.kept.or_else(|| self.ranks.last().copied()) else { return };
+        while is_stricter(target, self.enforced) {
+            let Some(dropped) = self.enforced.or_else(|| self.ranks.last().copied()) else {
+                return;
+            };
             let above = self.ranks.iter().rev().copied().find(|rank| *rank < dropped);
             let Some(above) = above.filter(|_| self.is_clear_below(dropped, confirmed)) else {
                 // A floor at the lowest tier does not drop any tier yet.
-                self.kept = Some(dropped);
+                self.enforced = Some(dropped);
                 return;
             };
-            self.kept = Some(above);
+            self.enforced = Some(above);
         }
     }
 
     /// True if requests of `tier` may be admitted.
     pub fn admits(&self, tier: TierRank) -> bool {
-        self.kept.is_none_or(|lowest| tier <= lowest)
+        self.enforced.is_none_or(|lowest| tier <= lowest)
     }
 
     /// Requests that no tier below `tier` be admitted. Returns true if that already holds on every
@@ -111,10 +113,10 @@
         !self.is_shared || is_lowest || confirmed.is_some_and(|confirmed| confirmed <= tier)
     }
 
-    /// Lowers the floor by one tier once it has not been needed for [`HOLD`].
+    /// Lowers the floor by one tier once it has not been needed for [`HOLD_TIME`].
     pub fn relax(&mut self, now: Moment) {
         let Some(wanted) = self.wanted else { return };
-        if now.since(self.needed_at) < HOLD {
+        if now.since(self.needed_at) < HOLD_TIME {
             return;
         }
         self.needed_at = now;
@@ -132,7 +134,7 @@
     /// The floor that this daemon enforces until the next order, whatever it wants itself.
     pub fn guaranteed(&self) -> Option<TierRank> {
         let imposed = self.imposed?;
-        self.kept.map(|kept| kept.max(imposed))
+        self.enforced.map(|enforced| enforced.max(imposed))
     }
 
     /// Applies the leader's order. The confirmed floor is valid now and may be used to raise this
@@ -148,7 +150,7 @@
         self.held = held.filter(|_| still_wants);
         self.imposed = order.imposed;
         if order.is_fresh {
-            self.kept = stricter(self.wanted, self.imposed);
+            self.enforced = stricter(self.wanted, self.imposed);
         }
         self.update(order.confirmed);
     }
