--- a/src/policy/shared_list.rs
+++ b/src/policy/shared_list.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Rows in one part of a whole list; about 1,200 bytes, so that a part fits into one packet.
-const PART_ROWS: usize = 25;
+const ROWS_PER_PART: usize = 25;
 
 /// One upstream in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,7 +112,7 @@
         let gone = self.rows.keys().filter(|key| !new.contains_key(key)).cloned().collect();
         // A daemon without a list has not sent one, so no other daemon can match this base.
         let base = self.digest.unwrap_or(0);
-        let digest = digest_of(&new);
+        let digest = list_digest(&new);
         self.rows = new;
         self.digest = Some(digest);
         ListChange { base, digest, changed, gone }
@@ -133,7 +133,7 @@
             (key, row.clone())
         });
         rows.extend(keyed);
-        if digest_of(&rows) != change.digest {
+        if list_digest(&rows) != change.digest {
             return ChangeVerdict::Unknown;
         }
         self.rows = rows;
@@ -145,8 +145,8 @@
     pub fn parts(&self) -> Vec<ListPart> {
         let Some(digest) = self.digest else { return Vec::new() };
         let rows: Vec<ListedUpstream> = self.rows.values().cloned().collect();
-        let count = rows.len().div_ceil(PART_ROWS) as u32;
-        let chunks = rows.chunks(PART_ROWS).enumerate();
+        let count = rows.len().div_ceil(ROWS_PER_PART) as u32;
+        let chunks = rows.chunks(ROWS_PER_PART).enumerate();
         let parts = chunks.map(|(part, rows)| ListPart {
             digest,
             part: part as u32,
@@ -178,7 +178,7 @@
     }
 }
 
-fn digest_of(rows: &BTreeMap<ListKey, ListedUpstream>) -> u64 {
+fn list_digest(rows: &BTreeMap<ListKey, ListedUpstream>) -> u64 {
     let rows: Vec<&ListedUpstream> = rows.values().collect();
     xxh3_64(&postcard::to_stdvec(&rows).unwrap_or_default())
 }
