--- a/src/policy/repeat_budget.rs
+++ b/src/policy/repeat_budget.rs
@@ -2,9 +2,9 @@
 
 /// Fraction of the operators' bound that daemons use. The rest is a margin: the request rate may
 /// fall faster than saved retries are spent, and the known size of the fleet lags behind.
-const USED_PART: f64 = 0.5;
+const USED_RATIO: f64 = 0.5;
 /// Minimum number of daemons to divide the bound's slack by, while few others are known.
-const LEAST_DAEMONS: usize = 6;
+const MIN_DAEMONS: usize = 6;
 
 /// The operators' bound on retries, over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,13 +24,13 @@
 
 impl RepeatBound {
     /// Retries added to the balance by each first attempt.
-    fn earned(&self) -> f64 {
-        self.ratio * USED_PART
+    fn deposit_per_request(&self) -> f64 {
+        self.ratio * USED_RATIO
     }
 
     /// Largest balance of one of `daemons`, since all of them may spend theirs at once.
-    fn saved(&self, daemons: usize) -> f64 {
-        self.slack as f64 * USED_PART / daemons.max(LEAST_DAEMONS) as f64
+    fn max_balance(&self, daemons: usize) -> f64 {
+        self.slack as f64 * USED_RATIO / daemons.max(MIN_DAEMONS) as f64
     }
 }
 
@@ -41,32 +41,32 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatBudget {
     bound: RepeatBound,
-    saved: f64,
+    balance: f64,
 }
 
 impl RepeatBudget {
     /// Creates the budget of one of `daemons` under a bound.
     pub fn new(bound: RepeatBound, daemons: usize) -> Self {
-        RepeatBudget { bound, saved: bound.saved(daemons) }
+        RepeatBudget { bound, balance: bound.max_balance(daemons) }
     }
 
     /// Adds to the balance for a first attempt by one of `daemons`.
     pub fn earn(&mut self, daemons: usize) {
-        let most = self.bound.saved(daemons).max(1.0);
-        self.saved = (self.saved + self.bound.earned()).min(most);
+        let most = self.bound.max_balance(daemons).max(1.0);
+        self.balance = (self.balance + self.bound.deposit_per_request()).min(most);
     }
 
     /// Returns a retry that was not sent after all.
     pub fn refund(&mut self) {
-        self.saved += 1.0;
+        self.balance += 1.0;
     }
 
     /// Takes one retry from the balance; false if none is left.
     pub fn spend(&mut self) -> bool {
-        let can_spend = self.saved >= 1.0;
-        if can_spend {
-            self.saved -= 1.0;
+        let has_balance = self.balance >= 1.0;
+        if has_balance {
+            self.balance -= 1.0;
         }
-        can_spend
+        has_balance
     }
 }
