--- a/src/policy/exchange.rs
+++ b/src/policy/exchange.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Maximum resume attempts for one request before its stream counts as lost.
-const RESUME_ATTEMPTS: u32 = 3;
+const MAX_RESUME_ATTEMPTS: u32 = 3;
 
 chart_names! {
     /// State of a request.
@@ -153,28 +153,28 @@
 pub struct Exchange {
     machine: ChartMachine<RequestState, RequestEvent, ExchangeAction>,
     id: Arc<str>,
-    can_resume: bool,
-    resumes: u32,
+    is_resumable: bool,
+    resume_attempts: u32,
     pieces: u64,
     upstream: Option<UpstreamIndex>,
     failure: Option<AnswerKind>,
     sent_at: Option<Moment>,
-    first_piece: Option<Duration>,
+    time_to_first_piece: Option<Duration>,
 }
 
 impl Exchange {
     /// Creates the exchange of a waiting request; an id echoed by the upstream must equal `id`.
-    pub fn new(id: impl Into<Arc<str>>, can_resume: bool) -> Self {
+    pub fn new(id: impl Into<Arc<str>>, is_resumable: bool) -> Self {
         Exchange {
             machine: request_chart().start(),
             id: id.into(),
-            can_resume,
-            resumes: 0,
+            is_resumable,
+            resume_attempts: 0,
             pieces: 0,
             upstream: None,
             failure: None,
             sent_at: None,
-            first_piece: None,
+            time_to_first_piece: None,
         }
     }
 
@@ -206,13 +206,13 @@
             }
             ExchangeEvent::Ended => RequestEvent::Ended,
             ExchangeEvent::Cut if self.pieces == 0 => {
-                self.interrupted(RequestEvent::Cut, AnswerKind::UpstreamLost)
+                self.resume_or_fail(RequestEvent::Cut, AnswerKind::UpstreamLost)
             }
             ExchangeEvent::Cut => {
-                self.interrupted(RequestEvent::Cut, AnswerKind::UpstreamTruncated)
+                self.resume_or_fail(RequestEvent::Cut, AnswerKind::UpstreamTruncated)
             }
             ExchangeEvent::Silent => {
-                self.interrupted(RequestEvent::Silent, AnswerKind::UpstreamSilent)
+                self.resume_or_fail(RequestEvent::Silent, AnswerKind::UpstreamSilent)
             }
             ExchangeEvent::ResumeRefused => self.fail(RequestEvent::Lost, AnswerKind::UpstreamLost),
             ExchangeEvent::CallerLeft => RequestEvent::CallerLeft,
@@ -249,22 +249,22 @@
             return None;
         }
         if sequence > self.pieces + 1 {
-            return Some(self.interrupted(RequestEvent::Cut, AnswerKind::UpstreamTruncated));
+            return Some(self.resume_or_fail(RequestEvent::Cut, AnswerKind::UpstreamTruncated));
         }
         self.pieces = sequence;
-        if self.first_piece.is_none() {
-            self.first_piece = self.sent_at.map(|sent| now.since(sent));
+        if self.time_to_first_piece.is_none() {
+            self.time_to_first_piece = self.sent_at.map(|sent| now.since(sent));
         }
         Some(RequestEvent::Piece)
     }
 
     /// Selects the event for a stream that ended early: `event` if it can be resumed and attempts
     /// are left, otherwise lost.
-    fn interrupted(&mut self, event: RequestEvent, kind: AnswerKind) -> RequestEvent {
-        if !self.can_resume || self.resumes >= RESUME_ATTEMPTS {
+    fn resume_or_fail(&mut self, event: RequestEvent, kind: AnswerKind) -> RequestEvent {
+        if !self.is_resumable || self.resume_attempts >= MAX_RESUME_ATTEMPTS {
             return self.fail(RequestEvent::Lost, kind);
         }
-        self.resumes += 1;
+        self.resume_attempts += 1;
         event
     }
 
@@ -301,6 +301,6 @@
 
     /// Time from sending the request to the first piece.
     pub fn first_piece(&self) -> Option<Duration> {
-        self.first_piece
+        self.time_to_first_piece
     }
 }
