--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -38,25 +38,25 @@
 }
 
 fn waiting(id: u64) -> WaitingRequest {
-    let late_at = Moment::from_millis(3_600_000);
+    let review_at = Moment::from_millis(3_600_000);
     WaitingRequest {
         output_tokens: 0,
         pause: None,
         rank: 0,
-        start_by: late_at,
+        start_by: review_at,
         id: RequestId(id),
         organisation: OrganisationIndex((id * 7 % ORGANISATIONS) as u32),
         weight: 1,
         tier: TierRank((id % 3) as u8),
         cost: 100 + (id % 900) as u32,
         prompt_tokens: 100,
-        deadline: late_at,
+        deadline: review_at,
         run_time: Duration::from_millis(500),
         arrived: Moment(id),
         prefix: Box::default(),
         prompt_bytes: 400,
-        late_at,
-        gives_up_at: late_at,
+        review_at,
+        expires_at: review_at,
         route: RouteKey::default(),
         size_tenth: None,
         is_owed: false,
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -57,12 +57,12 @@
     pub prefix: Box<[u64]>,
     /// Size of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// Time after which [`WaitingQueue::pop_late`] returns it to be reviewed or refused as late.
-    /// Initially the latest start.
-    pub late_at: Moment,
-    /// Time after which its caller no longer waits. [`WaitingRequest::late_at`] is earlier where
+    /// Time after which [`WaitingQueue::pop_for_review`] returns it to be reviewed or refused as
+    /// late. Initially the latest start.
+    pub review_at: Moment,
+    /// Time after which its caller no longer waits. [`WaitingRequest::review_at`] is earlier where
     /// the request's chance of being dispatched is reviewed before that.
-    pub gives_up_at: Moment,
+    pub expires_at: Moment,
     /// The route it came by.
     pub route: RouteKey,
     /// Its decile by size among the requests of its route, if known.
@@ -105,8 +105,8 @@
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest>;
     /// Removes a request from the lowest tier below `tier` that has any waiting.
     fn evict_below(&mut self, tier: TierRank) -> Option<WaitingRequest>;
-    /// Removes a request whose `late_at` has passed.
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest>;
+    /// Removes a request whose `review_at` has passed.
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest>;
     /// Number of waiting requests.
     fn len(&self) -> usize;
     /// True if no request waits.
@@ -275,7 +275,7 @@
 pub struct FairQueue {
     tiers: Vec<TierLane>,
     entries: HashMap<RequestId, WaitingRequest>,
-    late: BTreeSet<(Moment, RequestId)>,
+    by_review_at: BTreeSet<(Moment, RequestId)>,
     virtual_time: u64,
 }
 
@@ -284,7 +284,7 @@
     pub fn new(shares: &[TierShare]) -> Self {
         let mut tiers: Vec<TierLane> = shares.iter().copied().map(TierLane::new).collect();
         tiers.sort_by_key(|lane| lane.rank);
-        FairQueue { tiers, entries: HashMap::new(), late: BTreeSet::new(), virtual_time: 0 }
+        FairQueue { tiers, entries: HashMap::new(), by_review_at: BTreeSet::new(), virtual_time: 0 }
     }
 
     /// Index of the lane of `rank`; a rank that the table no longer has maps to the next lower
@@ -303,7 +303,7 @@
             lane.start_tag = lane.finish_tag.max(self.virtual_time);
         }
         lane.push(&request, is_front);
-        self.late.insert((request.late_at, request.id));
+        self.by_review_at.insert((request.review_at, request.id));
         self.entries.insert(request.id, request);
     }
 
@@ -330,7 +330,7 @@
 
     fn take_entry(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.entries.remove(&id)?;
-        self.late.remove(&(request.late_at, id));
+        self.by_review_at.remove(&(request.review_at, id));
         Some(request)
     }
 }
@@ -373,9 +373,9 @@
         self.remove(id)
     }
 
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest> {
-        let (late_at, id) = self.late.first().copied()?;
-        if late_at >= now { None } else { self.remove(id) }
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest> {
+        let (review_at, id) = self.by_review_at.first().copied()?;
+        if review_at >= now { None } else { self.remove(id) }
     }
 
     fn len(&self) -> usize {
@@ -409,7 +409,7 @@
         let mut requests: Vec<WaitingRequest> =
             self.entries.drain().map(|(_, request)| request).collect();
         requests.sort_by_key(|request| (request.arrived, request.id));
-        self.late.clear();
+        self.by_review_at.clear();
         let shares: Vec<TierShare> = self
             .tiers
             .iter()
@@ -425,18 +425,18 @@
 pub struct FifoQueue {
     ids: VecDeque<RequestId>,
     entries: HashMap<RequestId, WaitingRequest>,
-    late: BTreeSet<(Moment, RequestId)>,
+    by_deadline: BTreeSet<(Moment, RequestId)>,
 }
 
 impl FifoQueue {
     fn take_entry(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.entries.remove(&id)?;
-        self.late.remove(&(request.deadline, id));
+        self.by_deadline.remove(&(request.deadline, id));
         Some(request)
     }
 
     fn insert(&mut self, request: WaitingRequest) {
-        self.late.insert((request.deadline, request.id));
+        self.by_deadline.insert((request.deadline, request.id));
         self.entries.insert(request.id, request);
     }
 }
@@ -469,8 +469,8 @@
         None
     }
 
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest> {
-        let (deadline, id) = self.late.first().copied()?;
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest> {
+        let (deadline, id) = self.by_deadline.first().copied()?;
         if deadline >= now { None } else { self.take_entry(id) }
     }
 
@@ -495,7 +495,7 @@
             self.entries.drain().map(|(_, request)| request).collect();
         requests.sort_by_key(|request| (request.arrived, request.id));
         self.ids.clear();
-        self.late.clear();
+        self.by_deadline.clear();
         requests
     }
 }
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -89,9 +89,9 @@
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        let may_wait = now < request.gives_up_at && self.looks_at_late();
+        let may_wait = now < request.expires_at && self.looks_at_late();
         if may_wait && (request.is_owed || self.has_prospect(&request, now)) {
-            request.late_at = request.gives_up_at.min(now + LATE_PAUSE);
+            request.review_at = request.expires_at.min(now + LATE_PAUSE);
             return self.queue.push_back_first(request);
         }
         self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
@@ -99,7 +99,7 @@
 
     /// True if what goes before a late request, here and in the group, should be worked off well before its caller gives up.
     fn has_prospect(&mut self, request: &WaitingRequest, now: Moment) -> bool {
-        let left = request.gives_up_at.since(now).mul_f64(PROSPECT_PART);
+        let left = request.expires_at.since(now).mul_f64(PROSPECT_PART);
         let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN) * LATE_DRAIN;
         let before = self.queue.cost_before(request, true, now) as f64;
         if before > rate * left.as_secs_f64() {
@@ -148,8 +148,8 @@
             arrived: now,
             prefix: request.prefix,
             prompt_bytes: request.prompt_bytes,
-            late_at: request.deadline,
-            gives_up_at: request.deadline,
+            review_at: request.deadline,
+            expires_at: request.deadline,
             route: request.route,
             size_tenth: request.size_tenth,
             is_owed: false,
@@ -161,18 +161,18 @@
             None => waiting.latest_start(),
         };
         if self.plan.queue != QueueChoice::Fifo && self.plan.refuses_late {
-            waiting.late_at = waiting
+            waiting.review_at = waiting
                 .latest_start()
                 .max(now + request.deadline.since(now).mul_f64(TOO_SHORT_SHARE));
         }
         if let Some(patience) = request.patience {
             // Its caller would leave before the first event of a later start.
-            waiting.late_at = waiting.late_at.min(self.start_by(&waiting, patience, now));
+            waiting.review_at = waiting.review_at.min(self.start_by(&waiting, patience, now));
         }
-        waiting.gives_up_at = waiting.late_at;
+        waiting.expires_at = waiting.review_at;
         let has_returned = request.objective.is_some_and(|objective| objective <= now);
         if has_returned && request.patience.is_some() && self.looks_at_late() {
-            waiting.late_at = waiting.late_at.min(now + LATE_PAUSE);
+            waiting.review_at = waiting.review_at.min(now + LATE_PAUSE);
         }
         waiting
     }
@@ -214,7 +214,7 @@
             return false;
         }
         let before = self.queue.cost_before(request, true, now);
-        now + wait(before, rate * LATE_DRAIN) > request.late_at
+        now + wait(before, rate * LATE_DRAIN) > request.review_at
     }
 
     /// Lets a request wait.
@@ -317,7 +317,7 @@
         if confirmed || now >= request.deadline {
             return self.refuse_shed(&request, kind, now, actions);
         }
-        request.late_at = request.deadline.min(now + LATE_PAUSE);
+        request.review_at = request.deadline.min(now + LATE_PAUSE);
         self.queue.push_back_first(request);
     }
 
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -190,7 +190,7 @@
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
-        while let Some(request) = self.queue.pop_late(now) {
+        while let Some(request) = self.queue.pop_for_review(now) {
             match self.plan.queue {
                 QueueChoice::Weighted => {
                     self.shed(request, AnswerKind::DeadlineWaiting, now, actions)
--- a/src/policy/urgency_queue.rs
+++ b/src/policy/urgency_queue.rs
@@ -5,9 +5,10 @@
 //! request late because each waits behind others that are late already. Serving by density makes
 //! the most of engine time: a request that can still meet its objective has more value than one
 //! that no longer can, a higher rank more than a lower one, and a short request more per unit of
-//! cost than a long one. A lane holds the requests of one tier and rank. Every [`ROTATION_INTERVAL`]th dispatch
-//! rotates among the lanes and takes the request due first, so that no lane starves; every
-//! [`UNDERSERVED_INTERVAL`]th takes a request of an underserved size, so that no size starves.
+//! cost than a long one. A lane holds the requests of one tier and rank. Every
+//! [`ROTATION_INTERVAL`]th dispatch rotates among the lanes and takes the request due first, so
+//! that no lane starves; every [`UNDERSERVED_INTERVAL`]th takes a request of an underserved size,
+//! so that no size starves.
 
 use super::queue::{WaitingQueue, WaitingRequest};
 use super::worth::{CostLadder, LATE_WORTH, LaneMeans, step_worth};
@@ -131,7 +132,7 @@
     mechanisms: MechanismSet,
     lanes: Vec<UrgencyLane>,
     entries: HashMap<RequestId, QueuedRequest>,
-    late: BTreeSet<(Moment, RequestId)>,
+    by_review_at: BTreeSet<(Moment, RequestId)>,
     histogram: CostLadder,
     popped: u32,
     next_lane: usize,
@@ -145,7 +146,7 @@
             mechanisms,
             lanes: Vec::new(),
             entries: HashMap::new(),
-            late: BTreeSet::new(),
+            by_review_at: BTreeSet::new(),
             histogram: CostLadder::default(),
             popped: 0,
             next_lane: 0,
@@ -228,7 +229,7 @@
     fn enqueue(&mut self, request: WaitingRequest) {
         let density = DensityKey::of(self.density(&request));
         self.histogram.add(density.density(), request.cost);
-        self.late.insert((request.late_at, request.id));
+        self.by_review_at.insert((request.review_at, request.id));
         let queued = QueuedRequest { request, density };
         self.lane(queued.request.tier, queued.request.rank).insert(&queued);
         self.entries.insert(queued.request.id, queued);
@@ -255,7 +256,7 @@
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let queued = self.entries.remove(&id)?;
         let (tier, rank) = (queued.request.tier, queued.request.rank);
-        self.late.remove(&(queued.request.late_at, id));
+        self.by_review_at.remove(&(queued.request.review_at, id));
         self.lane(tier, rank).remove(&queued);
         self.histogram.remove(queued.density.density(), queued.request.cost);
         Some(queued.request)
@@ -268,9 +269,9 @@
         self.remove(id)
     }
 
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest> {
-        let (late_at, id) = self.late.first().copied()?;
-        if late_at >= now { None } else { self.remove(id) }
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest> {
+        let (review_at, id) = self.by_review_at.first().copied()?;
+        if review_at >= now { None } else { self.remove(id) }
     }
 
     fn len(&self) -> usize {
@@ -320,7 +321,7 @@
         let mut requests: Vec<WaitingRequest> =
             self.entries.drain().map(|(_, queued)| queued.request).collect();
         requests.sort_by_key(|request| (request.arrived, request.id));
-        self.late.clear();
+        self.by_review_at.clear();
         self.lanes.clear();
         self.histogram = CostLadder::default();
         requests
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -20,25 +20,25 @@
 ];
 
 fn waiting(id: u64, tier: u8, organisation: u32, cost: u32) -> WaitingRequest {
-    let late_at = Moment::from_millis(3_600_000);
+    let review_at = Moment::from_millis(3_600_000);
     WaitingRequest {
         output_tokens: 0,
         pause: None,
         rank: 0,
-        start_by: late_at,
+        start_by: review_at,
         id: RequestId(id),
         organisation: OrganisationIndex(organisation),
         weight: 1,
         tier: TierRank(tier),
         cost,
         prompt_tokens: cost,
-        deadline: late_at,
+        deadline: review_at,
         run_time: Duration::from_millis(1),
         arrived: Moment(id),
         prefix: Box::default(),
         prompt_bytes: 0,
-        late_at,
-        gives_up_at: late_at,
+        review_at,
+        expires_at: review_at,
         route: RouteKey::default(),
         size_tenth: None,
         is_owed: false,
