--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -1,6 +1,6 @@
 //! The messages in which daemons report their state.
 
-use crate::policy::{OthersWork, UpstreamHash, WorthLevel};
+use crate::policy::{DensityLevel, OthersWork, UpstreamHash};
 use crate::quarantine::SuspectNews;
 use crate::table::{DaemonName, OrganisationName, ServiceName};
 use serde::{Deserialize, Serialize};
@@ -49,7 +49,7 @@
     /// The service.
     pub service: ServiceHash,
     /// What they are worth for their cost.
-    pub level: WorthLevel,
+    pub level: DensityLevel,
     /// How many.
     pub count: u32,
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -27,8 +27,8 @@
 mod upstream_set;
 mod upstreams;
 mod urgency_queue;
+mod value_density;
 mod waiting_levels;
-mod worth;
 
 pub use caller_returns::CallerTimes;
 pub use crowd_meter::CrowdMeter;
@@ -65,8 +65,8 @@
     upstream_chart,
 };
 pub use urgency_queue::UrgencyQueue;
-pub use waiting_levels::{WaitingLevels, WorthLevel};
-pub use worth::{CostLadder, LaneMeans};
+pub use value_density::{CostHistogram, LaneMeans};
+pub use waiting_levels::{DensityLevel, WaitingLevels};
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/src/policy/organisation_limits.rs
+++ b/src/policy/organisation_limits.rs
@@ -200,8 +200,8 @@
 }
 
 impl LimitTable {
-    /// Sets the initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0. Each
-    /// daemon draws it at random, so that they differ.
+    /// Sets the initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0.
+    /// Each daemon draws it at random, so that they differ.
     pub fn set_pace_start(&mut self, start: f64) {
         self.initial_credit = start.clamp(0.0, 1.0);
     }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -5,8 +5,8 @@
 //! in its fair turn, but can still meet it if sent now, is served ahead of lower tiers.
 
 use super::{
-    Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeTenth, TierProgress, TierRank,
-    WaitingLevels, WorthLevel,
+    DensityLevel, Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeTenth,
+    TierProgress, TierRank, WaitingLevels,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -131,12 +131,12 @@
         0
     }
     /// Waiting requests by level of value density; empty for a queue that does not rate requests.
-    fn levels(&self) -> WaitingLevels {
+    fn waiting_levels(&self) -> WaitingLevels {
         WaitingLevels::default()
     }
     /// Level of value density of a request, whether it is in the queue or not; `None` for a queue
     /// that does not rate requests.
-    fn level(&mut self, _request: &WaitingRequest, _now: Moment) -> Option<WorthLevel> {
+    fn density_level(&mut self, _request: &WaitingRequest, _now: Moment) -> Option<DensityLevel> {
         None
     }
     /// Removes all requests and returns them, oldest first.
--- a/src/policy/request_sizes.rs
+++ b/src/policy/request_sizes.rs
@@ -1,7 +1,7 @@
 //! Size deciles of requests among the recent requests of their route.
 
 use super::RequestSizes;
-use super::worth::size;
+use super::value_density::size;
 use std::collections::VecDeque;
 
 /// Number of recent requests of a route that a new one is compared with.
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -105,7 +105,7 @@
         if before > rate * left.as_secs_f64() {
             return false;
         }
-        let Some(level) = self.queue.level(request, now) else { return true };
+        let Some(level) = self.queue.density_level(request, now) else { return true };
         let others = f64::from(self.others_waiting.levels.above(level));
         others <= self.freed_places(left) * LATE_DRAIN
     }
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -250,7 +250,7 @@
         if is_in_time || request.is_owed || !has_order {
             return false;
         }
-        let Some(level) = self.queue.level(request, now) else { return false };
+        let Some(level) = self.queue.density_level(request, now) else { return false };
         let before = self.others_waiting.levels.above(level);
         f64::from(before) > self.freed_places(self.others_waiting.age)
     }
@@ -279,7 +279,7 @@
 
     /// Waiting requests by what they are worth for their cost.
     pub fn waiting_levels(&self) -> WaitingLevels {
-        self.queue.levels()
+        self.queue.waiting_levels()
     }
 
     /// What waits at the other daemons of the group, as last heard.
--- a/src/policy/urgency_queue.rs
+++ b/src/policy/urgency_queue.rs
@@ -11,10 +11,10 @@
 //! so that no size starves.
 
 use super::queue::{WaitingQueue, WaitingRequest};
-use super::worth::{CostLadder, LATE_WORTH, LaneMeans, step_worth};
+use super::value_density::{CostHistogram, LATE_VALUE_RATIO, LaneMeans, base_value};
 use super::{
-    Mechanism, MechanismSet, Moment, OrganisationIndex, RequestId, TierProgress, TierRank,
-    TierShare, WaitingLevels, WorthLevel,
+    DensityLevel, Mechanism, MechanismSet, Moment, OrganisationIndex, RequestId, TierProgress,
+    TierRank, TierShare, WaitingLevels,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -133,7 +133,7 @@
     lanes: Vec<UrgencyLane>,
     entries: HashMap<RequestId, QueuedRequest>,
     by_review_at: BTreeSet<(Moment, RequestId)>,
-    histogram: CostLadder,
+    histogram: CostHistogram,
     popped: u32,
     next_lane: usize,
 }
@@ -147,7 +147,7 @@
             lanes: Vec::new(),
             entries: HashMap::new(),
             by_review_at: BTreeSet::new(),
-            histogram: CostLadder::default(),
+            histogram: CostHistogram::default(),
             popped: 0,
             next_lane: 0,
         }
@@ -159,7 +159,7 @@
             self.lanes.push(UrgencyLane {
                 tier,
                 rank,
-                value: step_worth(&self.tiers, tier, rank),
+                value: base_value(&self.tiers, tier, rank),
                 means: LaneMeans::default(),
                 underserved: BTreeSet::new(),
                 due: BTreeSet::new(),
@@ -180,7 +180,7 @@
                 let Some(queued) = self.entries.get_mut(&id) else { continue };
                 let key = (Reverse(queued.density), start_by, id);
                 lane.in_time.remove(&key);
-                let late = DensityKey::of(queued.density.density() * LATE_WORTH);
+                let late = DensityKey::of(queued.density.density() * LATE_VALUE_RATIO);
                 lane.late.insert((Reverse(late), start_by, id));
                 self.histogram.remove(queued.density.density(), queued.request.cost);
                 self.histogram.add(late.density(), queued.request.cost);
@@ -298,23 +298,23 @@
     fn cost_before(&mut self, request: &WaitingRequest, is_late: bool, now: Moment) -> u64 {
         self.mark_late(now);
         let density = self.density(request);
-        self.histogram.cost_from(if is_late { density * LATE_WORTH } else { density })
+        self.histogram.cost_at_or_above(if is_late { density * LATE_VALUE_RATIO } else { density })
     }
 
-    fn levels(&self) -> WaitingLevels {
+    fn waiting_levels(&self) -> WaitingLevels {
         let mut levels = WaitingLevels::default();
         // Requests of underserved sizes have dispatches reserved for them; others do not yield to
         // them.
         let regular = self.entries.values().filter(|queued| !queued.request.is_owed);
         let densities = regular.map(|queued| queued.density.density());
-        densities.for_each(|density| levels.add(WorthLevel::of(density), 1));
+        densities.for_each(|density| levels.add(DensityLevel::of(density), 1));
         levels
     }
 
-    fn level(&mut self, request: &WaitingRequest, now: Moment) -> Option<WorthLevel> {
+    fn density_level(&mut self, request: &WaitingRequest, now: Moment) -> Option<DensityLevel> {
         let density = self.density(request);
         let is_late = request.start_by < now;
-        Some(WorthLevel::of(if is_late { density * LATE_WORTH } else { density }))
+        Some(DensityLevel::of(if is_late { density * LATE_VALUE_RATIO } else { density }))
     }
 
     fn drain(&mut self) -> Vec<WaitingRequest> {
@@ -323,7 +323,7 @@
         requests.sort_by_key(|request| (request.arrived, request.id));
         self.by_review_at.clear();
         self.lanes.clear();
-        self.histogram = CostLadder::default();
+        self.histogram = CostHistogram::default();
         requests
     }
 }
--- a/src/policy/worth.rs
+++ b/src/policy/value_density.rs
@@ -14,7 +14,7 @@
 /// high tier never goes before one in time of a lower tier with the same rank and cost.
 const TIER_VALUE_RATIO: f64 = 0.8;
 /// Value of a late answer relative to one in time; the caller still uses it, but had to wait.
-pub const LATE_WORTH: f64 = 0.3;
+pub const LATE_VALUE_RATIO: f64 = 0.3;
 /// Fraction of a request's value that does not depend on its size.
 const FIXED_VALUE_RATIO: f64 = 0.3;
 /// Largest value by size, relative to the mean request of the lane.
@@ -27,7 +27,7 @@
 const WARM_UP_COUNT: f64 = 50.0;
 
 /// Value of a request by its tier and rank, before its size is considered.
-pub fn step_worth(tiers: &[TierShare], tier: TierRank, rank: u8) -> f64 {
+pub fn base_value(tiers: &[TierShare], tier: TierRank, rank: u8) -> f64 {
     let above = tiers.iter().filter(|share| share.rank < tier).count();
     TIER_VALUE_RATIO.powi(above as i32) * RANK_VALUE_RATIO.powi(i32::from(rank))
 }
@@ -52,8 +52,8 @@
     /// Value density of a request of this lane, with the value of the mean request as 1.
     pub fn density(&self, prompt_tokens: u32, output_tokens: u32, cost: u32) -> f64 {
         let relative = size(prompt_tokens, output_tokens) / self.size.max(1.0);
-        let worth = FIXED_VALUE_RATIO + (1.0 - FIXED_VALUE_RATIO) * relative;
-        worth.min(MAX_SIZE_VALUE) / f64::from(cost.max(1))
+        let value = FIXED_VALUE_RATIO + (1.0 - FIXED_VALUE_RATIO) * relative;
+        value.min(MAX_SIZE_VALUE) / f64::from(cost.max(1))
     }
 
     /// Value density of the lane's mean request.
@@ -77,17 +77,17 @@
 /// Histogram of waiting cost by value density, from which the cost ahead of a request is summed
 /// without visiting every waiting request.
 #[derive(Clone, Debug)]
-pub struct CostLadder {
+pub struct CostHistogram {
     buckets: [u64; BUCKET_COUNT],
 }
 
-impl Default for CostLadder {
+impl Default for CostHistogram {
     fn default() -> Self {
-        CostLadder { buckets: [0; BUCKET_COUNT] }
+        CostHistogram { buckets: [0; BUCKET_COUNT] }
     }
 }
 
-impl CostLadder {
+impl CostHistogram {
     fn bucket(density: f64) -> usize {
         let bucket =
             (density.max(f64::MIN_POSITIVE).log2() - LOWEST_EXPONENT) * BUCKETS_PER_DOUBLING;
@@ -106,7 +106,7 @@
     }
 
     /// Total cost of the requests of this density or higher, to the precision of a bucket.
-    pub fn cost_from(&self, density: f64) -> u64 {
+    pub fn cost_at_or_above(&self, density: f64) -> u64 {
         self.buckets[Self::bucket(density)..].iter().sum()
     }
 }
--- a/tests/test_group_order.rs
+++ b/tests/test_group_order.rs
@@ -2,7 +2,7 @@
 
 use crate::shared_places::{SecondShare, play};
 use rstest::rstest;
-use tarragonknot::policy::{Mechanism, WaitingLevels, WorthLevel};
+use tarragonknot::policy::{DensityLevel, Mechanism, WaitingLevels};
 
 /// Three calm seconds, a burst of three, and seven seconds as calm as the first.
 const BURST: [f64; 13] = [0.9, 0.9, 0.9, 2.0, 2.0, 2.0, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9];
@@ -48,7 +48,7 @@
 #[case::worth_nothing(0.0, 1e-9, 1)]
 fn levels_tell_what_goes_first(#[case] own: f64, #[case] other: f64, #[case] above: u32) {
     let mut levels = WaitingLevels::default();
-    levels.add(WorthLevel::of(other), 1);
+    levels.add(DensityLevel::of(other), 1);
 
-    assert_eq!(levels.above(WorthLevel::of(own)), above);
+    assert_eq!(levels.above(DensityLevel::of(own)), above);
 }
--- a/tests/test_worth.rs
+++ b/tests/test_worth.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tarragonknot::policy::{
-    ArrivedRequest, CallerTimes, CostLadder, FirstEventModel, LaneMeans, Mechanism, MechanismSet,
-    PoolEvent, RequestId, RequestSizes,
+    ArrivedRequest, CallerTimes, CostHistogram, FirstEventModel, LaneMeans, Mechanism,
+    MechanismSet, PoolEvent, RequestId, RequestSizes,
 };
 
 fn millis(millis: u64) -> Duration {
@@ -91,16 +91,16 @@
 
 #[test]
 fn the_ladder_sums_up_what_is_worth_as_much_or_more() {
-    let mut ladder = CostLadder::default();
+    let mut ladder = CostHistogram::default();
     ladder.add(1e-3, 100);
     ladder.add(1e-5, 1_000);
     ladder.add(0.0, 10_000);
 
-    assert_eq!(ladder.cost_from(1e-4), 100);
-    assert_eq!(ladder.cost_from(1e-5), 1_100);
+    assert_eq!(ladder.cost_at_or_above(1e-4), 100);
+    assert_eq!(ladder.cost_at_or_above(1e-5), 1_100);
     ladder.remove(1e-3, 100);
-    assert_eq!(ladder.cost_from(1e-9), 1_000);
-    assert_eq!(ladder.cost_from(0.0), 11_000);
+    assert_eq!(ladder.cost_at_or_above(1e-9), 1_000);
+    assert_eq!(ladder.cost_at_or_above(0.0), 11_000);
 }
 
 /// Symptom: in a burst a tenth of the answers are late that were thought to be in time. Sequence: a caller is refused and
