--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -7,7 +7,7 @@
     LeaderHint, OperatorDoor, start_agent, start_control, start_server,
 };
 use crate::platform;
-use crate::policy::{LimitTolerance, MechanismSet, RepeatBound, request_chart, upstream_chart};
+use crate::policy::{LimitTolerance, MechanismSet, RetryBound, request_chart, upstream_chart};
 use crate::replica::ReplicaConfig;
 use crate::settings::{CutOffChoice, DaemonSettings};
 use crate::store::StoreError;
@@ -99,7 +99,7 @@
         state.limits().start_empty(now);
     }
     state.limits().set_tolerance(tolerance(settings));
-    state.set_repeat_bound(RepeatBound {
+    state.set_repeat_bound(RetryBound {
         ratio: settings.repeat_ratio,
         slack: settings.repeat_slack,
     });
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,8 +16,8 @@
 mod organisation_limits;
 mod placement;
 mod queue;
-mod repeat_budget;
 mod request_sizes;
+mod retry_budget;
 mod scheduler;
 mod shared_list;
 mod shed_audit;
@@ -48,8 +48,8 @@
     placement_policy, prefix_hashes,
 };
 pub use queue::{FairQueue, FifoQueue, TierShare, WaitingQueue, WaitingRequest};
-pub use repeat_budget::{RepeatBound, RepeatBudget};
 pub use request_sizes::{RouteSizes, SizeTenth};
+pub use retry_budget::{RetryBound, RetryBudget};
 pub use scheduler::{
     ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
     PoolStatus,
--- a/src/policy/repeat_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -8,21 +8,21 @@
 
 /// The operators' bound on retries, over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatBound {
+pub struct RetryBound {
     /// Retries allowed per request.
     pub ratio: f64,
     /// Additional retries allowed in one window.
     pub slack: u64,
 }
 
-impl Default for RepeatBound {
+impl Default for RetryBound {
     /// The bound where operators set none: a fifth of the requests, and a few more.
     fn default() -> Self {
-        RepeatBound { ratio: 0.2, slack: 24 }
+        RetryBound { ratio: 0.2, slack: 24 }
     }
 }
 
-impl RepeatBound {
+impl RetryBound {
     /// Retries added to the balance by each first attempt.
     fn deposit_per_request(&self) -> f64 {
         self.ratio * USED_RATIO
@@ -39,21 +39,21 @@
 /// Each daemon keeps its own part, so that the budget also holds while the voters are unavailable.
 /// Without it, a failing service is sent every request as often as routes allow, and fails more.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatBudget {
-    bound: RepeatBound,
+pub struct RetryBudget {
+    bound: RetryBound,
     balance: f64,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Creates the budget of one of `daemons` under a bound.
-    pub fn new(bound: RepeatBound, daemons: usize) -> Self {
-        RepeatBudget { bound, balance: bound.max_balance(daemons) }
+    pub fn new(bound: RetryBound, daemons: usize) -> Self {
+        RetryBudget { bound, balance: bound.max_balance(daemons) }
     }
 
     /// Adds to the balance for a first attempt by one of `daemons`.
-    pub fn earn(&mut self, daemons: usize) {
-        let most = self.bound.max_balance(daemons).max(1.0);
-        self.balance = (self.balance + self.bound.deposit_per_request()).min(most);
+    pub fn deposit(&mut self, daemons: usize) {
+        let max_balance = self.bound.max_balance(daemons).max(1.0);
+        self.balance = (self.balance + self.bound.deposit_per_request()).min(max_balance);
     }
 
     /// Returns a retry that was not sent after all.
@@ -62,7 +62,7 @@
     }
 
     /// Takes one retry from the balance; false if none is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let has_balance = self.balance >= 1.0;
         if has_balance {
             self.balance -= 1.0;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! What one process is told: its name, addresses, data centre, peers and data folder.
 
-use crate::policy::{Mechanism, RepeatBound};
+use crate::policy::{Mechanism, RetryBound};
 use crate::table::{DaemonName, DataCentreName, FaultList, WholeNumber, read_checked};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -156,11 +156,11 @@
 }
 
 fn default_repeat_ratio() -> f64 {
-    RepeatBound::default().ratio
+    RetryBound::default().ratio
 }
 
 fn default_repeat_slack() -> u64 {
-    RepeatBound::default().slack
+    RetryBound::default().slack
 }
 
 fn default_rollout_share() -> f64 {
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -178,7 +178,7 @@
             && self.state.quarantine.held_for(self.fingerprint, self.state.clock.now()).is_none()
             && count.sent < self.route.attempts
             && !self.time_left().is_zero()
-            && self.state.with_repeats(service, |budget| budget.spend())
+            && self.state.with_repeats(service, |budget| budget.try_withdraw())
     }
 
     /// Waits for a place. Between the word and the send the table is asked again: a route may have moved and a
@@ -373,7 +373,7 @@
         let name = placed.name.clone();
         if count.sent == 0 {
             let daemons = request.state.fleet.daemons();
-            request.state.with_repeats(&service, |budget| budget.earn(daemons));
+            request.state.with_repeats(&service, |budget| budget.deposit(daemons));
         }
         request.count_as_run(true);
         let sent = request.try_send(&placed, &mut count, request.facts.last_event).await;
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -15,8 +15,8 @@
 use crate::clock::TrafficClock;
 use crate::control::ClaimKeeper;
 use crate::policy::{
-    CallerTimes, LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RepeatBound,
-    RepeatBudget, RequestSizes, RouteSizes, SizeTenth,
+    CallerTimes, LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RequestSizes,
+    RetryBound, RetryBudget, RouteSizes, SizeTenth,
 };
 use crate::rollout::version_pool;
 use crate::table::{
@@ -72,8 +72,8 @@
     serves_cut_off: AtomicBool,
     /// The platform's manner of speaking, where one is served.
     manner: OnceLock<PlatformManner>,
-    repeats: Mutex<HashMap<ServiceName, RepeatBudget>>,
-    repeat_bound: OnceLock<RepeatBound>,
+    repeats: Mutex<HashMap<ServiceName, RetryBudget>>,
+    repeat_bound: OnceLock<RetryBound>,
     mechanisms: OnceLock<MechanismSet>,
     /// The time that callers have, by route.
     caller_times: Mutex<HashMap<String, CallerTimes>>,
@@ -230,7 +230,7 @@
     }
 
     /// Sets the operators' bound on repeats; only the first call counts, before any request.
-    pub fn set_repeat_bound(&self, bound: RepeatBound) {
+    pub fn set_repeat_bound(&self, bound: RetryBound) {
         let _ = self.repeat_bound.set(bound);
     }
 
@@ -278,12 +278,12 @@
     pub fn with_repeats<T>(
         &self,
         service: &ServiceName,
-        change: impl FnOnce(&mut RepeatBudget) -> T,
+        change: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut repeats = self.repeats.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = repeats.entry(service.clone()).or_insert_with(|| {
             let bound = self.repeat_bound.get().copied().unwrap_or_default();
-            RepeatBudget::new(bound, self.fleet.daemons())
+            RetryBudget::new(bound, self.fleet.daemons())
         });
         change(budget)
     }
--- a/tests/test_routes.rs
+++ b/tests/test_routes.rs
@@ -6,7 +6,7 @@
 use tarragonknot::control::{
     ControlCommand, ControlLedger, ControlReply, NumberedOutcome, NumberedTable,
 };
-use tarragonknot::policy::{RepeatBound, RepeatBudget};
+use tarragonknot::policy::{RetryBound, RetryBudget};
 use tarragonknot::table::{
     OperatorTable, RouteKind, RouteRow, RouteTarget, ServiceKind, ServiceRow, TierRow,
     reference_faults, tier_of_rank,
@@ -126,11 +126,11 @@
 /// Cause: repeats without a bound over all requests.
 #[test]
 fn repeats_stay_a_part_of_the_requests() {
-    let mut budget = RepeatBudget::new(RepeatBound { ratio: 0.2, slack: 24 }, 6);
+    let mut budget = RetryBudget::new(RetryBound { ratio: 0.2, slack: 24 }, 6);
 
     let repeats = (0..1_000).filter(|_| {
-        budget.earn(6);
-        budget.spend()
+        budget.deposit(6);
+        budget.try_withdraw()
     });
     let repeats = repeats.count();
 
@@ -144,10 +144,10 @@
 #[case::many(152, 56)]
 #[case::a_bound_without_slack(0, 6)]
 fn daemons_together_save_up_no_more_than_the_bound(#[case] slack: u64, #[case] daemons: usize) {
-    let mut budgets = vec![RepeatBudget::new(RepeatBound { ratio: 0.2, slack }, daemons); daemons];
+    let mut budgets = vec![RetryBudget::new(RetryBound { ratio: 0.2, slack }, daemons); daemons];
 
     let spent: usize =
-        budgets.iter_mut().map(|budget| (0..100).filter(|_| budget.spend()).count()).sum();
+        budgets.iter_mut().map(|budget| (0..100).filter(|_| budget.try_withdraw()).count()).sum();
 
     assert!(spent as u64 <= slack, "{spent}");
 }
