--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -98,7 +98,7 @@
     /// Adds a request.
     fn push(&mut self, request: WaitingRequest);
     /// Returns a request that was popped but not sent to the front of its lane.
-    fn push_back_first(&mut self, request: WaitingRequest);
+    fn requeue_front(&mut self, request: WaitingRequest);
     /// Removes and returns the next request, skipping tiers below `lowest`.
     fn pop(&mut self, lowest: TierRank, now: Moment) -> Option<WaitingRequest>;
     /// Removes a request from any position.
@@ -127,7 +127,7 @@
     fn waiting_count(&self, tier: TierRank) -> usize;
     /// Cost in tokens of the waiting requests served before `request`, with `request` rated as in
     /// time or as late.
-    fn cost_before(&mut self, _request: &WaitingRequest, _is_late: bool, _now: Moment) -> u64 {
+    fn cost_ahead(&mut self, _request: &WaitingRequest, _is_late: bool, _now: Moment) -> u64 {
         0
     }
     /// Waiting requests by level of value density; empty for a queue that does not rate requests.
@@ -340,7 +340,7 @@
         self.insert(request, false);
     }
 
-    fn push_back_first(&mut self, request: WaitingRequest) {
+    fn requeue_front(&mut self, request: WaitingRequest) {
         self.insert(request, true);
     }
 
@@ -447,7 +447,7 @@
         self.insert(request);
     }
 
-    fn push_back_first(&mut self, request: WaitingRequest) {
+    fn requeue_front(&mut self, request: WaitingRequest) {
         self.ids.push_front(request.id);
         self.insert(request);
     }
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -92,7 +92,7 @@
         let may_wait = now < request.expires_at && self.looks_at_late();
         if may_wait && (request.is_owed || self.has_prospect(&request, now)) {
             request.review_at = request.expires_at.min(now + LATE_PAUSE);
-            return self.queue.push_back_first(request);
+            return self.queue.requeue_front(request);
         }
         self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
     }
@@ -101,7 +101,7 @@
     fn has_prospect(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         let left = request.expires_at.since(now).mul_f64(PROSPECT_PART);
         let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN) * LATE_DRAIN;
-        let before = self.queue.cost_before(request, true, now) as f64;
+        let before = self.queue.cost_ahead(request, true, now) as f64;
         if before > rate * left.as_secs_f64() {
             return false;
         }
@@ -209,11 +209,11 @@
         let wait = |cost: u64, rate: f64| {
             Duration::try_from_secs_f64(cost as f64 / rate).unwrap_or(Duration::MAX)
         };
-        let before = self.queue.cost_before(request, false, now);
+        let before = self.queue.cost_ahead(request, false, now);
         if now + wait(before, rate) <= request.start_by {
             return false;
         }
-        let before = self.queue.cost_before(request, true, now);
+        let before = self.queue.cost_ahead(request, true, now);
         now + wait(before, rate * LATE_DRAIN) > request.review_at
     }
 
@@ -318,7 +318,7 @@
             return self.refuse_shed(&request, kind, now, actions);
         }
         request.review_at = request.deadline.min(now + LATE_PAUSE);
-        self.queue.push_back_first(request);
+        self.queue.requeue_front(request);
     }
 
     pub(super) fn evict_below_floor(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -103,7 +103,7 @@
     fn crowded(&mut self, request: WaitingRequest, upstream: UpstreamIndex, now: Moment) {
         self.upstreams.update(upstream, |status| status.crowd(now));
         self.reservations.refused(now);
-        self.queue.push_back_first(request);
+        self.queue.requeue_front(request);
     }
 
     pub(super) fn completed(
@@ -164,7 +164,7 @@
             self.redispatches >= 1.0 && self.upstreams.live_count() > 0 && now < request.deadline;
         if can_try {
             self.redispatches -= 1.0;
-            self.queue.push_back_first(request);
+            self.queue.requeue_front(request);
         } else {
             self.count_end(&request, false);
             actions
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -235,7 +235,7 @@
                 break;
             }
         }
-        passed_over.into_iter().for_each(|request| self.queue.push_back_first(request));
+        passed_over.into_iter().for_each(|request| self.queue.requeue_front(request));
     }
 
     /// True if a late request has more before it at the group's other daemons than places will become free until those
--- a/src/policy/urgency_queue.rs
+++ b/src/policy/urgency_queue.rs
@@ -243,7 +243,7 @@
         self.enqueue(request);
     }
 
-    fn push_back_first(&mut self, request: WaitingRequest) {
+    fn requeue_front(&mut self, request: WaitingRequest) {
         self.enqueue(request);
     }
 
@@ -295,7 +295,7 @@
         0
     }
 
-    fn cost_before(&mut self, request: &WaitingRequest, is_late: bool, now: Moment) -> u64 {
+    fn cost_ahead(&mut self, request: &WaitingRequest, is_late: bool, now: Moment) -> u64 {
         self.mark_late(now);
         let density = self.density(request);
         self.histogram.cost_at_or_above(if is_late { density * LATE_VALUE_RATIO } else { density })
