--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -59,7 +59,7 @@
         expires_at: review_at,
         route: RouteKey::default(),
         size_tenth: None,
-        is_owed: false,
+        is_underserved: false,
     }
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -48,7 +48,7 @@
     placement_policy, prefix_hashes,
 };
 pub use queue::{FairQueue, FifoQueue, TierShare, WaitingQueue, WaitingRequest};
-pub use request_sizes::{RouteSizes, SizeTenth};
+pub use request_sizes::{RouteSizes, SizeDecile};
 pub use retry_budget::{RetryBound, RetryBudget};
 pub use scheduler::{
     ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -5,7 +5,7 @@
 //! in its fair turn, but can still meet it if sent now, is served ahead of lower tiers.
 
 use super::{
-    DensityLevel, Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeTenth,
+    DensityLevel, Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeDecile,
     TierProgress, TierRank, WaitingLevels,
 };
 use std::cmp::Reverse;
@@ -66,9 +66,9 @@
     /// The route it came by.
     pub route: RouteKey,
     /// Its decile by size among the requests of its route, if known.
-    pub size_tenth: Option<SizeTenth>,
+    pub size_tenth: Option<SizeDecile>,
     /// True if it has priority because too few requests of its size are served.
-    pub is_owed: bool,
+    pub is_underserved: bool,
 }
 
 impl WaitingRequest {
@@ -77,8 +77,8 @@
         SizeClaim {
             lane: (self.tier, self.rank),
             route: self.route,
-            tenth: self.size_tenth,
-            is_owed: self.is_owed,
+            decile: self.size_tenth,
+            is_underserved: self.is_underserved,
         }
     }
 
--- a/src/policy/request_sizes.rs
+++ b/src/policy/request_sizes.rs
@@ -13,16 +13,16 @@
 
 /// A decile of a route's requests by size: 0 the smallest, 9 the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SizeTenth(u8);
+pub struct SizeDecile(u8);
 
-impl SizeTenth {
+impl SizeDecile {
     /// The decile of the largest requests.
-    pub const LARGEST: SizeTenth = SizeTenth(9);
+    pub const LARGEST: SizeDecile = SizeDecile(9);
     const NAMES: [&str; 10] = ["0", "1", "2", "3", "4", "5", "6", "7", "8", "9"];
 
     /// The decile of a request that is larger than `smaller` of `all` others.
     pub fn of_rank(smaller: usize, all: usize) -> Self {
-        SizeTenth((smaller * 10 / all.max(1)).min(9) as u8)
+        SizeDecile((smaller * 10 / all.max(1)).min(9) as u8)
     }
 
     /// Its number as a metric label.
@@ -53,7 +53,7 @@
 
     /// Adds the sizes of a request and returns its decile among those before it, or `None` while
     /// too few are known.
-    pub fn tenth(&mut self, sizes: RequestSizes) -> Option<SizeTenth> {
+    pub fn decile(&mut self, sizes: RequestSizes) -> Option<SizeDecile> {
         let size = size(sizes.prompt, sizes.output);
         let known = self.recent.len();
         let smaller = self.recent.iter().filter(|other| **other < size).count();
@@ -61,6 +61,6 @@
             self.recent.pop_front();
         }
         self.recent.push_back(size);
-        (known >= MIN_REQUESTS).then(|| SizeTenth::of_rank(smaller, known))
+        (known >= MIN_REQUESTS).then(|| SizeDecile::of_rank(smaller, known))
     }
 }
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -45,7 +45,7 @@
         {
             return refuse(AnswerKind::DeadlineTooShort);
         }
-        request.is_owed = self.is_owed(&request, now, rng);
+        request.is_underserved = self.is_owed(&request, now, rng);
         if self.plan.queue == QueueChoice::Fifo {
             match self.queue.len() >= self.plan.waiting_limit {
                 true => self.refuse_shed(&request, AnswerKind::Overloaded, now, actions),
@@ -90,7 +90,7 @@
         actions: &mut Vec<PoolAction>,
     ) {
         let may_wait = now < request.expires_at && self.looks_at_late();
-        if may_wait && (request.is_owed || self.has_prospect(&request, now)) {
+        if may_wait && (request.is_underserved || self.has_prospect(&request, now)) {
             request.review_at = request.expires_at.min(now + LATE_PAUSE);
             return self.queue.requeue_front(request);
         }
@@ -114,12 +114,12 @@
     fn is_owed(&mut self, request: &WaitingRequest, now: Moment, rng: &mut dyn RngCore) -> bool {
         self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::SizeShare)
-            && self.shares.arrived(&request.size_claim(), rng.random(), now)
+            && self.shares.record_arrival(&request.size_claim(), rng.random(), now)
     }
 
     /// Counts the end of a request by its size.
     pub(super) fn count_end(&mut self, request: &WaitingRequest, is_served: bool) {
-        self.shares.ended(&request.size_claim(), is_served, self.plan.size_share);
+        self.shares.record_end(&request.size_claim(), is_served, self.plan.size_share);
     }
 
     pub(super) fn estimated(&self, request: ArrivedRequest, now: Moment) -> WaitingRequest {
@@ -152,7 +152,7 @@
             expires_at: request.deadline,
             route: request.route,
             size_tenth: request.size_tenth,
-            is_owed: false,
+            is_underserved: false,
         };
         // An estimate of the run time longer than the whole slack must not make the request late at
         // once: it was let in above because estimates are means.
@@ -202,7 +202,7 @@
     /// True if a request should be refused at once, because by what waits before it and how fast the pool works
     /// that off, it can meet neither its objective nor, as a late one, its deadline.
     pub(super) fn has_no_chance(&mut self, request: &WaitingRequest, now: Moment) -> bool {
-        if self.queue.is_empty() || request.is_owed {
+        if self.queue.is_empty() || request.is_underserved {
             return false;
         }
         let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN);
--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -4,7 +4,7 @@
 use crate::answer::AnswerKind;
 use crate::policy::{
     FleetGroup, FloorOrder, LoadReport, Moment, OrganisationIndex, OthersWork, RequestId,
-    RequestSizes, RouteKey, SizeTenth, TierRank, UpstreamIndex, UpstreamSource, UpstreamWord,
+    RequestSizes, RouteKey, SizeDecile, TierRank, UpstreamIndex, UpstreamSource, UpstreamWord,
     WaitingLevels,
 };
 use crate::table::UpstreamName;
@@ -47,7 +47,7 @@
     /// Its size, where the caller says; else it is estimated.
     pub sizes: Option<RequestSizes>,
     /// Its tenth by size among the recent requests of its route, if that is known.
-    pub size_tenth: Option<SizeTenth>,
+    pub size_tenth: Option<SizeDecile>,
     /// What sizes are compared among: the requests of its route.
     pub route: RouteKey,
     /// Hashes of the prompt's leading blocks.
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -247,7 +247,7 @@
             return true;
         }
         let has_order = self.plan.reserves && self.plan.mechanisms.has(Mechanism::GroupOrder);
-        if is_in_time || request.is_owed || !has_order {
+        if is_in_time || request.is_underserved || !has_order {
             return false;
         }
         let Some(level) = self.queue.density_level(request, now) else { return false };
--- a/src/policy/size_shares.rs
+++ b/src/policy/size_shares.rs
@@ -8,7 +8,7 @@
 //! least 1 is underserved: one dispatch in four goes to such requests before all others. If it
 //! is not served, the deficit passes on to the next.
 
-use super::{Moment, SizeTenth, TierRank};
+use super::{Moment, SizeDecile, TierRank};
 use std::collections::HashMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -48,9 +48,9 @@
     /// Its route.
     pub route: RouteKey,
     /// Its decile by size, if known.
-    pub tenth: Option<SizeTenth>,
+    pub decile: Option<SizeDecile>,
     /// True if it was marked as underserved on arrival.
-    pub is_owed: bool,
+    pub is_underserved: bool,
 }
 
 /// The fraction of a lane's requests that is served.
@@ -84,16 +84,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct SizeShares {
     lanes: HashMap<(TierRank, u8), ServedShare>,
-    accounts: HashMap<(RouteKey, SizeTenth), SizeAccount>,
+    accounts: HashMap<(RouteKey, SizeDecile), SizeAccount>,
 }
 
 impl SizeShares {
     /// Charges an arriving request to its account; true if the request is underserved. `draw`, a
     /// random number from 0.0..1.0, is the initial deficit of a new account: otherwise the accounts
     /// of many daemons with few requests each would never reach a deficit of 1.
-    pub fn arrived(&mut self, claim: &SizeClaim, draw: f64, now: Moment) -> bool {
-        let Some(tenth) = claim.tenth else { return false };
-        let key = (claim.route, tenth);
+    pub fn record_arrival(&mut self, claim: &SizeClaim, draw: f64, now: Moment) -> bool {
+        let Some(decile) = claim.decile else { return false };
+        let key = (claim.route, decile);
         if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(&key) {
             self.accounts.retain(|_, account| now.since(account.used_at) < IDLE_AFTER);
             if self.accounts.len() >= MAX_ACCOUNTS {
@@ -103,19 +103,19 @@
         let account =
             self.accounts.entry(key).or_insert(SizeAccount { deficit: draw, used_at: now });
         account.used_at = now;
-        let is_owed = account.deficit >= 1.0;
-        account.deficit -= f64::from(u8::from(is_owed));
-        is_owed
+        let is_underserved = account.deficit >= 1.0;
+        account.deficit -= f64::from(u8::from(is_underserved));
+        is_underserved
     }
 
     /// Counts a request that ended, answered or not, under a guarantee of the fraction `guarantee`.
-    pub fn ended(&mut self, claim: &SizeClaim, is_served: bool, guarantee: f64) {
+    pub fn record_end(&mut self, claim: &SizeClaim, is_served: bool, guarantee: f64) {
         let lane = self.lanes.entry(claim.lane).or_default();
         lane.learn(is_served);
         let guaranteed = guarantee * lane.share;
-        let account = claim.tenth.and_then(|tenth| self.accounts.get_mut(&(claim.route, tenth)));
+        let account = claim.decile.and_then(|decile| self.accounts.get_mut(&(claim.route, decile)));
         let Some(account) = account else { return };
-        let charged = f64::from(u8::from(claim.is_owed));
+        let charged = f64::from(u8::from(claim.is_underserved));
         let served = f64::from(u8::from(is_served));
         account.deficit =
             (account.deficit + charged + guaranteed - served).clamp(-MAX_SURPLUS, MAX_DEFICIT);
--- a/src/policy/urgency_queue.rs
+++ b/src/policy/urgency_queue.rs
@@ -68,7 +68,7 @@
 
 impl UrgencyLane {
     fn density(&self, request: &WaitingRequest, by_size: bool) -> f64 {
-        let density = match by_size && !request.is_owed {
+        let density = match by_size && !request.is_underserved {
             true => self.means.density(request.prompt_tokens, request.output_tokens, request.cost),
             false => self.means.mean_density(),
         };
@@ -78,7 +78,7 @@
     fn insert(&mut self, queued: &QueuedRequest) {
         let request = &queued.request;
         self.cost += u64::from(request.cost);
-        if request.is_owed {
+        if request.is_underserved {
             self.underserved.insert((request.start_by, request.id));
             return;
         }
@@ -305,7 +305,7 @@
         let mut levels = WaitingLevels::default();
         // Requests of underserved sizes have dispatches reserved for them; others do not yield to
         // them.
-        let regular = self.entries.values().filter(|queued| !queued.request.is_owed);
+        let regular = self.entries.values().filter(|queued| !queued.request.is_underserved);
         let densities = regular.map(|queued| queued.density.density());
         densities.for_each(|density| levels.add(DensityLevel::of(density), 1));
         levels
--- a/src/report/measures.rs
+++ b/src/report/measures.rs
@@ -1,7 +1,7 @@
 //! Metrics by `metrics`, shown in the Prometheus text format.
 
 use crate::answer::AnswerKind;
-use crate::policy::SizeTenth;
+use crate::policy::SizeDecile;
 use crate::table::{OrganisationName, RouteKind, ServiceRow, TierName};
 use crate::traffic::TrafficState;
 use metrics::{counter, gauge, histogram};
@@ -81,7 +81,7 @@
     /// How it ended: the refusal's name, `answered`, `upstream-failure`, `cut` or `caller-left`.
     pub outcome: &'static str,
     /// Its tenth by size among the recent requests of its route, if that is known.
-    pub size_tenth: Option<SizeTenth>,
+    pub size_tenth: Option<SizeDecile>,
     /// True if an answer met its objectives.
     pub is_in_time: bool,
     /// Time to the first event of a stream.
@@ -117,10 +117,10 @@
 pub fn record_size(
     kind: RouteKind,
     tier: &TierName,
-    size_tenth: Option<SizeTenth>,
+    size_tenth: Option<SizeDecile>,
     outcome: &'static str,
 ) {
-    let tenth = size_tenth.map_or("unknown", SizeTenth::name);
+    let tenth = size_tenth.map_or("unknown", SizeDecile::name);
     counter!("tarragonknot_size_requests_total", "kind" => kind.name(), "tier" => tier.to_string(), "tenth" => tenth, "outcome" => outcome)
         .increment(1);
 }
--- a/src/rollout/counts.rs
+++ b/src/rollout/counts.rs
@@ -1,6 +1,6 @@
 //! What requests on the old and the new version of a service came to, as counters that only rise.
 
-use crate::policy::{RouteKey, SizeTenth, UpstreamHash};
+use crate::policy::{RouteKey, SizeDecile, UpstreamHash};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -49,7 +49,7 @@
 
 impl RequestGroup {
     /// The group of a request.
-    pub fn of(route: RouteKey, tenth: Option<SizeTenth>) -> Self {
+    pub fn of(route: RouteKey, tenth: Option<SizeDecile>) -> Self {
         let size = tenth.map_or(NO_GROUP, |tenth| tenth.number() / TENTHS_IN_GROUP);
         RequestGroup { route: route.short(), size }
     }
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -9,7 +9,7 @@
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, Moment, PoolEvent, RequestId, RequestSizes, RouteKey,
-    SizeTenth, UpstreamHash, UpstreamIndex, UpstreamWord,
+    SizeDecile, UpstreamHash, UpstreamIndex, UpstreamWord,
 };
 use crate::quarantine::RequestFingerprint;
 use crate::report::{RouteRecord, record_route};
@@ -62,7 +62,7 @@
     pub caller: Option<CallerIdentity>,
     pub sizes: Option<RequestSizes>,
     /// Its tenth by size among the recent requests of its route, if that is known.
-    pub size_tenth: Option<SizeTenth>,
+    pub size_tenth: Option<SizeDecile>,
     /// When the caller's or the route's time is over, whichever is first.
     pub deadline: Moment,
     /// True if the caller named a deadline.
--- a/src/traffic/routed/size_fields.rs
+++ b/src/traffic/routed/size_fields.rs
@@ -1,13 +1,13 @@
 //! A request's size, as fields of log lines.
 
 use super::dialect::CallerFacts;
-use crate::policy::SizeTenth;
+use crate::policy::SizeDecile;
 use slog::{KV, Record, Result, Serializer};
 
 /// What is known of a request's size, in tokens, and whether its caller has been here before.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeFields {
-    tenth: Option<SizeTenth>,
+    tenth: Option<SizeDecile>,
     prompt: Option<u32>,
     output_limit: Option<u32>,
     output_guess: Option<u32>,
@@ -16,7 +16,7 @@
 
 impl SizeFields {
     /// The fields of a request whose caller says `facts`.
-    pub fn new(facts: &CallerFacts, tenth: Option<SizeTenth>, has_returned: bool) -> Self {
+    pub fn new(facts: &CallerFacts, tenth: Option<SizeDecile>, has_returned: bool) -> Self {
         SizeFields {
             tenth,
             prompt: facts.prompt_tokens,
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -16,7 +16,7 @@
 use crate::control::ClaimKeeper;
 use crate::policy::{
     CallerTimes, LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RequestSizes,
-    RetryBound, RetryBudget, RouteSizes, SizeTenth,
+    RetryBound, RetryBudget, RouteSizes, SizeDecile,
 };
 use crate::rollout::version_pool;
 use crate::table::{
@@ -257,8 +257,8 @@
     }
 
     /// The tenth by size of a request among the recent ones of its route; none while too few are known.
-    pub fn size_tenth(&self, route: &str, sizes: RequestSizes) -> Option<SizeTenth> {
-        self.with_route_sizes(route, |known| known.tenth(sizes))
+    pub fn size_tenth(&self, route: &str, sizes: RequestSizes) -> Option<SizeDecile> {
+        self.with_route_sizes(route, |known| known.decile(sizes))
     }
 
     /// Takes what a request of a route costs of its organisation's limit; what one usually costs.
--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
-use tarragonknot::policy::{Moment, RouteKey, SizeTenth, UpstreamHash};
+use tarragonknot::policy::{Moment, RouteKey, SizeDecile, UpstreamHash};
 use tarragonknot::rollout::{
     AnswerCount, AnswerCounts, RequestGroup, RolloutDirector, RolloutEvent, RolloutLog,
     RolloutOrder, RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePace,
@@ -164,7 +164,7 @@
                 *load += 1;
                 let load = *load;
                 let route = rng.random_range(0..ROUTES);
-                let tenth = SizeTenth::of_rank(rng.random_range(0..10), 10);
+                let tenth = SizeDecile::of_rank(rng.random_range(0..10), 10);
                 let group = RequestGroup::of(RouteKey::of(&format!("r{route}")), Some(tenth));
                 let speed = speeds
                     [(engine + if arm == VersionArm::New { OLD_ENGINES } else { 0 }) as usize];
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -275,7 +275,7 @@
         };
         self.requests.insert(id, request);
         let at = |millis: u64| Moment(now + millis * 1_000);
-        let tenth = self.daemons[daemon].1[kind].tenth(sizes);
+        let tenth = self.daemons[daemon].1[kind].decile(sizes);
         let event = PoolEvent::Arrived(ArrivedRequest {
             deadline: at(DEADLINE),
             objective: Some(at(OBJECTIVE)),
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -41,7 +41,7 @@
         expires_at: review_at,
         route: RouteKey::default(),
         size_tenth: None,
-        is_owed: false,
+        is_underserved: false,
     }
 }
 
--- a/tests/test_request_sizes.rs
+++ b/tests/test_request_sizes.rs
@@ -1,7 +1,7 @@
 //! The place of a request by size among the recent ones of its route.
 
 use rstest::rstest;
-use tarragonknot::policy::{RequestSizes, RouteSizes, SizeTenth};
+use tarragonknot::policy::{RequestSizes, RouteSizes, SizeDecile};
 
 fn sizes(output: u32) -> RequestSizes {
     RequestSizes { prompt: 100, output }
@@ -10,7 +10,7 @@
 fn known_sizes(outputs: impl Iterator<Item = u32>) -> RouteSizes {
     let mut known = RouteSizes::default();
     for output in outputs {
-        known.tenth(sizes(output));
+        known.decile(sizes(output));
     }
     known
 }
@@ -22,19 +22,19 @@
 fn a_request_has_its_tenth_among_the_recent_ones(#[case] output: u32, #[case] tenth: u8) {
     let mut known = known_sizes(1..=100);
 
-    assert_eq!(known.tenth(sizes(output)).map(SizeTenth::number), Some(tenth));
+    assert_eq!(known.decile(sizes(output)).map(SizeDecile::number), Some(tenth));
 }
 
 #[test]
 fn nothing_is_large_before_enough_is_known() {
     let mut known = known_sizes(1..=9);
 
-    assert_eq!(known.tenth(sizes(1_000)), None);
+    assert_eq!(known.decile(sizes(1_000)), None);
 }
 
 #[test]
 fn what_was_usual_long_ago_is_forgotten() {
     let mut known = known_sizes((0..300).map(|_| 1_000).chain((0..300).map(|_| 10)));
 
-    assert_eq!(known.tenth(sizes(20)), Some(SizeTenth::LARGEST));
+    assert_eq!(known.decile(sizes(20)), Some(SizeDecile::LARGEST));
 }
--- a/tests/test_size_accounts.rs
+++ b/tests/test_size_accounts.rs
@@ -1,7 +1,7 @@
 //! Accounts of what each size of a kind is owed.
 
 use rstest::rstest;
-use tarragonknot::policy::{Moment, RouteKey, SizeClaim, SizeShares, SizeTenth, TierRank};
+use tarragonknot::policy::{Moment, RouteKey, SizeClaim, SizeDecile, SizeShares, TierRank};
 
 const PART: f64 = 0.75;
 
@@ -9,16 +9,16 @@
     SizeClaim {
         lane: (TierRank(0), 1),
         route: RouteKey::of("letters"),
-        tenth: Some(SizeTenth::of_rank(smaller, 10)),
-        is_owed: false,
+        decile: Some(SizeDecile::of_rank(smaller, 10)),
+        is_underserved: false,
     }
 }
 
 /// One arrival that is served if it is owed, or if `is_served` anyway; true if it was owed.
 fn pass(shares: &mut SizeShares, claim: SizeClaim, is_served: bool, draw: f64) -> bool {
-    let is_owed = shares.arrived(&claim, draw, Moment(0));
-    shares.ended(&SizeClaim { is_owed, ..claim }, is_owed || is_served, PART);
-    is_owed
+    let is_underserved = shares.record_arrival(&claim, draw, Moment(0));
+    shares.record_end(&SizeClaim { is_underserved, ..claim }, is_underserved || is_served, PART);
+    is_underserved
 }
 
 /// Guards against a largest tenth that waits for ever: half of all are served, none of its own without the promise.
@@ -58,12 +58,12 @@
 fn what_is_owed_to_one_size_is_bounded() {
     let mut shares = SizeShares::default();
     for _ in 0..100 {
-        let is_owed = shares.arrived(&claim(9), 0.0, Moment(0));
-        shares.ended(&SizeClaim { is_owed, ..claim(9) }, false, PART);
-        shares.ended(&claim(0), true, PART);
+        let is_underserved = shares.record_arrival(&claim(9), 0.0, Moment(0));
+        shares.record_end(&SizeClaim { is_underserved, ..claim(9) }, false, PART);
+        shares.record_end(&claim(0), true, PART);
     }
 
-    let owed = (0..10).filter(|_| shares.arrived(&claim(9), 0.0, Moment(0))).count();
+    let owed = (0..10).filter(|_| shares.record_arrival(&claim(9), 0.0, Moment(0))).count();
 
     assert_eq!(owed, 2);
 }
