--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -157,7 +157,7 @@
             wanted: None,
             guaranteed: None,
             demand: limits.demand(),
-            used: limits.used(),
+            used: limits.largest_utilisation(),
         };
         states.chain([limits]).collect()
     }
--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -63,7 +63,7 @@
 async fn tick_pools(state: Arc<TrafficState>) {
     let mut floors: BTreeMap<ServiceName, (Option<TierRank>, Option<TierRank>)> = BTreeMap::new();
     loop {
-        state.limits().alive(state.clock.now());
+        state.limits().record_alive(state.clock.now());
         let mut is_busy = false;
         for (service, pool) in state.pools().iter() {
             refuse_without_lease(&state, pool);
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -113,9 +113,9 @@
         move |organisation| {
             let taken = self.taken_rates.rate(organisation, now);
             let own = self.own_rates.rate(organisation, now);
-            let fleet_asked = self.asked_rates.rate(organisation, now);
-            let others_taken = (taken - own).max(0.0);
-            LimitForecast { others_taken, fleet_asked, counted_until, horizon }
+            let fleet_requested_rate = self.asked_rates.rate(organisation, now);
+            let others_admitted_rate = (taken - own).max(0.0);
+            LimitForecast { others_admitted_rate, fleet_requested_rate, counted_until, horizon }
         }
     }
 
--- a/src/policy/organisation_limits.rs
+++ b/src/policy/organisation_limits.rs
@@ -48,9 +48,9 @@
     full_at: f64,
     in_progress: u32,
     /// Tokens admitted by this daemon since the start, less those given back.
-    taken: i64,
+    admitted_tokens: i64,
     /// Tokens requested from this daemon since the start.
-    asked: u64,
+    requested_tokens: u64,
     /// Expected traffic of the other daemons.
     forecast: LimitForecast,
     /// By route; created by the first request of the route that needs pacing.
@@ -61,9 +61,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitForecast {
     /// Tokens per second that the other daemons admit.
-    pub others_taken: f64,
+    pub others_admitted_rate: f64,
     /// Tokens per second requested from the whole fleet.
-    pub fleet_asked: f64,
+    pub fleet_requested_rate: f64,
     /// Mean time up to which the other daemons' admissions have been counted.
     pub counted_until: Moment,
     /// Time until the other daemons know what this daemon admits now.
@@ -73,12 +73,13 @@
 impl LimitForecast {
     /// Tokens that the other daemons are expected to have admitted since they were last counted.
     fn unreported_tokens(&self, now: Moment) -> f64 {
-        self.others_taken * now.since(self.counted_until).min(MAX_EXTRAPOLATION).as_secs_f64()
+        self.others_admitted_rate
+            * now.since(self.counted_until).min(MAX_EXTRAPOLATION).as_secs_f64()
     }
 
     /// Tokens requested from the fleet until all daemons know what is admitted now.
     fn contended_tokens(&self) -> f64 {
-        self.fleet_asked * self.horizon.as_secs_f64()
+        self.fleet_requested_rate * self.horizon.as_secs_f64()
     }
 }
 
@@ -116,12 +117,12 @@
     /// daemons together could spend the rest of a bucket before they learn of each other's
     /// admissions; without it, each daemon spends the same rest. Each route is paced separately: in
     /// a shared pacer, cheap routes would use up the credit that an expensive one waits for.
-    fn admits_paced(&mut self, kind: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
-        let part = rate / self.forecast.fleet_asked.max(rate);
-        if self.pacers.len() >= MAX_PACERS && !self.pacers.contains_key(&kind) {
+    fn admits_paced(&mut self, route: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
+        let part = rate / self.forecast.fleet_requested_rate.max(rate);
+        if self.pacers.len() >= MAX_PACERS && !self.pacers.contains_key(&route) {
             self.pacers.clear();
         }
-        let pacer = self.pacers.entry(kind).or_insert(AdmissionPacer { credit: cost * start });
+        let pacer = self.pacers.entry(route).or_insert(AdmissionPacer { credit: cost * start });
         pacer.admits(cost, part)
     }
 }
@@ -130,7 +131,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitClaim {
     /// The route it came by.
-    pub kind: RouteKey,
+    pub route: RouteKey,
     /// Estimated cost in tokens.
     pub cost: u32,
     /// Mean cost of recent requests of its route, in tokens.
@@ -202,7 +203,7 @@
 impl LimitTable {
     /// Sets the initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0.
     /// Each daemon draws it at random, so that they differ.
-    pub fn set_pace_start(&mut self, start: f64) {
+    pub fn set_initial_credit(&mut self, start: f64) {
         self.initial_credit = start.clamp(0.0, 1.0);
     }
 
@@ -228,7 +229,7 @@
 
     /// Records that the process is running. After a pause all buckets are emptied, as in a new
     /// process, since it is unknown what the others admitted meanwhile.
-    pub fn alive(&mut self, now: Moment) {
+    pub fn record_alive(&mut self, now: Moment) {
         let has_paused = self.last_alive_at.is_some_and(|at| now.since(at) >= PAUSE_THRESHOLD);
         self.last_alive_at = Some(now);
         if !has_paused || self.emptied_at.is_none() {
@@ -246,7 +247,7 @@
     }
 
     /// Updates the expected traffic of the other daemons.
-    pub fn foresee(&mut self, organisation: OrganisationIndex, forecast: LimitForecast) {
+    pub fn set_forecast(&mut self, organisation: OrganisationIndex, forecast: LimitForecast) {
         if let Some(state) = self.states.get_mut(&organisation) {
             state.forecast = forecast;
         }
@@ -302,7 +303,7 @@
         now: Moment,
     ) -> Result<(), AnswerKind> {
         if self.last_alive_at.is_some() {
-            self.alive(now);
+            self.record_alive(now);
         }
         let reserve = self.reserve(claim);
         let cost = claim.cost;
@@ -320,7 +321,7 @@
         }) {
             return Err(AnswerKind::ConcurrencyLimited);
         }
-        state.asked += u64::from(cost);
+        state.requested_tokens += u64::from(cost);
         if let Some((rate, burst)) = fleet_limit {
             let (rate, burst) = (rate * self.share, burst * self.share);
             let time_now = now.0 as f64;
@@ -340,14 +341,14 @@
                 return Err(AnswerKind::RateLimited);
             }
             if spent + usual_cost + state.forecast.contended_tokens() > usable
-                && !state.admits_paced(claim.kind, usual_cost, rate, self.initial_credit)
+                && !state.admits_paced(claim.route, usual_cost, rate, self.initial_credit)
             {
                 return Err(AnswerKind::RateLimited);
             }
             let full_at = full_at + f64::from(cost) / rate * MICROS_PER_SECOND;
             state.full_at = full_at;
         }
-        state.taken += i64::from(cost);
+        state.admitted_tokens += i64::from(cost);
         state.in_progress += 1;
         Ok(())
     }
@@ -368,7 +369,7 @@
         let rate = rate.map(|rate| self.admitted_rate(rate));
         let Some(state) = self.states.get_mut(&organisation) else { return };
         state.in_progress = state.in_progress.saturating_sub(1);
-        state.taken -= i64::from(unused);
+        state.admitted_tokens -= i64::from(unused);
         if let Some(rate) = rate.filter(|_| self.share > 0.0) {
             state.full_at -= f64::from(unused) / (rate * self.share) * MICROS_PER_SECOND;
         }
@@ -398,7 +399,7 @@
     /// Moves an organisation's bucket a little towards another daemon's estimate. Without it, the
     /// daemons' buckets stay apart after lost messages or a network partition, since all refill at
     /// the same rate, and the emptiest refuses everything while the others admit the whole limit.
-    pub fn level(
+    pub fn converge(
         &mut self,
         organisation: OrganisationIndex,
         refill: Duration,
@@ -416,8 +417,8 @@
     }
 
     /// Tokens of an organisation requested from this daemon since the start.
-    pub fn asked(&self, organisation: OrganisationIndex) -> u64 {
-        self.states.get(&organisation).map_or(0, |state| state.asked)
+    pub fn requested_tokens(&self, organisation: OrganisationIndex) -> u64 {
+        self.states.get(&organisation).map_or(0, |state| state.requested_tokens)
     }
 
     /// The rate that an organisation's limit admits, in tokens per second.
@@ -427,14 +428,14 @@
     }
 
     /// Time until an organisation's bucket is full again.
-    pub fn refilled_in(&self, organisation: OrganisationIndex, now: Moment) -> Duration {
+    pub fn time_to_full(&self, organisation: OrganisationIndex, now: Moment) -> Duration {
         let full_at = self.states.get(&organisation).map_or(0.0, |state| state.full_at);
         Duration::from_micros((full_at - now.0 as f64).max(0.0) as u64)
     }
 
     /// Tokens of an organisation admitted by this daemon since the start, less those given back.
-    pub fn taken(&self, organisation: OrganisationIndex) -> i64 {
-        self.states.get(&organisation).map_or(0, |state| state.taken)
+    pub fn admitted_tokens(&self, organisation: OrganisationIndex) -> i64 {
+        self.states.get(&organisation).map_or(0, |state| state.admitted_tokens)
     }
 
     /// Requests in progress of organisations with limits, the basis of this daemon's share.
@@ -445,12 +446,12 @@
     /// The largest fraction of a whole concurrency limit that this daemon uses. After its share was
     /// reduced, requests beyond the new share still count until they end: otherwise another daemon
     /// would fill the part taken away while it is still in use.
-    pub fn used(&self) -> f64 {
-        let used = self.limits.iter().filter_map(|(organisation, limit)| {
+    pub fn largest_utilisation(&self) -> f64 {
+        let utilisations = self.limits.iter().filter_map(|(organisation, limit)| {
             let max = f64::from(limit.concurrent?.max(1));
             Some(f64::from(self.in_progress(*organisation)) / max)
         });
-        used.fold(0.0, f64::max)
+        utilisations.fold(0.0, f64::max)
     }
 
     /// Requests in progress of one organisation.
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -126,7 +126,7 @@
     let identity = DaemonIdentity { daemon: state.daemon.clone(), boot: state.boot(), address };
     let fleet = FleetState::new(identity);
     state.limits().set_share(fleet.limit_share());
-    state.limits().set_pace_start(state.jitter());
+    state.limits().set_initial_credit(state.jitter());
     let _ = state.fleet.fleet.set(Mutex::new(fleet));
     state.fleet.list.begin(state.jitter());
     tokio::spawn(listen(Arc::clone(&state), socket.clone()));
@@ -229,7 +229,7 @@
     for row in &estimates.rows {
         if let Some(index) = snapshot.access.limited_by_hash(row.organisation) {
             let refill = Duration::from_millis(u64::from(row.refill_ms));
-            limits.level(index, refill, estimates.senders, now);
+            limits.converge(index, refill, estimates.senders, now);
         }
     }
 }
@@ -249,7 +249,7 @@
     drop(fleet);
     let mut limits = state.limits();
     limits.set_share(share);
-    forecasts.into_iter().for_each(|(index, forecast)| limits.foresee(index, forecast));
+    forecasts.into_iter().for_each(|(index, forecast)| limits.set_forecast(index, forecast));
     drop(limits);
     for (service, pool) in state.pools().iter() {
         let levels = waiting.get(&ServiceHash::of(service)).cloned().unwrap_or_default();
@@ -353,9 +353,9 @@
     let limits = state.limits();
     let rows = snapshot.access.limited_hashes().map(|(organisation, index)| FlowRow {
         organisation,
-        taken: limits.taken(index),
-        asked: limits.asked(index),
-        refill_ms: limits.refilled_in(index, now).as_millis() as u32,
+        taken: limits.admitted_tokens(index),
+        asked: limits.requested_tokens(index),
+        refill_ms: limits.time_to_full(index, now).as_millis() as u32,
     });
     rows.filter(|row| row.asked != 0 || row.refill_ms != 0).collect()
 }
--- a/src/traffic/routed/door.rs
+++ b/src/traffic/routed/door.rs
@@ -98,11 +98,11 @@
             let rank = snapshot.access.route_rank(&entry.route);
             let now = state.clock.now();
             let usual_cost = state.usual_cost(&entry.route.route, cost);
-            let kind = RouteKey::of(&entry.route.route);
-            let claim = LimitClaim { kind, cost, usual_cost, rank, has_returned };
+            let route = RouteKey::of(&entry.route.route);
+            let claim = LimitClaim { route, cost, usual_cost, rank, has_returned };
             let admitted = state.limits().admit_claim(caller.index, claim, now);
             if admitted.is_err() {
-                let wait = state.limits().refilled_in(caller.index, now);
+                let wait = state.limits().time_to_full(caller.index, now);
                 let rate = state.limits().rate(caller.index).unwrap_or_default();
                 info!(state.log, "over the limit"; "request" => facts.id.as_deref().unwrap_or_default(),
                     "organisation" => caller.organisation.as_str(), "tokens" => cost, "refilled_ms" => wait.as_millis() as u64,
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -63,7 +63,7 @@
         let daemon = name(number).as_str().into();
         let identity = DaemonIdentity { daemon, boot, address: address(number) };
         let mut limits = hot_limits(now);
-        limits.set_pace_start(draw);
+        limits.set_initial_credit(draw);
         PlayedDaemon {
             fleet: FleetState::new(identity),
             limits,
@@ -80,9 +80,9 @@
     fn reading(&mut self, now: Moment) -> OwnReading {
         let flow = FlowRow {
             organisation: hot(),
-            taken: self.limits.taken(HOT),
-            asked: self.limits.asked(HOT),
-            refill_ms: self.limits.refilled_in(HOT, now).as_millis() as u32,
+            taken: self.limits.admitted_tokens(HOT),
+            asked: self.limits.requested_tokens(HOT),
+            refill_ms: self.limits.time_to_full(HOT, now).as_millis() as u32,
         };
         OwnReading {
             flows: vec![flow],
@@ -100,7 +100,7 @@
             assert_eq!(organisation, hot());
             self.limits.charge(HOT, tokens, now);
         }
-        self.limits.foresee(HOT, self.fleet.forecasts(now)(hot()));
+        self.limits.set_forecast(HOT, self.fleet.forecasts(now)(hot()));
     }
 }
 
@@ -283,7 +283,7 @@
         daemon.settle(self.now);
         for row in estimates.rows {
             let refill = Duration::from_millis(u64::from(row.refill_ms));
-            daemon.limits.level(HOT, refill, estimates.senders, self.now);
+            daemon.limits.converge(HOT, refill, estimates.senders, self.now);
         }
     }
 
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -183,7 +183,7 @@
     play.run(1_500, true);
     let now = play.now;
     let refills = play.daemons.iter().map(|daemon| {
-        daemon.limits.refilled_in(crate::fleet_play::HOT, now).as_secs_f64() * RATE as f64
+        daemon.limits.time_to_full(crate::fleet_play::HOT, now).as_secs_f64() * RATE as f64
     });
     refills.collect()
 }
--- a/tests/test_limit_sizes.rs
+++ b/tests/test_limit_sizes.rs
@@ -34,8 +34,8 @@
 /// The fleet is asked for `times` the limit.
 fn forecast(times: f64, now: Moment) -> LimitForecast {
     LimitForecast {
-        others_taken: 0.0,
-        fleet_asked: RATE * times,
+        others_admitted_rate: 0.0,
+        fleet_requested_rate: RATE * times,
         counted_until: now,
         horizon: Duration::from_millis(200),
     }
@@ -51,7 +51,7 @@
     let mut asked = Vec::new();
     while now < END {
         let cost = costs.sample(&mut rng).clamp(100.0, 20_000.0) as u32;
-        limits.foresee(HOT, forecast(times, now));
+        limits.set_forecast(HOT, forecast(times, now));
         let claim = LimitClaim { cost, usual_cost: mean as u32, rank, ..LimitClaim::default() };
         asked.push((cost, limits.admit_claim(HOT, claim, now).is_ok()));
         now = now + Duration::from_micros((mean / (RATE * times) * 1e6) as u64);
@@ -100,9 +100,9 @@
     while now < END {
         let number = rng.random_range(0..kinds.len());
         let (cost, rank) = kinds[number];
-        limits.foresee(HOT, forecast(times, now));
-        let kind = RouteKey::of(&format!("kind-{number}"));
-        let claim = LimitClaim { kind, cost, usual_cost: cost, rank, has_returned: false };
+        limits.set_forecast(HOT, forecast(times, now));
+        let route = RouteKey::of(&format!("kind-{number}"));
+        let claim = LimitClaim { route, cost, usual_cost: cost, rank, has_returned: false };
         rows[number].push((cost, limits.admit_claim(HOT, claim, now).is_ok()));
         now = now + Duration::from_micros((mean / (RATE * times) * 1e6) as u64);
     }
--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -187,7 +187,7 @@
     let began = Moment::from_millis(0);
     let mut daemon = hot_limits(began);
     let full_at = 20_000;
-    daemon.alive(Moment::from_millis(full_at));
+    daemon.record_alive(Moment::from_millis(full_at));
     let before = daemon.admit(HOT, 1_000, Moment::from_millis(full_at)).is_ok();
     let woken = Moment::from_millis(full_at + 3_000);
 
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -363,11 +363,11 @@
     let running = admitted(&mut book, 1);
 
     book.set_share(0.1);
-    let used = book.used();
+    let used = book.largest_utilisation();
     book.release(OrganisationIndex(0), 0);
 
     assert_eq!((running, used), (5, 0.5));
-    assert_eq!(book.used(), 0.4);
+    assert_eq!(book.largest_utilisation(), 0.4);
     assert_eq!(book.demand(), 4);
 }
 
--- a/tests/test_routed.rs
+++ b/tests/test_routed.rs
@@ -342,7 +342,7 @@
     let snapshot = fleet.state.snapshot();
     let organisation = OrganisationHash::of(&"agents".into());
     let index = snapshot.access.limited_by_hash(organisation).expect("a limit");
-    assert_eq!(fleet.state.limits().taken(index), 1);
+    assert_eq!(fleet.state.limits().admitted_tokens(index), 1);
 }
 
 #[tokio::test]
