--- a/src/control/fleet_member.rs
+++ b/src/control/fleet_member.rs
@@ -187,7 +187,7 @@
         for order in orders.pools {
             self.shares.insert(order.service.clone(), order.share);
             let floor = FloorOrder {
-                wanted_then: self.wanted.get(&order.service).copied().flatten(),
+                reported_wanted: self.wanted.get(&order.service).copied().flatten(),
                 confirmed: order.confirmed,
                 imposed: order.imposed,
                 is_fresh,
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -152,7 +152,7 @@
             PoolEvent::Share { share } => self.upstreams.set_share(share),
             PoolEvent::LeaseLapsed => self.refuse_waiting(AnswerKind::TableStale, actions),
             PoolEvent::FleetFloor(order) => {
-                self.floor.take(order);
+                self.floor.apply(order);
                 self.evict_below_floor(now, actions);
             }
             PoolEvent::Others { rows, group, waiting } => {
@@ -415,7 +415,7 @@
 
     /// Breaks of the shedding order; 0 unless the code is wrong or the queue has no tiers.
     pub fn order_breaks(&self) -> u64 {
-        self.audit.breaks()
+        self.audit.violations()
     }
 
     /// The floor that this daemon keeps until the next order.
--- a/src/policy/shed_audit.rs
+++ b/src/policy/shed_audit.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShedAudit {
     last_shed: BTreeMap<TierRank, Moment>,
-    breaks: u64,
+    violations: u64,
 }
 
 impl ShedAudit {
@@ -20,18 +20,19 @@
     /// waited.
     pub fn shed(&mut self, tier: TierRank, lower_waiting: usize, now: Moment) {
         self.last_shed.insert(tier, now);
-        self.breaks += u64::from(lower_waiting > 0);
+        self.violations += u64::from(lower_waiting > 0);
     }
 
     /// Records that a request of `tier` was admitted.
     pub fn admitted(&mut self, tier: TierRank, now: Moment) {
-        let is_break = self.last_shed.range(..tier).any(|(_, shed)| now.since(*shed) < SHED_WINDOW);
-        self.breaks += u64::from(is_break);
+        let is_violation =
+            self.last_shed.range(..tier).any(|(_, shed)| now.since(*shed) < SHED_WINDOW);
+        self.violations += u64::from(is_violation);
     }
 
     /// Number of violations so far; 0 unless the code is wrong or the policy is a baseline without
     /// tiers.
-    pub fn breaks(&self) -> u64 {
-        self.breaks
+    pub fn violations(&self) -> u64 {
+        self.violations
     }
 }
--- a/src/policy/shed_floor.rs
+++ b/src/policy/shed_floor.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FloorOrder {
     /// The floor that this daemon wanted when it reported.
-    pub wanted_then: Option<TierRank>,
+    pub reported_wanted: Option<TierRank>,
     /// The lowest tier that any daemon admits; `None` if every tier is admitted somewhere.
     pub confirmed: Option<TierRank>,
     /// The floor that this daemon must enforce until the next order.
@@ -141,12 +141,14 @@
     /// daemon's own floor now, since the leader relaxes no daemon's floor before the next report.
     /// Afterwards it is valid only as far as the leader holds it for this daemon: up to the floor
     /// wanted in the report, and for as long as this daemon wants at least that.
-    pub fn take(&mut self, order: FloorOrder) {
+    pub fn apply(&mut self, order: FloorOrder) {
         self.is_shared = true;
         let still_wants =
-            order.wanted_then == self.wanted || is_stricter(self.wanted, order.wanted_then);
-        let held =
-            order.confirmed.zip(order.wanted_then).map(|(confirmed, wanted)| confirmed.max(wanted));
+            order.reported_wanted == self.wanted || is_stricter(self.wanted, order.reported_wanted);
+        let held = order
+            .confirmed
+            .zip(order.reported_wanted)
+            .map(|(confirmed, wanted)| confirmed.max(wanted));
         self.held = held.filter(|_| still_wants);
         self.imposed = order.imposed;
         if order.is_fresh {
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -231,7 +231,7 @@
                 LIMITS => daemon.limit_share = step.share,
                 _ => {
                     daemon.share = step.share;
-                    daemon.floor.take(step.floor);
+                    daemon.floor.apply(step.floor);
                 }
             }
         }
@@ -358,7 +358,7 @@
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 7_000 + number as u16));
     let mut floor = ShedFloor::default();
     floor.set_ranks(RANKS.to_vec());
-    floor.take(FloorOrder::default());
+    floor.apply(FloorOrder::default());
     TestDaemon {
         member: FleetMember::new(name.clone(), boot, address, LEASE),
         name,
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -230,20 +230,20 @@
 fn the_floor_rises_one_confirmed_tier_at_a_time() {
     let mut floor = ShedFloor::default();
     floor.set_ranks(vec![TierRank(0), TierRank(1), TierRank(2), TierRank(3)]);
-    floor.take(FloorOrder::default());
+    floor.apply(FloorOrder::default());
     let now = Moment::from_millis(10);
 
     let order = |confirmed| FloorOrder {
-        wanted_then: Some(TierRank(0)),
+        reported_wanted: Some(TierRank(0)),
         confirmed: Some(confirmed),
         imposed: Some(TierRank(0)),
         is_fresh: false,
     };
     let is_free = floor.raise(TierRank(0), now);
     let first = floor.lowest_admitted();
-    floor.take(order(TierRank(2)));
+    floor.apply(order(TierRank(2)));
     let second = floor.lowest_admitted();
-    floor.take(order(TierRank(0)));
+    floor.apply(order(TierRank(0)));
 
     assert!(!is_free);
     assert_eq!(first, Some(TierRank(2)));
@@ -259,11 +259,11 @@
 fn a_confirmation_of_another_floor_does_not_count() {
     let mut floor = ShedFloor::default();
     floor.set_ranks(vec![TierRank(0), TierRank(1), TierRank(2)]);
-    floor.take(FloorOrder::default());
+    floor.apply(FloorOrder::default());
     floor.raise(TierRank(1), Moment::from_millis(10));
 
-    floor.take(FloorOrder {
-        wanted_then: Some(TierRank(0)),
+    floor.apply(FloorOrder {
+        reported_wanted: Some(TierRank(0)),
         confirmed: Some(TierRank(0)),
         ..FloorOrder::default()
     });
