--- a/src/policy/shared_list.rs
+++ b/src/policy/shared_list.rs
@@ -119,7 +119,7 @@
     }
 
     /// Applies a change found by another daemon.
-    pub fn take(&mut self, change: &ListChange) -> ChangeVerdict {
+    pub fn apply(&mut self, change: &ListChange) -> ChangeVerdict {
         if self.digest == Some(change.digest) {
             return ChangeVerdict::Known;
         }
@@ -157,7 +157,7 @@
     }
 
     /// Adds a part of a whole list; true once that list is complete and replaces a different one.
-    pub fn take_part(&mut self, part: ListPart) -> bool {
+    pub fn add_part(&mut self, part: ListPart) -> bool {
         if self.digest == Some(part.digest) {
             return false;
         }
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -193,7 +193,7 @@
     let (daemon, address) = from;
     let (verdict, list) = {
         let mut list = lock(&exchange.list);
-        let verdict = list.take(change);
+        let verdict = list.apply(change);
         (verdict, (verdict == ChangeVerdict::Applied).then(|| platform_list(&list)))
     };
     match verdict {
@@ -227,7 +227,7 @@
     let exchange = &state.fleet.list;
     let whole = {
         let mut list = lock(&exchange.list);
-        list.take_part(part).then(|| platform_list(&list))
+        list.add_part(part).then(|| platform_list(&list))
     };
     let Some(list) = whole else { return };
     info!(state.log, "platform list taken whole"; "upstreams" => list.vms.len());
--- a/tests/test_shared_list.rs
+++ b/tests/test_shared_list.rs
@@ -25,7 +25,7 @@
 fn pair() -> (SharedList, SharedList) {
     let (mut reader, mut other) = (SharedList::default(), SharedList::default());
     reader.replace(reading(None));
-    reader.parts().into_iter().for_each(|part| _ = other.take_part(part));
+    reader.parts().into_iter().for_each(|part| _ = other.add_part(part));
     (reader, other)
 }
 
@@ -41,7 +41,7 @@
     let (mut reader, mut other) = pair();
     let change = reader.replace(reading(None));
     let size = bytes(&change);
-    assert_eq!(other.take(&change), ChangeVerdict::Known);
+    assert_eq!(other.apply(&change), ChangeVerdict::Known);
     assert!(size <= 32, "{size} bytes");
 }
 
@@ -50,7 +50,7 @@
     let (mut reader, mut other) = pair();
     let change = reader.replace(reading(Some(7)));
     let size = bytes(&change);
-    assert_eq!(other.take(&change), ChangeVerdict::Applied);
+    assert_eq!(other.apply(&change), ChangeVerdict::Applied);
     assert!(other.rows().eq(reader.rows()));
     assert!(size <= 100, "{size} bytes");
 }
@@ -59,7 +59,7 @@
 fn an_upstream_that_is_gone_goes_everywhere() {
     let (mut reader, mut other) = pair();
     let change = reader.replace(reading(None).skip(1));
-    assert_eq!(other.take(&change), ChangeVerdict::Applied);
+    assert_eq!(other.apply(&change), ChangeVerdict::Applied);
     assert_eq!(other.rows().count(), usize::from(UPSTREAMS) - 1);
 }
 
@@ -71,9 +71,9 @@
     let (mut reader, mut other) = pair();
     reader.replace(reading(Some(7)));
     let next = reader.replace(reading(Some(7)));
-    let verdict = other.take(&next);
+    let verdict = other.apply(&next);
     assert_eq!(verdict, ChangeVerdict::Unknown);
-    let whole: Vec<bool> = reader.parts().into_iter().map(|part| other.take_part(part)).collect();
+    let whole: Vec<bool> = reader.parts().into_iter().map(|part| other.add_part(part)).collect();
     assert_eq!(whole.iter().filter(|is_whole| **is_whole).count(), 1);
     assert!(other.rows().eq(reader.rows()));
 }
@@ -85,7 +85,7 @@
     let mut parts = reader.parts();
     let largest = parts.iter().map(|part| postcard::to_stdvec(part).expect("written").len()).max();
     parts.reverse();
-    parts.into_iter().for_each(|part| _ = other.take_part(part));
+    parts.into_iter().for_each(|part| _ = other.add_part(part));
     assert!(other.rows().eq(reader.rows()));
     assert!(largest.is_some_and(|bytes| bytes <= 1_300), "{largest:?} bytes");
 }
@@ -96,7 +96,7 @@
     let first = SharedList::default().replace(reading(None));
     let later = reader.replace(reading(Some(7)));
     let mut fresh = SharedList::default();
-    assert_eq!(fresh.take(&first), ChangeVerdict::Unknown);
-    assert_eq!(fresh.take(&later), ChangeVerdict::Unknown);
+    assert_eq!(fresh.apply(&first), ChangeVerdict::Unknown);
+    assert_eq!(fresh.apply(&later), ChangeVerdict::Unknown);
     assert!(!fresh.is_known());
 }
