--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -56,7 +56,7 @@
     /// The group of the daemon at `address`.
     pub fn group_of(&self, address: SocketAddr) -> FleetGroup {
         let position = self.addresses.binary_search(&address).unwrap_or(0);
-        let index = FleetGroup::of(position, self.addresses.len(), self.groups());
+        let index = FleetGroup::index_of(position, self.addresses.len(), self.groups());
         FleetGroup { index, count: self.groups() }
     }
 
--- a/src/policy/exchange.rs
+++ b/src/policy/exchange.rs
@@ -179,7 +179,7 @@
     }
 
     /// Processes an event and returns the actions to execute, in order.
-    pub fn on(&mut self, event: ExchangeEvent<'_>, now: Moment) -> &'static [ExchangeAction] {
+    pub fn handle(&mut self, event: ExchangeEvent<'_>, now: Moment) -> &'static [ExchangeAction] {
         let Some(event) = self.classify(event, now) else { return &[] };
         self.machine.step(event)
     }
@@ -300,7 +300,7 @@
     }
 
     /// Time from sending the request to the first piece.
-    pub fn first_piece(&self) -> Option<Duration> {
+    pub fn time_to_first_piece(&self) -> Option<Duration> {
         self.time_to_first_piece
     }
 }
--- a/src/policy/fleet_group.rs
+++ b/src/policy/fleet_group.rs
@@ -22,7 +22,7 @@
 
 impl FleetGroup {
     /// The group of the daemon at `position` of `total`, if they form `count` groups.
-    pub fn of(position: usize, total: usize, count: usize) -> usize {
+    pub fn index_of(position: usize, total: usize, count: usize) -> usize {
         position * count / total.max(1)
     }
 }
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -253,7 +253,7 @@
         let total = order.len();
         let is_shared = total < group.count * GROUP_UPSTREAMS;
         for (at, (_, index)) in order.into_iter().enumerate() {
-            let is_home = is_shared || FleetGroup::of(at, total, group.count) == group.index;
+            let is_home = is_shared || FleetGroup::index_of(at, total, group.count) == group.index;
             self.update(index, |status| status.is_home = is_home);
         }
     }
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -154,14 +154,14 @@
             let (upstream, name, address) = match placed {
                 PlacementWord::Refuse(kind) => {
                     guard.refused();
-                    self.exchange.on(ExchangeEvent::Refused(kind), self.now());
+                    self.exchange.handle(ExchangeEvent::Refused(kind), self.now());
                     return Box::pin(self.refuse(sink, kind)).await;
                 }
                 PlacementWord::Go { upstream, name, address } => (upstream, name, address),
             };
             self.target = Some((name, address));
             self.may_have_run = true;
-            self.exchange.on(ExchangeEvent::Placed(upstream), self.now());
+            self.exchange.handle(ExchangeEvent::Placed(upstream), self.now());
             // Boxed: while a request only waits, it must not hold the room that its conversation needs.
             match Box::pin(self.converse(&mut guard, &mut sink)).await {
                 ConverseEnd::Requeue => {
@@ -191,7 +191,7 @@
             biased;
             placed = word => Some(placed.unwrap_or(PlacementWord::Refuse(AnswerKind::Internal))),
             () = sink.closed() => {
-                self.exchange.on(ExchangeEvent::CallerLeft, self.now());
+                self.exchange.handle(ExchangeEvent::CallerLeft, self.now());
                 None
             }
         }
@@ -233,7 +233,7 @@
                         let Some(piece) = piece.take() else { continue };
                         if self.relay(piece, sink).await.is_err() {
                             let now = self.now();
-                            self.exchange.on(ExchangeEvent::CallerLeft, now);
+                            self.exchange.handle(ExchangeEvent::CallerLeft, now);
                             self.cancel();
                             guard.end(DispatchOutcome::Cancelled);
                             return ConverseEnd::CallerGone;
@@ -315,13 +315,13 @@
         let now = self.now();
         match happening {
             Happening::Opened(Ok(stream)) => {
-                self.exchange.on(ExchangeEvent::Opened, now);
+                self.exchange.handle(ExchangeEvent::Opened, now);
                 let AnswerStream { head, pieces } = stream;
                 if let (Some(report), Some(upstream)) = (head.report, self.exchange.upstream()) {
                     self.pool.tell(PoolEvent::Reported { upstream, report });
                 }
                 let actions =
-                    self.exchange.on(ExchangeEvent::Head { echo: head.echo.as_deref() }, now);
+                    self.exchange.handle(ExchangeEvent::Head { echo: head.echo.as_deref() }, now);
                 sink.set_head(head);
                 self.pieces = Some(pieces);
                 actions
@@ -329,19 +329,19 @@
             Happening::Opened(Err(OpenFault::NotSent { detail })) => {
                 info!(self.state.log, "upstream not reached"; "request" => &*self.call.id, "detail" => detail);
                 if self.exchange.state() == RequestState::Connecting {
-                    return self.exchange.on(ExchangeEvent::NotSent, now);
+                    return self.exchange.handle(ExchangeEvent::NotSent, now);
                 }
                 if let Some(upstream) = self.exchange.upstream() {
                     self.pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Unreachable });
                 }
-                self.exchange.on(ExchangeEvent::Cut, now)
+                self.exchange.handle(ExchangeEvent::Cut, now)
             }
             Happening::Opened(Err(OpenFault::Lost { detail })) => {
                 info!(self.state.log, "upstream gave no answer"; "request" => &*self.call.id, "detail" => detail);
                 self.check_upstream();
                 let was_resuming = self.exchange.state() == RequestState::Resuming;
-                self.exchange.on(ExchangeEvent::Opened, now);
-                self.exchange.on(
+                self.exchange.handle(ExchangeEvent::Opened, now);
+                self.exchange.handle(
                     if was_resuming { ExchangeEvent::ResumeRefused } else { ExchangeEvent::Cut },
                     now,
                 )
@@ -349,29 +349,29 @@
             Happening::Read(PieceRead::Piece(piece)) => {
                 let event =
                     ExchangeEvent::Piece { sequence: piece.sequence, echo: piece.echo.as_deref() };
-                let actions = self.exchange.on(event, now);
+                let actions = self.exchange.handle(event, now);
                 *kept = Some(piece);
                 actions
             }
             Happening::Read(PieceRead::Ended { prompt_tokens, end_mark }) => {
                 self.prompt_tokens = prompt_tokens;
                 self.end_mark = end_mark;
-                self.exchange.on(ExchangeEvent::Ended, now)
+                self.exchange.handle(ExchangeEvent::Ended, now)
             }
             Happening::Read(PieceRead::Cut) => {
                 self.check_upstream();
-                self.exchange.on(ExchangeEvent::Cut, now)
+                self.exchange.handle(ExchangeEvent::Cut, now)
             }
             Happening::Silent => {
                 // The request may have left this machine before the silence began.
-                self.exchange.on(ExchangeEvent::Opened, now);
-                self.exchange.on(ExchangeEvent::Silent, now)
+                self.exchange.handle(ExchangeEvent::Opened, now);
+                self.exchange.handle(ExchangeEvent::Silent, now)
             }
             Happening::Deadline => {
-                self.exchange.on(ExchangeEvent::Opened, now);
-                self.exchange.on(ExchangeEvent::Deadline, now)
+                self.exchange.handle(ExchangeEvent::Opened, now);
+                self.exchange.handle(ExchangeEvent::Deadline, now)
             }
-            Happening::CallerLeft => self.exchange.on(ExchangeEvent::CallerLeft, now),
+            Happening::CallerLeft => self.exchange.handle(ExchangeEvent::CallerLeft, now),
         }
     }
 
@@ -405,7 +405,9 @@
         if piece.sequence == 1 {
             self.first_piece = Some(now.since(self.arrived_at));
             self.gap_from = (1, now);
-            if let (Some(after), true) = (self.exchange.first_piece(), self.call.wants_stream) {
+            if let (Some(after), true) =
+                (self.exchange.time_to_first_piece(), self.call.wants_stream)
+            {
                 self.pool.tell(PoolEvent::FirstToken { id, after });
             }
             return;
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -121,7 +121,7 @@
                     .get(upstream)
                     .map(|status| status.source.name.to_string());
                 let Some(request) = self.requests.get_mut(&id) else { return };
-                let actions = request.exchange.on(ExchangeEvent::Placed(upstream), self.now);
+                let actions = request.exchange.handle(ExchangeEvent::Placed(upstream), self.now);
                 let text = format!(
                     "{} -> {}  {}",
                     request.name,
@@ -132,7 +132,7 @@
             }
             PoolAction::Refuse { id, kind } => {
                 let Some(request) = self.requests.get_mut(&id) else { return };
-                request.exchange.on(ExchangeEvent::Refused(kind), self.now);
+                request.exchange.handle(ExchangeEvent::Refused(kind), self.now);
                 let row = kind.row();
                 let text = format!(
                     "{} (tier {}) refused: {} {}, ran {:?}",
@@ -197,7 +197,7 @@
         let id = self.find(name);
         let now = self.now;
         let request = self.requests.get_mut(&id).expect("found above");
-        let actions = request.exchange.on(event, now);
+        let actions = request.exchange.handle(event, now);
         let state = request.exchange.state();
         let failure = request.exchange.failure();
         let pieces = request.exchange.pieces();
