--- a/src/policy/shed_floor.rs
+++ b/src/policy/shed_floor.rs
@@ -37,7 +37,7 @@
     /// The floor that the whole fleet enforces while this daemon's `wanted` stays as strict.
     held: Option<TierRank>,
     /// The floor that this daemon enforces now.
-    enforced: Option<TierRank>,
+    active: Option<TierRank>,
     needed_at: Moment,
     /// True if other daemons share the pool and must confirm each step.
     is_shared: bool,
@@ -63,7 +63,7 @@
 
     /// The lowest tier still admitted, or `None` if all are.
     pub fn lowest_admitted(&self) -> Option<TierRank> {
-        self.enforced
+        self.active
     }
 
     /// Moves the enforced floor to the stricter of the wanted and the imposed one. It is lowered at
@@ -71,27 +71,25 @@
     /// anything below it.
     fn update(&mut self, confirmed: Option<TierRank>) {
         let target = stricter(self.wanted, self.imposed);
-        if !is_stricter(target, self.enforced) {
-            self.enforced = target;
+        if !is_stricter(target, self.active) {
+            self.active = target;
             return;
         }
-        while is_stricter(target, self.enforced) {
-            let Some(dropped) = self.enforced.or_else(|| self.ranks.last().copied()) else {
-                return;
-            };
+        while is_stricter(target, self.active) {
+            let Some(dropped) = self.active.or_else(|| self.ranks.last().copied()) else { return };
             let above = self.ranks.iter().rev().copied().find(|rank| *rank < dropped);
             let Some(above) = above.filter(|_| self.is_clear_below(dropped, confirmed)) else {
                 // A floor at the lowest tier does not drop any tier yet.
-                self.enforced = Some(dropped);
+                self.active = Some(dropped);
                 return;
             };
-            self.enforced = Some(above);
+            self.active = Some(above);
         }
     }
 
     /// True if requests of `tier` may be admitted.
     pub fn admits(&self, tier: TierRank) -> bool {
-        self.enforced.is_none_or(|lowest| tier <= lowest)
+        self.active.is_none_or(|lowest| tier <= lowest)
     }
 
     /// Requests that no tier below `tier` be admitted. Returns true if that already holds on every
@@ -134,7 +132,7 @@
     /// The floor that this daemon enforces until the next order, whatever it wants itself.
     pub fn guaranteed(&self) -> Option<TierRank> {
         let imposed = self.imposed?;
-        self.enforced.map(|enforced| enforced.max(imposed))
+        self.active.map(|active| active.max(imposed))
     }
 
     /// Applies the leader's order. The confirmed floor is valid now and may be used to raise this
@@ -152,7 +150,7 @@
         self.held = held.filter(|_| still_wants);
         self.imposed = order.imposed;
         if order.is_fresh {
-            self.enforced = stricter(self.wanted, self.imposed);
+            self.active = stricter(self.wanted, self.imposed);
         }
         self.update(order.confirmed);
     }
