--- a/src/policy/organisation_limits.rs
+++ b/src/policy/organisation_limits.rs
@@ -96,8 +96,8 @@
 }
 
 impl AdmissionPacer {
-    fn admits(&mut self, cost: f64, part: f64) -> bool {
-        self.credit += cost * part;
+    fn admits(&mut self, cost: f64, ratio: f64) -> bool {
+        self.credit += cost * ratio;
         let passes = self.credit >= cost;
         self.credit -= if passes { cost } else { 0.0 };
         // Credit left over by a large request must not admit many small ones at once.
@@ -117,13 +117,14 @@
     /// daemons together could spend the rest of a bucket before they learn of each other's
     /// admissions; without it, each daemon spends the same rest. Each route is paced separately: in
     /// a shared pacer, cheap routes would use up the credit that an expensive one waits for.
-    fn admits_paced(&mut self, route: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
-        let part = rate / self.forecast.fleet_requested_rate.max(rate);
+    fn admits_paced(&mut self, route: RouteKey, cost: f64, rate: f64, initial_credit: f64) -> bool {
+        let ratio = rate / self.forecast.fleet_requested_rate.max(rate);
         if self.pacers.len() >= MAX_PACERS && !self.pacers.contains_key(&route) {
             self.pacers.clear();
         }
-        let pacer = self.pacers.entry(route).or_insert(AdmissionPacer { credit: cost * start });
-        pacer.admits(cost, part)
+        let pacer =
+            self.pacers.entry(route).or_insert(AdmissionPacer { credit: cost * initial_credit });
+        pacer.admits(cost, ratio)
     }
 }
 
@@ -203,8 +204,8 @@
 impl LimitTable {
     /// Sets the initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0.
     /// Each daemon draws it at random, so that they differ.
-    pub fn set_initial_credit(&mut self, start: f64) {
-        self.initial_credit = start.clamp(0.0, 1.0);
+    pub fn set_initial_credit(&mut self, credit: f64) {
+        self.initial_credit = credit.clamp(0.0, 1.0);
     }
 
     /// Replaces the limits; requests in progress stay counted.
