--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,8 +15,8 @@
 mod organisation_limits;
 mod placement;
 mod queue;
-mod repeat_budget;
 mod request_sizes;
+mod retry_budget;
 mod retry_detector;
 mod scheduler;
 mod shared_list;
@@ -28,8 +28,8 @@
 mod upstream_set;
 mod upstreams;
 mod urgency_queue;
+mod value_density;
 mod waiting_levels;
-mod worth;
 
 pub use drain_meter::{DrainMeter, TierProgress};
 pub use earliest_placement::EarliestPlacement;
@@ -47,8 +47,8 @@
     placement_policy, prefix_hashes,
 };
 pub use queue::{FairQueue, FifoQueue, TierShare, WaitingQueue, WaitingRequest};
-pub use repeat_budget::{RepeatBound, RepeatBudget};
-pub use request_sizes::{RouteSizes, SizeTenth};
+pub use request_sizes::{RouteSizes, SizeDecile};
+pub use retry_budget::{RetryBound, RetryBudget};
 pub use retry_detector::RetryDetector;
 pub use scheduler::{
     ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
@@ -66,8 +66,8 @@
     UpstreamStatus, upstream_chart,
 };
 pub use urgency_queue::UrgencyQueue;
-pub use waiting_levels::{WaitingLevels, WorthLevel};
-pub use worth::{CostLadder, LaneMeans};
+pub use value_density::{CostHistogram, LaneMeans};
+pub use waiting_levels::{DensityLevel, WaitingLevels};
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/src/policy/organisation_limits.rs
+++ b/src/policy/organisation_limits.rs
@@ -1,144 +1,149 @@
-//! Limits of organisations: token rate and requests in progress.
+//! Limits per organisation: token rate and concurrent requests.
 //!
-//! The rate is a token bucket in the form of the generic cell rate algorithm (ITU-T I.371): one time
-//! stamp for each organisation.
+//! The rate limit is a token bucket in the form of the generic cell rate algorithm (ITU-T I.371),
+//! which keeps one timestamp per organisation.
 
 use super::{Mechanism, MechanismSet, Moment, OrganisationIndex, RouteKey};
 use crate::answer::AnswerKind;
 use std::collections::HashMap;
 use std::time::Duration;
 
-const MICROS: f64 = 1_000_000.0;
-/// The part of the difference by which a bucket moves towards the others' with a round of messages, all senders together:
-/// with 10 rounds a second, buckets are level again within a second, while what is on its way weighs little.
-const LEVEL_STEP: f64 = 0.18;
-/// The part by which it moves towards one sender's at most.
-const MOST_LEVEL_STEP: f64 = 0.1;
-/// Differences between buckets up to this are not made level, in microseconds.
-const LEVEL_GAP: f64 = 0.3 * MICROS;
-/// The part of a bucket that is left to higher ranks, by rank.
-const RESERVES: [f64; 3] = [0.0, 0.2, 0.5];
-/// The part that is left to newcomers by callers who have been here before, whose answers are late in any case.
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
+/// Fraction of the difference to the other daemons' buckets that one round of messages corrects,
+/// all senders together. At 10 rounds a second, buckets converge within a second, while admissions
+/// that are still being reported have little effect.
+const CONVERGENCE_RATIO: f64 = 0.18;
+/// Largest fraction of the difference corrected for one sender.
+const MAX_SENDER_CONVERGENCE_RATIO: f64 = 0.1;
+/// Differences between buckets up to this many microseconds are not corrected.
+const IGNORED_GAP_MICROS: f64 = 0.3 * MICROS_PER_SECOND;
+/// Fraction of a bucket reserved for higher ranks, by rank.
+const RANK_RESERVES: [f64; 3] = [0.0, 0.2, 0.5];
+/// Fraction that returning callers, whose answers are late in any case, leave to new callers.
 const RETURN_RESERVE: f64 = 0.35;
-/// Kinds whose requests cost at most this part of the burst leave nothing to higher ranks: refusing a booking of 200 tokens saves
-/// next to nothing of a limit of 65,000.
-const SMALL_PART: f64 = 0.01;
-/// A bucket is never charged further below empty than this, in microseconds until it is empty again.
-const MOST_DEBT: f64 = 2.0 * MICROS;
-/// A process that has not run for this long stood still: it is told to run each 100 ms.
-const PAUSED_AFTER: Duration = Duration::from_millis(700);
-/// Seconds' worth of tokens that may be used at once where the table names no burst.
+/// Routes whose requests cost at most this fraction of the burst are exempt from reserves: refusing
+/// a booking of 200 tokens saves next to nothing of a limit of 65,000.
+const SMALL_COST_RATIO: f64 = 0.01;
+/// Largest debt of a bucket, in microseconds of refill until it is back at empty.
+const MAX_DEBT_MICROS: f64 = 2.0 * MICROS_PER_SECOND;
+/// A process that has not run for this long counts as paused; it is scheduled every 100 ms.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
+/// Burst, in seconds of the token rate, where the table sets none.
 const DEFAULT_BURST_SECONDS: f64 = 10.0;
 
-/// The limits of one organisation, as one daemon applies them.
+/// The limits of one organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OrganisationLimit {
-    /// Estimated tokens a second.
+    /// Estimated tokens per second.
     pub tokens_per_second: Option<u64>,
-    /// Tokens usable at once.
+    /// Tokens that may be used at once.
     pub burst_tokens: Option<u64>,
-    /// Requests in progress.
+    /// Concurrent requests.
     pub concurrent: Option<u32>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct LimitState {
-    /// When the bucket will be full again, in microseconds.
+    /// Time at which the bucket is full again, in microseconds.
     full_at: f64,
     in_progress: u32,
-    /// Tokens let through here since the start, less those given back.
-    taken: i64,
-    /// Tokens asked for here since the start.
-    asked: u64,
-    /// What is known of the others.
+    /// Tokens admitted by this daemon since the start, less those given back.
+    admitted_tokens: i64,
+    /// Tokens requested from this daemon since the start.
+    requested_tokens: u64,
+    /// Expected traffic of the other daemons.
     forecast: LimitForecast,
-    /// By kind of request, from the first request of the kind that needs it.
-    paces: HashMap<RouteKey, AdmissionPace>,
+    /// By route; created by the first request of the route that needs pacing.
+    pacers: HashMap<RouteKey, AdmissionPacer>,
 }
 
-/// What is known of the others that share an organisation's limit.
+/// Expected traffic of the other daemons that share an organisation's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitForecast {
-    /// Tokens a second that the others let through.
-    pub others_taken: f64,
-    /// Tokens a second that the whole fleet is asked for.
-    pub fleet_asked: f64,
-    /// The time up to which the others have been counted, in the mean.
+    /// Tokens per second that the other daemons admit.
+    pub others_admitted_rate: f64,
+    /// Tokens per second requested from the whole fleet.
+    pub fleet_requested_rate: f64,
+    /// Mean time up to which the other daemons' admissions have been counted.
     pub counted_until: Moment,
-    /// Time until the others know what this daemon does now.
+    /// Time until the other daemons know what this daemon admits now.
     pub horizon: Duration,
 }
 
 impl LimitForecast {
-    /// Tokens that the others have let through since they were counted.
-    fn unknown(&self, now: Moment) -> f64 {
-        self.others_taken * now.since(self.counted_until).min(LONGEST_FORECAST).as_secs_f64()
+    /// Tokens that the other daemons are expected to have admitted since they were last counted.
+    fn unreported_tokens(&self, now: Moment) -> f64 {
+        self.others_admitted_rate
+            * now.since(self.counted_until).min(MAX_EXTRAPOLATION).as_secs_f64()
     }
 
-    /// Tokens that the fleet is asked for until all know of what is let through now.
-    fn contended(&self) -> f64 {
-        self.fleet_asked * self.horizon.as_secs_f64()
+    /// Tokens requested from the fleet until all daemons know what is admitted now.
+    fn contended_tokens(&self) -> f64 {
+        self.fleet_requested_rate * self.horizon.as_secs_f64()
     }
 }
 
-/// What others do is foreseen for this long; after that, silent ones are accounted for by what is assumed of them.
-const LONGEST_FORECAST: Duration = Duration::from_millis(600);
+/// Longest time for which the others' traffic is extrapolated; after that, daemons that stay silent
+/// are accounted for by an assumed rate.
+const MAX_EXTRAPOLATION: Duration = Duration::from_millis(600);
 
-/// Lets a part of the tokens asked for through, evenly over the requests: each adds its part, and passes once that makes
-/// up a whole one. Daemons begin at different points, or the first requests of all would fare alike.
+/// Admits a fraction of the requested tokens, spread evenly over the requests: each request adds
+/// that fraction of its cost as credit, and one passes once the credit covers its cost. Daemons
+/// start with different credit, since otherwise all would treat their first requests alike.
 #[derive(Clone, Copy, Debug)]
-struct AdmissionPace {
+struct AdmissionPacer {
     credit: f64,
 }
 
-impl AdmissionPace {
-    fn passes(&mut self, cost: f64, part: f64) -> bool {
-        self.credit += cost * part;
+impl AdmissionPacer {
+    fn admits(&mut self, cost: f64, ratio: f64) -> bool {
+        self.credit += cost * ratio;
         let passes = self.credit >= cost;
         self.credit -= if passes { cost } else { 0.0 };
-        // What a large request leaves over must not let many small ones through at once.
-        self.credit = self.credit.min(cost.max(1.0) * MOST_CREDIT);
+        // Credit left over by a large request must not admit many small ones at once.
+        self.credit = self.credit.min(cost.max(1.0) * MAX_CREDIT_REQUESTS);
         passes
     }
 }
 
-/// Kinds of request whose paces are kept for an organisation, at most: routes come and go.
-const MOST_PACES: usize = 256;
+/// Maximum number of routes paced per organisation; bounds the map, since routes come and go.
+const MAX_PACERS: usize = 256;
 
-/// Credit that is kept, in requests of the last one's size.
-const MOST_CREDIT: f64 = 2.0;
+/// Maximum credit kept, in requests of the size of the last one.
+const MAX_CREDIT_REQUESTS: f64 = 2.0;
 
 impl LimitState {
-    /// Where the rest of a bucket could be spent by all daemons at once before they know of each other: lets through the part of
-    /// what the fleet is asked for that the limit allows.
-    /// Without it, each daemon spends the same rest of the bucket.
-    /// Each kind has a pace of its own: in a common one, cheap kinds use up the credit that a dear one waits for.
-    fn passes_paced(&mut self, kind: RouteKey, cost: f64, rate: f64, start: f64) -> bool {
-        let part = rate / self.forecast.fleet_asked.max(rate);
-        if self.paces.len() >= MOST_PACES && !self.paces.contains_key(&kind) {
-            self.paces.clear();
+    /// Admits the fraction of the fleet's requested tokens that the limit allows. Used when all
+    /// daemons together could spend the rest of a bucket before they learn of each other's
+    /// admissions; without it, each daemon spends the same rest. Each route is paced separately: in
+    /// a shared pacer, cheap routes would use up the credit that an expensive one waits for.
+    fn admits_paced(&mut self, route: RouteKey, cost: f64, rate: f64, initial_credit: f64) -> bool {
+        let ratio = rate / self.forecast.fleet_requested_rate.max(rate);
+        if self.pacers.len() >= MAX_PACERS && !self.pacers.contains_key(&route) {
+            self.pacers.clear();
         }
-        let pace = self.paces.entry(kind).or_insert(AdmissionPace { credit: cost * start });
-        pace.passes(cost, part)
+        let pacer =
+            self.pacers.entry(route).or_insert(AdmissionPacer { credit: cost * initial_credit });
+        pacer.admits(cost, ratio)
     }
 }
 
-/// What a request asks of its organisation's limit.
+/// What a request needs from its organisation's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitClaim {
-    /// Its kind of request.
-    pub kind: RouteKey,
-    /// Tokens.
+    /// The route it came by.
+    pub route: RouteKey,
+    /// Estimated cost in tokens.
     pub cost: u32,
-    /// Tokens of a usual request of its kind.
+    /// Mean cost of recent requests of its route, in tokens.
     pub usual_cost: u32,
     /// Rank of its route, 0 the highest.
     pub rank: u8,
-    /// True if its caller has been here before with it.
+    /// True if its caller has sent it before.
     pub has_returned: bool,
 }
 
-/// The state of all organisations' limits in one daemon.
+/// The limits of all organisations and their state in one daemon.
 #[derive(Clone, Debug)]
 pub struct LimitTable {
     limits: HashMap<OrganisationIndex, OrganisationLimit>,
@@ -147,39 +152,39 @@
     share: f64,
     tolerance: LimitTolerance,
     mechanisms: MechanismSet,
-    /// When this table began with empty buckets; none if it began with full ones.
-    began_empty: Option<Moment>,
-    /// When this process was last known to run.
-    alive_at: Option<Moment>,
-    /// Where this daemon's paces begin, 0.0 to 1.0 of a request.
-    pace_start: f64,
+    /// Time at which all buckets were empty, after a start or a pause; `None` if they started full.
+    emptied_at: Option<Moment>,
+    /// Time at which this process was last known to run.
+    last_alive_at: Option<Moment>,
+    /// Initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0.
+    initial_credit: f64,
 }
 
-/// How far limits on tokens may be exceeded, where operators allow it because a fleet cannot count exactly.
-/// Refusing nothing that lies below the limit is worth more to callers than the last token of exactness.
+/// How far token limits may be exceeded, where operators allow it because a fleet cannot count
+/// exactly. Callers gain more from never being refused below the limit than from an exact limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitTolerance {
-    /// Share of the rate and of the burst, 0.1 for a tenth.
+    /// Fraction added to the rate, and to a burst derived from it; 0.1 is a tenth.
     pub overage: f64,
-    /// Tokens beside that.
+    /// Tokens added to the burst.
     pub slack: u64,
 }
 
 impl LimitTolerance {
-    fn let_through(&self, rate: u64) -> f64 {
-        rate as f64 * (1.0 + self.overage * TOLERANCE_USED)
+    fn admitted_rate(&self, rate: u64) -> f64 {
+        rate as f64 * (1.0 + self.overage * USED_TOLERANCE_RATIO)
     }
 
     fn burst(&self, limit: &OrganisationLimit, rate: u64) -> f64 {
-        let usual = || self.let_through(rate) * DEFAULT_BURST_SECONDS;
+        let usual = || self.admitted_rate(rate) * DEFAULT_BURST_SECONDS;
         let burst = limit.burst_tokens.map_or_else(usual, |burst| burst as f64);
-        burst + self.slack as f64 * TOLERANCE_USED
+        burst + self.slack as f64 * USED_TOLERANCE_RATIO
     }
 }
 
-/// The part of the tolerance that is given to callers; the rest is for what other daemons let through and have not
-/// yet told.
-const TOLERANCE_USED: f64 = 0.5;
+/// Fraction of the tolerance given to callers; the rest covers what other daemons have admitted and
+/// not yet reported.
+const USED_TOLERANCE_RATIO: f64 = 0.5;
 
 impl Default for LimitTable {
     fn default() -> Self {
@@ -189,20 +194,21 @@
             share: 1.0,
             tolerance: LimitTolerance::default(),
             mechanisms: MechanismSet::default(),
-            began_empty: None,
-            alive_at: None,
-            pace_start: 0.5,
+            emptied_at: None,
+            last_alive_at: None,
+            initial_credit: 0.5,
         }
     }
 }
 
 impl LimitTable {
-    /// Sets where this daemon's paces begin, 0.0 to 1.0 of a request: daemons draw it, so that they differ.
-    pub fn set_pace_start(&mut self, start: f64) {
-        self.pace_start = start.clamp(0.0, 1.0);
+    /// Sets the initial credit of this daemon's pacers, as a fraction of a request, 0.0 to 1.0.
+    /// Each daemon draws it at random, so that they differ.
+    pub fn set_initial_credit(&mut self, credit: f64) {
+        self.initial_credit = credit.clamp(0.0, 1.0);
     }
 
-    /// Replaces the limits; what is in progress stays counted.
+    /// Replaces the limits; requests in progress stay counted.
     pub fn set_limits(&mut self, limits: HashMap<OrganisationIndex, OrganisationLimit>) {
         self.limits = limits;
     }
@@ -212,59 +218,60 @@
         self.tolerance = tolerance;
     }
 
-    /// Switches mechanisms off.
+    /// Sets which mechanisms are switched off.
     pub fn set_mechanisms(&mut self, mechanisms: MechanismSet) {
         self.mechanisms = mechanisms;
     }
 
-    /// Every bucket is empty now: a new process does not know what the fleet has just let through.
+    /// Empties all buckets, since a new process does not know what the fleet has just admitted.
     pub fn start_empty(&mut self, now: Moment) {
-        self.began_empty = Some(now);
+        self.emptied_at = Some(now);
     }
 
-    /// Notes that the process runs. After a pause all buckets are empty, as in a new process: what the others let through
-    /// meanwhile is not known.
-    pub fn alive(&mut self, now: Moment) {
-        let has_paused = self.alive_at.is_some_and(|at| now.since(at) >= PAUSED_AFTER);
-        self.alive_at = Some(now);
-        if !has_paused || self.began_empty.is_none() {
+    /// Records that the process is running. After a pause all buckets are emptied, as in a new
+    /// process, since it is unknown what the others admitted meanwhile.
+    pub fn record_alive(&mut self, now: Moment) {
+        let has_paused = self.last_alive_at.is_some_and(|at| now.since(at) >= PAUSE_THRESHOLD);
+        self.last_alive_at = Some(now);
+        if !has_paused || self.emptied_at.is_none() {
             return;
         }
-        self.began_empty = Some(now);
+        self.emptied_at = Some(now);
         for (organisation, state) in &mut self.states {
             let limit = self.limits.get(organisation).copied().unwrap_or_default();
             let Some(rate) = limit.tokens_per_second else { continue };
-            let (through, burst) =
-                (self.tolerance.let_through(rate), self.tolerance.burst(&limit, rate));
-            state.full_at = state.full_at.max(now.0 as f64 + burst / through * MICROS);
+            let (admitted_rate, burst) =
+                (self.tolerance.admitted_rate(rate), self.tolerance.burst(&limit, rate));
+            state.full_at =
+                state.full_at.max(now.0 as f64 + burst / admitted_rate * MICROS_PER_SECOND);
         }
     }
 
-    /// Takes what is known of the others.
-    pub fn foresee(&mut self, organisation: OrganisationIndex, forecast: LimitForecast) {
+    /// Updates the expected traffic of the other daemons.
+    pub fn set_forecast(&mut self, organisation: OrganisationIndex, forecast: LimitForecast) {
         if let Some(state) = self.states.get_mut(&organisation) {
             state.forecast = forecast;
         }
     }
 
-    /// The state of an organisation that is met for the first time.
-    fn first_state(&self, organisation: OrganisationIndex) -> LimitState {
+    /// The initial state of an organisation at its first request.
+    fn initial_state(&self, organisation: OrganisationIndex) -> LimitState {
         let limit = self.limits.get(&organisation).copied().unwrap_or_default();
-        let (Some(began), Some(rate)) = (self.began_empty, limit.tokens_per_second) else {
+        let (Some(emptied_at), Some(rate)) = (self.emptied_at, limit.tokens_per_second) else {
             return LimitState::default();
         };
-        let refill = self.burst(&limit, rate) / self.let_through(rate) * MICROS;
-        LimitState { full_at: began.0 as f64 + refill, ..LimitState::default() }
+        let refill = self.burst(&limit, rate) / self.admitted_rate(rate) * MICROS_PER_SECOND;
+        LimitState { full_at: emptied_at.0 as f64 + refill, ..LimitState::default() }
     }
 
-    /// The whole burst, in tokens.
+    /// The burst of the whole fleet, in tokens.
     fn burst(&self, limit: &OrganisationLimit, rate: u64) -> f64 {
         self.tolerance.burst(limit, rate)
     }
 
-    /// The rate that is let through, in tokens a second.
-    fn let_through(&self, rate: u64) -> f64 {
-        self.tolerance.let_through(rate)
+    /// The rate admitted by the whole fleet, in tokens per second.
+    fn admitted_rate(&self, rate: u64) -> f64 {
+        self.tolerance.admitted_rate(rate)
     }
 
     /// Sets this daemon's share of every limit.
@@ -272,7 +279,7 @@
         self.share = share.clamp(0.0, 1.0);
     }
 
-    /// Takes `cost` tokens and a place in progress, or says which limit binds.
+    /// Takes `cost` tokens and a concurrency slot, or returns the limit that refuses the request.
     pub fn admit(
         &mut self,
         organisation: OrganisationIndex,
@@ -286,17 +293,18 @@
         )
     }
 
-    /// The same for a request of a rank: lower ranks leave the last part of the bucket to higher ones. What goes wrong
-    /// without it: an organisation at its limit spends it on what came first, its long notes, and its urgent requests
-    /// are refused. Below the limit the bucket is full and nothing is refused.
+    /// Like [`LimitTable::admit`], but with reserves: lower ranks leave the last part of the bucket
+    /// to higher ones. Without them, an organisation at its limit spends its tokens on the requests
+    /// that came first, such as long low-priority ones, and its urgent requests are refused. Below
+    /// the limit the bucket is full and nothing is refused.
     pub fn admit_claim(
         &mut self,
         organisation: OrganisationIndex,
         claim: LimitClaim,
         now: Moment,
     ) -> Result<(), AnswerKind> {
-        if self.alive_at.is_some() {
-            self.alive(now);
+        if self.last_alive_at.is_some() {
+            self.record_alive(now);
         }
         let reserve = self.reserve(claim);
         let cost = claim.cost;
@@ -304,93 +312,95 @@
         if limit.tokens_per_second.is_some() && self.share <= 0.0 {
             return Err(AnswerKind::RateLimited);
         }
-        let whole =
-            limit.tokens_per_second.map(|rate| (self.let_through(rate), self.burst(&limit, rate)));
-        let first = self.first_state(organisation);
-        let state = self.states.entry(organisation).or_insert(first);
-        if limit.concurrent.is_some_and(|most| {
-            f64::from(state.in_progress) + 1.0 > (f64::from(most) * self.share).max(1.0)
+        let fleet_limit = limit
+            .tokens_per_second
+            .map(|rate| (self.admitted_rate(rate), self.burst(&limit, rate)));
+        let initial = self.initial_state(organisation);
+        let state = self.states.entry(organisation).or_insert(initial);
+        if limit.concurrent.is_some_and(|max| {
+            f64::from(state.in_progress) + 1.0 > (f64::from(max) * self.share).max(1.0)
         }) {
             return Err(AnswerKind::ConcurrencyLimited);
         }
-        state.asked += u64::from(cost);
-        if let Some((rate, burst)) = whole {
+        state.requested_tokens += u64::from(cost);
+        if let Some((rate, burst)) = fleet_limit {
             let (rate, burst) = (rate * self.share, burst * self.share);
             let time_now = now.0 as f64;
             let full_at = state.full_at.max(time_now);
-            let unknown = state.forecast.unknown(now);
-            let spent = (full_at - time_now) * rate / MICROS + unknown;
-            // A request larger than the whole burst passes when the bucket is full: it could never pass otherwise.
-            let is_full = full_at <= time_now && unknown < f64::from(cost);
-            // What decides is the usual cost of the kind: with each request's own, small ones would use up what a large
-            // one waits for.
+            let unreported_tokens = state.forecast.unreported_tokens(now);
+            let spent = (full_at - time_now) * rate / MICROS_PER_SECOND + unreported_tokens;
+            // A request larger than the burst passes when the bucket is full; otherwise it never
+            // could.
+            let is_full = full_at <= time_now && unreported_tokens < f64::from(cost);
+            // The decision uses the mean cost of the route: with each request's own cost, small
+            // ones would use up the tokens that a large one waits for.
             let usual_cost = f64::from(claim.usual_cost);
-            let is_small = usual_cost <= burst * SMALL_PART;
+            let is_small = usual_cost <= burst * SMALL_COST_RATIO;
             let usable = if is_small { burst } else { burst * (1.0 - reserve) };
             let is_spent = spent + usual_cost > usable || spent + f64::from(cost) > burst;
             if is_spent && !is_full {
                 return Err(AnswerKind::RateLimited);
             }
-            if spent + usual_cost + state.forecast.contended() > usable
-                && !state.passes_paced(claim.kind, usual_cost, rate, self.pace_start)
+            if spent + usual_cost + state.forecast.contended_tokens() > usable
+                && !state.admits_paced(claim.route, usual_cost, rate, self.initial_credit)
             {
                 return Err(AnswerKind::RateLimited);
             }
-            let full_at = full_at + f64::from(cost) / rate * MICROS;
+            let full_at = full_at + f64::from(cost) / rate * MICROS_PER_SECOND;
             state.full_at = full_at;
         }
-        state.taken += i64::from(cost);
+        state.admitted_tokens += i64::from(cost);
         state.in_progress += 1;
         Ok(())
     }
 
-    /// The part of a bucket that a request leaves to others.
+    /// The fraction of a bucket that a request must leave to others.
     fn reserve(&self, claim: LimitClaim) -> f64 {
         let by_rank = match self.mechanisms.has(Mechanism::RankReserve) {
-            true => RESERVES[usize::from(claim.rank).min(RESERVES.len() - 1)],
+            true => RANK_RESERVES[usize::from(claim.rank).min(RANK_RESERVES.len() - 1)],
             false => 0.0,
         };
-        let is_late = claim.has_returned && self.mechanisms.has(Mechanism::ReturnReserve);
-        if is_late { by_rank + (1.0 - by_rank) * RETURN_RESERVE } else { by_rank }
+        let is_returning = claim.has_returned && self.mechanisms.has(Mechanism::ReturnReserve);
+        if is_returning { by_rank + (1.0 - by_rank) * RETURN_RESERVE } else { by_rank }
     }
 
-    /// Gives back a place in progress; `unused` tokens (of work that did not run) return to the bucket.
+    /// Frees a concurrency slot and returns `unused` tokens, those of work that did not run.
     pub fn release(&mut self, organisation: OrganisationIndex, unused: u32) {
         let rate = self.limits.get(&organisation).and_then(|limit| limit.tokens_per_second);
-        let rate = rate.map(|rate| self.let_through(rate));
+        let rate = rate.map(|rate| self.admitted_rate(rate));
         let Some(state) = self.states.get_mut(&organisation) else { return };
         state.in_progress = state.in_progress.saturating_sub(1);
-        state.taken -= i64::from(unused);
+        state.admitted_tokens -= i64::from(unused);
         if let Some(rate) = rate.filter(|_| self.share > 0.0) {
-            state.full_at -= f64::from(unused) / (rate * self.share) * MICROS;
+            state.full_at -= f64::from(unused) / (rate * self.share) * MICROS_PER_SECOND;
         }
     }
 
-    /// Charges tokens that other daemons have let through: with all of them told, the whole limit is one bucket
-    /// that every daemon knows.
+    /// Charges tokens that other daemons have admitted. Once all are charged everywhere, every
+    /// daemon sees the whole limit as one bucket.
     pub fn charge(&mut self, organisation: OrganisationIndex, tokens: i64, now: Moment) {
         let rate = self.limits.get(&organisation).and_then(|limit| limit.tokens_per_second);
         let limit = self.limits.get(&organisation).copied().unwrap_or_default();
         let Some((rate, empty)) = rate.map(|rate| {
-            let through = self.let_through(rate);
-            (through, self.burst(&limit, rate) / through * MICROS)
+            let admitted_rate = self.admitted_rate(rate);
+            (admitted_rate, self.burst(&limit, rate) / admitted_rate * MICROS_PER_SECOND)
         }) else {
             return;
         };
-        let first = self.first_state(organisation);
-        let state = self.states.entry(organisation).or_insert(first);
+        let initial = self.initial_state(organisation);
+        let state = self.states.entry(organisation).or_insert(initial);
         let full_at = state.full_at.max(now.0 as f64);
-        let full_at = full_at + tokens as f64 / rate * MICROS;
-        // What was let through out of our sight is not owed for ever: after a cut heals, a debt of many seconds
-        // would refuse an organisation that has long been back within its limit.
-        let most = now.0 as f64 + empty + MOST_DEBT;
-        state.full_at = full_at.min(most.max(state.full_at));
+        let full_at = full_at + tokens as f64 / rate * MICROS_PER_SECOND;
+        // Debt from admissions that were not known here is capped: after a network partition heals,
+        // a debt of many seconds would refuse an organisation that is long back within its limit.
+        let max = now.0 as f64 + empty + MAX_DEBT_MICROS;
+        state.full_at = full_at.min(max.max(state.full_at));
     }
 
-    /// Moves an organisation's bucket a little towards what another daemon estimates. What goes wrong without
-    /// it: after lost messages or a cut the daemons' buckets differ for ever, since each is refilled at the same
-    /// rate, and the one with the least in it refuses everything while the others let the whole limit through.
-    pub fn level(
+    /// Moves an organisation's bucket a little towards another daemon's estimate. Without it, the
+    /// daemons' buckets stay apart after lost messages or a network partition, since all refill at
+    /// the same rate, and the emptiest refuses everything while the others admit the whole limit.
+    pub fn converge(
         &mut self,
         organisation: OrganisationIndex,
         refill: Duration,
@@ -399,50 +409,50 @@
     ) {
         let Some(state) = self.states.get_mut(&organisation) else { return };
         let own = state.full_at.max(now.0 as f64);
-        let told = now.0 as f64 + refill.as_micros() as f64;
-        let gap = told - own;
-        // Small gaps are what each has let through and not yet told.
-        let lasting = gap.signum() * (gap.abs() - LEVEL_GAP).max(0.0);
-        let step = (LEVEL_STEP / senders.max(1) as f64).min(MOST_LEVEL_STEP);
-        state.full_at = own + lasting * step;
+        let reported = now.0 as f64 + refill.as_micros() as f64;
+        let gap = reported - own;
+        // Small gaps are admissions not yet reported.
+        let corrected_gap = gap.signum() * (gap.abs() - IGNORED_GAP_MICROS).max(0.0);
+        let step = (CONVERGENCE_RATIO / senders.max(1) as f64).min(MAX_SENDER_CONVERGENCE_RATIO);
+        state.full_at = own + corrected_gap * step;
     }
 
-    /// Tokens of an organisation asked for here since the start.
-    pub fn asked(&self, organisation: OrganisationIndex) -> u64 {
-        self.states.get(&organisation).map_or(0, |state| state.asked)
+    /// Tokens of an organisation requested from this daemon since the start.
+    pub fn requested_tokens(&self, organisation: OrganisationIndex) -> u64 {
+        self.states.get(&organisation).map_or(0, |state| state.requested_tokens)
     }
 
-    /// The rate that an organisation's limit lets through, in tokens a second.
+    /// The rate that an organisation's limit admits, in tokens per second.
     pub fn rate(&self, organisation: OrganisationIndex) -> Option<f64> {
         let rate = self.limits.get(&organisation)?.tokens_per_second?;
-        Some(self.let_through(rate))
+        Some(self.admitted_rate(rate))
     }
 
-    /// The time after which an organisation's bucket is full again.
-    pub fn refilled_in(&self, organisation: OrganisationIndex, now: Moment) -> Duration {
+    /// Time until an organisation's bucket is full again.
+    pub fn time_to_full(&self, organisation: OrganisationIndex, now: Moment) -> Duration {
         let full_at = self.states.get(&organisation).map_or(0.0, |state| state.full_at);
         Duration::from_micros((full_at - now.0 as f64).max(0.0) as u64)
     }
 
-    /// Tokens of an organisation let through here since the start.
-    pub fn taken(&self, organisation: OrganisationIndex) -> i64 {
-        self.states.get(&organisation).map_or(0, |state| state.taken)
+    /// Tokens of an organisation admitted by this daemon since the start, less those given back.
+    pub fn admitted_tokens(&self, organisation: OrganisationIndex) -> i64 {
+        self.states.get(&organisation).map_or(0, |state| state.admitted_tokens)
     }
 
-    /// Requests in progress of organisations that have limits: what this daemon's share should follow.
+    /// Requests in progress of organisations with limits, the basis of this daemon's share.
     pub fn demand(&self) -> u64 {
         self.limits.keys().map(|organisation| u64::from(self.in_progress(*organisation))).sum()
     }
 
-    /// The largest part of a whole limit on requests in progress that this daemon takes up. A share that was
-    /// made smaller still counts for as much until they have ended: else another daemon would fill the part
-    /// that was taken away while it is still in use.
-    pub fn used(&self) -> f64 {
-        let used = self.limits.iter().filter_map(|(organisation, limit)| {
-            let most = f64::from(limit.concurrent?.max(1));
-            Some(f64::from(self.in_progress(*organisation)) / most)
+    /// The largest fraction of a whole concurrency limit that this daemon uses. After its share was
+    /// reduced, requests beyond the new share still count until they end: otherwise another daemon
+    /// would fill the part taken away while it is still in use.
+    pub fn largest_utilisation(&self) -> f64 {
+        let utilisations = self.limits.iter().filter_map(|(organisation, limit)| {
+            let max = f64::from(limit.concurrent?.max(1));
+            Some(f64::from(self.in_progress(*organisation)) / max)
         });
-        used.fold(0.0, f64::max)
+        utilisations.fold(0.0, f64::max)
     }
 
     /// Requests in progress of one organisation.
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,152 +1,155 @@
-//! Waiting requests: weighted fair queueing by tier, then organisation, in tokens.
+//! Queues of waiting requests: weighted fair queueing over tiers and organisations, and plain FIFO.
 //!
-//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) at two levels. A request that would miss its
-//! deadline in its fair turn, but not if it went first, is taken before lower tiers ("rescue").
+//! [`FairQueue`] applies start-time fair queueing (Goyal, Vin and Cheng, 1996) in two levels, tiers
+//! and the organisations within a tier, measured in tokens. A request that would miss its deadline
+//! in its fair turn, but can still meet it if sent now, is served ahead of lower tiers.
 
 use super::{
-    Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeTenth, TierProgress, TierRank,
-    WaitingLevels, WorthLevel,
+    DensityLevel, Moment, OrganisationIndex, RequestId, RouteKey, SizeClaim, SizeDecile,
+    TierProgress, TierRank, WaitingLevels,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Virtual time per token at weight 1; large, so that integer division by weights loses little.
-const TAG_SCALE: u64 = 1 << 20;
-/// A head request is rescued when this share of its estimated run time is all the slack it has left.
-const RESCUE_SLACK: f64 = 0.25;
+/// Virtual time per token at weight 1; large enough to keep rounding in divisions by weight small.
+const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
+/// A head request is urgent once its slack is at most this fraction of its estimated run time.
+const URGENT_SLACK_RATIO: f64 = 0.25;
 
-/// A tier's weight.
+/// The weight of a tier in fair queueing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TierShare {
     /// The tier.
     pub rank: TierRank,
-    /// Its weight among the tiers that wait.
+    /// Its weight relative to the other backlogged tiers.
     pub weight: u32,
 }
 
 /// A request in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingRequest {
-    /// Its id.
     pub id: RequestId,
-    /// Whose it is.
+    /// The organisation that sent it.
     pub organisation: OrganisationIndex,
     /// The organisation's weight.
     pub weight: u32,
-    /// Its tier.
     pub tier: TierRank,
     /// Its rank within the tier, 0 the highest.
     pub rank: u8,
-    /// When it must be sent to meet its objective.
+    /// Latest dispatch time that still meets its latency objective.
     pub start_by: Moment,
-    /// Estimated tokens.
+    /// Estimated cost in tokens.
     pub cost: u32,
     /// Estimated prompt tokens.
     pub prompt_tokens: u32,
     /// Estimated output tokens.
     pub output_tokens: u32,
-    /// The longest good pause between its events.
+    /// Objective for the longest pause between two events of its answer.
     pub pause: Option<Duration>,
-    /// When its answer must be complete.
+    /// Time by which its answer must be complete.
     pub deadline: Moment,
-    /// Estimated time from dispatch to the end.
+    /// Estimated time from dispatch to the end of the answer.
     pub run_time: Duration,
-    /// When it came.
+    /// Arrival time.
     pub arrived: Moment,
     /// Cumulative hashes of the prompt's leading blocks.
     pub prefix: Box<[u64]>,
-    /// Bytes of the prompt.
+    /// Size of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// When the queue should give the request up as late; at first the latest start.
-    pub late_at: Moment,
-    /// Its caller waits no longer; [`WaitingRequest::late_at`] comes before that where its prospects are looked at.
-    pub gives_up_at: Moment,
-    /// Its kind.
+    /// Time after which [`WaitingQueue::pop_for_review`] returns it to be reviewed or refused as
+    /// late. Initially the latest start.
+    pub review_at: Moment,
+    /// Time after which its caller no longer waits. [`WaitingRequest::review_at`] is earlier where
+    /// the request's chance of being dispatched is reviewed before that.
+    pub expires_at: Moment,
+    /// The route it came by.
     pub route: RouteKey,
-    /// Its tenth by size among the requests of its kind, if that is known.
-    pub size_tenth: Option<SizeTenth>,
-    /// True if it is owed service, since too few of its size are served.
-    pub is_owed: bool,
+    /// Its decile by size among the requests of its route, if known.
+    pub size_tenth: Option<SizeDecile>,
+    /// True if it has priority because too few requests of its size are served.
+    pub is_underserved: bool,
 }
 
 impl WaitingRequest {
-    /// Where it counts by size.
+    /// The key under which it is accounted for by size.
     pub fn size_claim(&self) -> SizeClaim {
         SizeClaim {
             lane: (self.tier, self.rank),
             route: self.route,
-            tenth: self.size_tenth,
-            is_owed: self.is_owed,
+            decile: self.size_tenth,
+            is_underserved: self.is_underserved,
         }
     }
 
-    /// The last moment at which a dispatch still meets the deadline.
+    /// Latest dispatch time that still meets the deadline.
     pub fn latest_start(&self) -> Moment {
         Moment(self.deadline.0.saturating_sub(self.run_time.as_micros() as u64))
     }
 
     /// True if it must be dispatched now to meet its deadline.
     fn is_urgent(&self, now: Moment) -> bool {
-        now + self.run_time.mul_f64(RESCUE_SLACK) >= self.latest_start()
+        now + self.run_time.mul_f64(URGENT_SLACK_RATIO) >= self.latest_start()
     }
 }
 
-/// An order of waiting requests.
+/// A queue of waiting requests and its service order.
 pub trait WaitingQueue: Send {
     /// Adds a request.
     fn push(&mut self, request: WaitingRequest);
-    /// Puts a request that was popped but not sent back at the front of its turn.
-    fn push_back_first(&mut self, request: WaitingRequest);
-    /// Takes the next request; tiers below `lowest` are passed over.
+    /// Returns a request that was popped but not sent to the front of its lane.
+    fn requeue_front(&mut self, request: WaitingRequest);
+    /// Removes and returns the next request, skipping tiers below `lowest`.
     fn pop(&mut self, lowest: TierRank, now: Moment) -> Option<WaitingRequest>;
-    /// Takes a request out, wherever it is.
+    /// Removes a request from any position.
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest>;
-    /// Takes out the newest request of the lowest tier below `tier`, if any waits.
+    /// Removes a request from the lowest tier below `tier` that has any waiting.
     fn evict_below(&mut self, tier: TierRank) -> Option<WaitingRequest>;
-    /// Takes out a request whose `late_at` has passed.
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest>;
-    /// Requests waiting.
+    /// Removes a request whose `review_at` has passed.
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest>;
+    /// Number of waiting requests.
     fn len(&self) -> usize;
-    /// True if none wait.
+    /// True if no request waits.
     fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// Estimated tokens waiting in `tier`.
+    /// Estimated cost in tokens of the requests waiting in `tier`.
     fn waiting_tokens(&self, tier: TierRank) -> u64;
-    /// How far a tier has come; an order without tiers has none.
+    /// Progress of a tier in virtual time; no backlog and 0 for a queue without tiers.
     fn progress(&self, tier: TierRank) -> TierProgress {
         TierProgress { rank: tier, has_backlog: false, virtual_time: 0 }
     }
-    /// Virtual time that passes before a new request of an organisation has its turn in its tier.
+    /// Virtual time until a new request of an organisation is served within its tier.
     fn virtual_span(&self, _tier: TierRank, _organisation: OrganisationIndex, _weight: u32) -> u64 {
         0
     }
-    /// Requests waiting in `tier`.
+    /// Number of requests waiting in `tier`.
     fn waiting_count(&self, tier: TierRank) -> usize;
-    /// Tokens waiting that go before a request: while it is in time, or once it is late.
-    fn cost_before(&mut self, _request: &WaitingRequest, _is_late: bool, _now: Moment) -> u64 {
+    /// Cost in tokens of the waiting requests served before `request`, with `request` rated as in
+    /// time or as late.
+    fn cost_ahead(&mut self, _request: &WaitingRequest, _is_late: bool, _now: Moment) -> u64 {
         0
     }
-    /// Waiting requests by what they are worth for their cost; none in an order that knows no worth.
-    fn levels(&self) -> WaitingLevels {
+    /// Waiting requests by level of value density; empty for a queue that does not rate requests.
+    fn waiting_levels(&self) -> WaitingLevels {
         WaitingLevels::default()
     }
-    /// The level of a request, waiting or not; none in an order that knows no worth.
-    fn level(&mut self, _request: &WaitingRequest, _now: Moment) -> Option<WorthLevel> {
+    /// Level of value density of a request, whether it is in the queue or not; `None` for a queue
+    /// that does not rate requests.
+    fn density_level(&mut self, _request: &WaitingRequest, _now: Moment) -> Option<DensityLevel> {
         None
     }
-    /// Takes everything out, oldest first.
+    /// Removes all requests and returns them, oldest first.
     fn drain(&mut self) -> Vec<WaitingRequest>;
 }
 
 #[derive(Debug, Default)]
 struct OrganisationLane {
     ids: VecDeque<RequestId>,
-    finish: u64,
+    finish_tag: u64,
     tokens: u64,
-    live: usize,
-    in_heap: bool,
+    waiting_count: usize,
+    is_in_heap: bool,
     weight: u32,
 }
 
@@ -154,8 +157,8 @@
 struct TierLane {
     rank: TierRank,
     weight: u64,
-    start: u64,
-    finish: u64,
+    start_tag: u64,
+    finish_tag: u64,
     virtual_time: u64,
     tokens: u64,
     count: usize,
@@ -168,8 +171,8 @@
         TierLane {
             rank: share.rank,
             weight: u64::from(share.weight.max(1)),
-            start: 0,
-            finish: 0,
+            start_tag: 0,
+            finish_tag: 0,
             virtual_time: 0,
             tokens: 0,
             count: 0,
@@ -178,38 +181,39 @@
         }
     }
 
-    fn push(&mut self, request: &WaitingRequest, first: bool) {
+    fn push(&mut self, request: &WaitingRequest, is_front: bool) {
         let lane = self.lanes.entry(request.organisation).or_default();
         lane.weight = request.weight.max(1);
-        match first {
+        match is_front {
             true => lane.ids.push_front(request.id),
             false => lane.ids.push_back(request.id),
         }
-        lane.live += 1;
+        lane.waiting_count += 1;
         lane.tokens += u64::from(request.cost);
         self.tokens += u64::from(request.cost);
         self.count += 1;
-        if !lane.in_heap {
-            lane.in_heap = true;
-            let start = lane.finish.max(self.virtual_time);
-            self.heap.push(Reverse((start, request.organisation)));
+        if !lane.is_in_heap {
+            lane.is_in_heap = true;
+            let start_tag = lane.finish_tag.max(self.virtual_time);
+            self.heap.push(Reverse((start_tag, request.organisation)));
         }
     }
 
-    /// The organisation whose turn it is and its first request, after dropping emptied lanes.
+    /// The organisation with the least start tag, with that tag and its first request. Drops ids
+    /// of removed requests and lanes left empty by them.
     fn head(
         &mut self,
         entries: &HashMap<RequestId, WaitingRequest>,
     ) -> Option<(u64, OrganisationIndex, RequestId)> {
-        while let Some(Reverse((start, organisation))) = self.heap.peek().copied() {
+        while let Some(Reverse((start_tag, organisation))) = self.heap.peek().copied() {
             let lane = self.lanes.get_mut(&organisation)?;
             while lane.ids.front().is_some_and(|id| !entries.contains_key(id)) {
                 lane.ids.pop_front();
             }
             match lane.ids.front() {
-                Some(id) => return Some((start, organisation, *id)),
+                Some(id) => return Some((start_tag, organisation, *id)),
                 None => {
-                    lane.in_heap = false;
+                    lane.is_in_heap = false;
                     self.heap.pop();
                 }
             }
@@ -217,35 +221,41 @@
         None
     }
 
-    /// Charges the head's organisation and moves it to its next turn.
-    fn take_head(&mut self, start: u64, organisation: OrganisationIndex, request: &WaitingRequest) {
+    /// Dequeues the head request, charges its organisation and computes the next start tag.
+    fn take_head(
+        &mut self,
+        start_tag: u64,
+        organisation: OrganisationIndex,
+        request: &WaitingRequest,
+    ) {
         self.heap.pop();
-        self.virtual_time = self.virtual_time.max(start);
-        self.forget(request);
+        self.virtual_time = self.virtual_time.max(start_tag);
+        self.deduct(request);
         let Some(lane) = self.lanes.get_mut(&organisation) else { return };
         lane.ids.pop_front();
-        lane.finish = start + u64::from(request.cost) * TAG_SCALE / u64::from(lane.weight);
-        lane.in_heap = lane.live > 0;
-        if lane.in_heap {
-            self.heap.push(Reverse((lane.finish, organisation)));
+        lane.finish_tag =
+            start_tag + u64::from(request.cost) * VIRTUAL_TIME_PER_TOKEN / u64::from(lane.weight);
+        lane.is_in_heap = lane.waiting_count > 0;
+        if lane.is_in_heap {
+            self.heap.push(Reverse((lane.finish_tag, organisation)));
         }
     }
 
-    /// Takes a request out of the counts; its id stays in the lane until it comes to the front.
-    fn forget(&mut self, request: &WaitingRequest) {
+    /// Subtracts a request from the counters; its id stays in the lane until it reaches the front.
+    fn deduct(&mut self, request: &WaitingRequest) {
         self.tokens -= u64::from(request.cost);
         self.count -= 1;
         let Some(lane) = self.lanes.get_mut(&request.organisation) else { return };
-        lane.live -= 1;
+        lane.waiting_count -= 1;
         lane.tokens -= u64::from(request.cost);
-        if lane.live == 0 {
+        if lane.waiting_count == 0 {
             lane.ids.clear();
         }
     }
 
-    /// The newest request of the organisation with the most tokens waiting.
+    /// The newest request of the organisation with the most waiting tokens.
     fn newest(&mut self, entries: &HashMap<RequestId, WaitingRequest>) -> Option<RequestId> {
-        let largest = self.lanes.iter().filter(|(_, lane)| lane.live > 0);
+        let largest = self.lanes.iter().filter(|(_, lane)| lane.waiting_count > 0);
         let (organisation, _) =
             largest.max_by_key(|(organisation, lane)| (lane.tokens, **organisation))?;
         let organisation = *organisation;
@@ -260,24 +270,25 @@
     }
 }
 
-/// Weighted fair queueing by tier, then organisation.
+/// Weighted fair queue over tiers and over the organisations within each tier.
 #[derive(Debug)]
 pub struct FairQueue {
     tiers: Vec<TierLane>,
     entries: HashMap<RequestId, WaitingRequest>,
-    late: BTreeSet<(Moment, RequestId)>,
+    by_review_at: BTreeSet<(Moment, RequestId)>,
     virtual_time: u64,
 }
 
 impl FairQueue {
-    /// An empty queue over `shares`, any order.
+    /// Creates an empty queue for the tiers in `shares`, given in any order.
     pub fn new(shares: &[TierShare]) -> Self {
         let mut tiers: Vec<TierLane> = shares.iter().copied().map(TierLane::new).collect();
         tiers.sort_by_key(|lane| lane.rank);
-        FairQueue { tiers, entries: HashMap::new(), late: BTreeSet::new(), virtual_time: 0 }
+        FairQueue { tiers, entries: HashMap::new(), by_review_at: BTreeSet::new(), virtual_time: 0 }
     }
 
-    /// The lane of `rank`; a rank that the table no longer has counts as the lowest tier.
+    /// Index of the lane of `rank`; a rank that the table no longer has maps to the next lower
+    /// tier, or to the lowest.
     fn position(&self, rank: TierRank) -> usize {
         self.tiers
             .iter()
@@ -285,18 +296,18 @@
             .unwrap_or(self.tiers.len().saturating_sub(1))
     }
 
-    fn insert(&mut self, request: WaitingRequest, first: bool) {
+    fn insert(&mut self, request: WaitingRequest, is_front: bool) {
         let position = self.position(request.tier);
         let lane = &mut self.tiers[position];
         if lane.count == 0 {
-            lane.start = lane.finish.max(self.virtual_time);
+            lane.start_tag = lane.finish_tag.max(self.virtual_time);
         }
-        lane.push(&request, first);
-        self.late.insert((request.late_at, request.id));
+        lane.push(&request, is_front);
+        self.by_review_at.insert((request.review_at, request.id));
         self.entries.insert(request.id, request);
     }
 
-    /// The tier to serve: the least start tag, unless a higher tier's head cannot wait for its turn.
+    /// The tier to serve: the one with the least start tag, unless a higher tier's head is urgent.
     fn next_tier(&mut self, lowest: TierRank, now: Moment) -> Option<usize> {
         let mut fair: Option<usize> = None;
         let mut urgent: Option<usize> = None;
@@ -310,16 +321,16 @@
             if urgent.is_none() && head.is_urgent(now) {
                 urgent = Some(position);
             }
-            if fair.is_none_or(|best| self.tiers[position].start < self.tiers[best].start) {
+            if fair.is_none_or(|best| self.tiers[position].start_tag < self.tiers[best].start_tag) {
                 fair = Some(position);
             }
         }
         urgent.filter(|position| fair.is_none_or(|best| *position < best)).or(fair)
     }
 
-    fn take(&mut self, id: RequestId) -> Option<WaitingRequest> {
+    fn take_entry(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.entries.remove(&id)?;
-        self.late.remove(&(request.late_at, id));
+        self.by_review_at.remove(&(request.review_at, id));
         Some(request)
     }
 }
@@ -329,26 +340,27 @@
         self.insert(request, false);
     }
 
-    fn push_back_first(&mut self, request: WaitingRequest) {
+    fn requeue_front(&mut self, request: WaitingRequest) {
         self.insert(request, true);
     }
 
     fn pop(&mut self, lowest: TierRank, now: Moment) -> Option<WaitingRequest> {
         let position = self.next_tier(lowest, now)?;
-        let (start, organisation, id) = self.tiers[position].head(&self.entries)?;
-        let request = self.take(id)?;
+        let (start_tag, organisation, id) = self.tiers[position].head(&self.entries)?;
+        let request = self.take_entry(id)?;
         let lane = &mut self.tiers[position];
-        lane.take_head(start, organisation, &request);
-        self.virtual_time = self.virtual_time.max(lane.start);
-        lane.finish = lane.start + u64::from(request.cost) * TAG_SCALE / lane.weight;
-        lane.start = lane.finish;
+        lane.take_head(start_tag, organisation, &request);
+        self.virtual_time = self.virtual_time.max(lane.start_tag);
+        lane.finish_tag =
+            lane.start_tag + u64::from(request.cost) * VIRTUAL_TIME_PER_TOKEN / lane.weight;
+        lane.start_tag = lane.finish_tag;
         Some(request)
     }
 
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
-        let request = self.take(id)?;
+        let request = self.take_entry(id)?;
         let position = self.position(request.tier);
-        self.tiers[position].forget(&request);
+        self.tiers[position].deduct(&request);
         Some(request)
     }
 
@@ -361,9 +373,9 @@
         self.remove(id)
     }
 
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest> {
-        let (late_at, id) = self.late.first().copied()?;
-        if late_at >= now { None } else { self.remove(id) }
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest> {
+        let (review_at, id) = self.by_review_at.first().copied()?;
+        if review_at >= now { None } else { self.remove(id) }
     }
 
     fn len(&self) -> usize {
@@ -386,7 +398,7 @@
     fn virtual_span(&self, tier: TierRank, organisation: OrganisationIndex, weight: u32) -> u64 {
         let tier = self.tiers.iter().find(|lane| lane.rank == tier);
         let own = tier.and_then(|tier| tier.lanes.get(&organisation));
-        own.map_or(0, |lane| lane.tokens * TAG_SCALE / u64::from(weight.max(1)))
+        own.map_or(0, |lane| lane.tokens * VIRTUAL_TIME_PER_TOKEN / u64::from(weight.max(1)))
     }
 
     fn waiting_count(&self, tier: TierRank) -> usize {
@@ -397,7 +409,7 @@
         let mut requests: Vec<WaitingRequest> =
             self.entries.drain().map(|(_, request)| request).collect();
         requests.sort_by_key(|request| (request.arrived, request.id));
-        self.late.clear();
+        self.by_review_at.clear();
         let shares: Vec<TierShare> = self
             .tiers
             .iter()
@@ -408,23 +420,23 @@
     }
 }
 
-/// First in, first out, without tiers: the baseline.
+/// First in, first out, without tiers; the baseline for comparisons.
 #[derive(Debug, Default)]
 pub struct FifoQueue {
     ids: VecDeque<RequestId>,
     entries: HashMap<RequestId, WaitingRequest>,
-    late: BTreeSet<(Moment, RequestId)>,
+    by_deadline: BTreeSet<(Moment, RequestId)>,
 }
 
 impl FifoQueue {
-    fn take(&mut self, id: RequestId) -> Option<WaitingRequest> {
+    fn take_entry(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.entries.remove(&id)?;
-        self.late.remove(&(request.deadline, id));
+        self.by_deadline.remove(&(request.deadline, id));
         Some(request)
     }
 
     fn insert(&mut self, request: WaitingRequest) {
-        self.late.insert((request.deadline, request.id));
+        self.by_deadline.insert((request.deadline, request.id));
         self.entries.insert(request.id, request);
     }
 }
@@ -435,14 +447,14 @@
         self.insert(request);
     }
 
-    fn push_back_first(&mut self, request: WaitingRequest) {
+    fn requeue_front(&mut self, request: WaitingRequest) {
         self.ids.push_front(request.id);
         self.insert(request);
     }
 
     fn pop(&mut self, _lowest: TierRank, _now: Moment) -> Option<WaitingRequest> {
         while let Some(id) = self.ids.pop_front() {
-            if let Some(request) = self.take(id) {
+            if let Some(request) = self.take_entry(id) {
                 return Some(request);
             }
         }
@@ -450,16 +462,16 @@
     }
 
     fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
-        self.take(id)
+        self.take_entry(id)
     }
 
     fn evict_below(&mut self, _tier: TierRank) -> Option<WaitingRequest> {
         None
     }
 
-    fn pop_late(&mut self, now: Moment) -> Option<WaitingRequest> {
-        let (deadline, id) = self.late.first().copied()?;
-        if deadline >= now { None } else { self.take(id) }
+    fn pop_for_review(&mut self, now: Moment) -> Option<WaitingRequest> {
+        let (deadline, id) = self.by_deadline.first().copied()?;
+        if deadline >= now { None } else { self.take_entry(id) }
     }
 
     fn len(&self) -> usize {
@@ -483,7 +495,7 @@
             self.entries.drain().map(|(_, request)| request).collect();
         requests.sort_by_key(|request| (request.arrived, request.id));
         self.ids.clear();
-        self.late.clear();
+        self.by_deadline.clear();
         requests
     }
 }
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -45,7 +45,7 @@
         {
             return refuse(AnswerKind::DeadlineTooShort);
         }
-        request.is_owed = self.is_owed(&request, now, rng);
+        request.is_underserved = self.is_owed(&request, now, rng);
         if self.plan.queue == QueueChoice::Fifo {
             match self.queue.len() >= self.plan.waiting_limit {
                 true => self.refuse_shed(&request, AnswerKind::Overloaded, now, actions),
@@ -89,23 +89,23 @@
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        let may_wait = now < request.gives_up_at && self.looks_at_late();
-        if may_wait && (request.is_owed || self.has_prospect(&request, now)) {
-            request.late_at = request.gives_up_at.min(now + LATE_PAUSE);
-            return self.queue.push_back_first(request);
+        let may_wait = now < request.expires_at && self.looks_at_late();
+        if may_wait && (request.is_underserved || self.has_prospect(&request, now)) {
+            request.review_at = request.expires_at.min(now + LATE_PAUSE);
+            return self.queue.requeue_front(request);
         }
         self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
     }
 
     /// True if what goes before a late request, here and in the group, should be worked off well before its caller gives up.
     fn has_prospect(&mut self, request: &WaitingRequest, now: Moment) -> bool {
-        let left = request.gives_up_at.since(now).mul_f64(PROSPECT_PART);
+        let left = request.expires_at.since(now).mul_f64(PROSPECT_PART);
         let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN) * LATE_DRAIN;
-        let before = self.queue.cost_before(request, true, now) as f64;
+        let before = self.queue.cost_ahead(request, true, now) as f64;
         if before > rate * left.as_secs_f64() {
             return false;
         }
-        let Some(level) = self.queue.level(request, now) else { return true };
+        let Some(level) = self.queue.density_level(request, now) else { return true };
         let others = f64::from(self.others_waiting.levels.above(level));
         others <= self.freed_places(left) * LATE_DRAIN
     }
@@ -114,12 +114,12 @@
     fn is_owed(&mut self, request: &WaitingRequest, now: Moment, rng: &mut dyn RngCore) -> bool {
         self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::SizeShare)
-            && self.shares.arrived(&request.size_claim(), rng.random(), now)
+            && self.shares.record_arrival(&request.size_claim(), rng.random(), now)
     }
 
     /// Counts the end of a request by its size.
     pub(super) fn count_end(&mut self, request: &WaitingRequest, is_served: bool) {
-        self.shares.ended(&request.size_claim(), is_served, self.plan.size_share);
+        self.shares.record_end(&request.size_claim(), is_served, self.plan.size_share);
     }
 
     pub(super) fn estimated(&self, request: ArrivedRequest, now: Moment) -> WaitingRequest {
@@ -148,11 +148,11 @@
             arrived: now,
             prefix: request.prefix,
             prompt_bytes: request.prompt_bytes,
-            late_at: request.deadline,
-            gives_up_at: request.deadline,
+            review_at: request.deadline,
+            expires_at: request.deadline,
             route: request.route,
             size_tenth: request.size_tenth,
-            is_owed: false,
+            is_underserved: false,
         };
         // An estimate of the run time longer than the whole slack must not make the request late at
         // once: it was let in above because estimates are means.
@@ -161,18 +161,18 @@
             None => waiting.latest_start(),
         };
         if self.plan.queue != QueueChoice::Fifo && self.plan.refuses_late {
-            waiting.late_at = waiting
+            waiting.review_at = waiting
                 .latest_start()
                 .max(now + request.deadline.since(now).mul_f64(TOO_SHORT_SHARE));
         }
         if let Some(patience) = request.patience {
             // Its caller would leave before the first event of a later start.
-            waiting.late_at = waiting.late_at.min(self.start_by(&waiting, patience, now));
+            waiting.review_at = waiting.review_at.min(self.start_by(&waiting, patience, now));
         }
-        waiting.gives_up_at = waiting.late_at;
+        waiting.expires_at = waiting.review_at;
         let has_returned = request.objective.is_some_and(|objective| objective <= now);
         if has_returned && request.patience.is_some() && self.looks_at_late() {
-            waiting.late_at = waiting.late_at.min(now + LATE_PAUSE);
+            waiting.review_at = waiting.review_at.min(now + LATE_PAUSE);
         }
         waiting
     }
@@ -202,19 +202,19 @@
     /// True if a request should be refused at once, because by what waits before it and how fast the pool works
     /// that off, it can meet neither its objective nor, as a late one, its deadline.
     pub(super) fn has_no_chance(&mut self, request: &WaitingRequest, now: Moment) -> bool {
-        if self.queue.is_empty() || request.is_owed {
+        if self.queue.is_empty() || request.is_underserved {
             return false;
         }
         let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN);
         let wait = |cost: u64, rate: f64| {
             Duration::try_from_secs_f64(cost as f64 / rate).unwrap_or(Duration::MAX)
         };
-        let before = self.queue.cost_before(request, false, now);
+        let before = self.queue.cost_ahead(request, false, now);
         if now + wait(before, rate) <= request.start_by {
             return false;
         }
-        let before = self.queue.cost_before(request, true, now);
-        now + wait(before, rate * LATE_DRAIN) > request.late_at
+        let before = self.queue.cost_ahead(request, true, now);
+        now + wait(before, rate * LATE_DRAIN) > request.review_at
     }
 
     /// Lets a request wait.
@@ -317,8 +317,8 @@
         if confirmed || now >= request.deadline {
             return self.refuse_shed(&request, kind, now, actions);
         }
-        request.late_at = request.deadline.min(now + LATE_PAUSE);
-        self.queue.push_back_first(request);
+        request.review_at = request.deadline.min(now + LATE_PAUSE);
+        self.queue.requeue_front(request);
     }
 
     pub(super) fn evict_below_floor(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -153,7 +153,7 @@
             PoolEvent::Share { share } => self.upstreams.set_share(share),
             PoolEvent::LeaseLapsed => self.refuse_waiting(AnswerKind::TableStale, actions),
             PoolEvent::FleetFloor(order) => {
-                self.floor.take(order);
+                self.floor.apply(order);
                 self.evict_below_floor(now, actions);
             }
             PoolEvent::Others { rows, group, waiting } => {
@@ -191,7 +191,7 @@
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
-        while let Some(request) = self.queue.pop_late(now) {
+        while let Some(request) = self.queue.pop_for_review(now) {
             match self.plan.queue {
                 QueueChoice::Weighted => {
                     self.shed(request, AnswerKind::DeadlineWaiting, now, actions)
@@ -236,7 +236,7 @@
                 break;
             }
         }
-        passed_over.into_iter().for_each(|request| self.queue.push_back_first(request));
+        passed_over.into_iter().for_each(|request| self.queue.requeue_front(request));
     }
 
     /// True if a late request has more before it at the group's other daemons than places will become free until those
@@ -248,10 +248,10 @@
             return true;
         }
         let has_order = self.plan.reserves && self.plan.mechanisms.has(Mechanism::GroupOrder);
-        if is_in_time || request.is_owed || !has_order {
+        if is_in_time || request.is_underserved || !has_order {
             return false;
         }
-        let Some(level) = self.queue.level(request, now) else { return false };
+        let Some(level) = self.queue.density_level(request, now) else { return false };
         let before = self.others_waiting.levels.above(level);
         f64::from(before) > self.freed_places(self.others_waiting.age)
     }
@@ -280,7 +280,7 @@
 
     /// Waiting requests by what they are worth for their cost.
     pub fn waiting_levels(&self) -> WaitingLevels {
-        self.queue.levels()
+        self.queue.waiting_levels()
     }
 
     /// What waits at the other daemons of the group, as last heard.
@@ -416,7 +416,7 @@
 
     /// Breaks of the shedding order; 0 unless the code is wrong or the queue has no tiers.
     pub fn order_breaks(&self) -> u64 {
-        self.audit.breaks()
+        self.audit.violations()
     }
 
     /// The floor that this daemon keeps until the next order.
--- a/src/policy/size_shares.rs
+++ b/src/policy/size_shares.rs
@@ -1,116 +1,123 @@
-//! The promise by size: each tenth of a kind's requests is served at least a part as often as its lane.
+//! Minimum service by request size: each size decile of a route is served at least a guaranteed
+//! fraction as often as its lane (tier and rank).
 //!
-//! An order by worth for cost alone leaves the largest requests of a kind for last, and under lasting overload the last
-//! are never served. Here each tenth of each kind has an account. Each end adds the promised part of the share of requests
-//! that its lane serves, and an answer takes one request away. A request that finds a whole one in its account is owed
-//! service: one place in four goes to such requests before all others. What is not served stays owed to the next.
+//! An order by value density alone leaves the largest requests of a route for last, and under
+//! lasting overload the last are never served. Each decile of each route therefore has an account
+//! of its service deficit. Every request that ends adds the guaranteed fraction of the lane's
+//! served share, and one that was answered subtracts 1. A request that arrives at a deficit of at
+//! least 1 is underserved: one dispatch in four goes to such requests before all others. If it
+//! is not served, the deficit passes on to the next.
 
-use super::{Moment, SizeTenth, TierRank};
+use super::{Moment, SizeDecile, TierRank};
 use std::collections::HashMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Requests owed to one account at most.
-const MOST_OWED: f64 = 2.0;
-/// Requests beyond the promise that an account remembers at most.
-const MOST_AHEAD: f64 = 2.0;
-/// Ends over which a lane's share is a plain mean; after that a new end has the weight of one in so many.
-const WARM_ENDS: f64 = 30.0;
-/// Accounts kept at most; beyond, those that nobody used for [`IDLE_AFTER`] are dropped.
-const MOST_ACCOUNTS: usize = 4_096;
+/// Largest deficit of one account, in requests.
+const MAX_DEFICIT: f64 = 2.0;
+/// Largest surplus that an account remembers, in requests beyond the guarantee.
+const MAX_SURPLUS: f64 = 2.0;
+/// Number of ended requests over which a lane's share is a plain mean; after that it is an
+/// exponential moving average with the reciprocal as weight.
+const WARM_UP_COUNT: f64 = 30.0;
+/// Maximum number of accounts; once reached, those unused for [`IDLE_AFTER`] are dropped.
+const MAX_ACCOUNTS: usize = 4_096;
 const IDLE_AFTER: Duration = Duration::from_secs(60);
 
-/// A kind of requests: those of one route.
+/// Identifies a route by a hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RouteKey(u64);
 
 impl RouteKey {
-    /// The kind of a route's requests.
+    /// The key of the route named `route`.
     pub fn of(route: &str) -> Self {
         RouteKey(xxh3_64(route.as_bytes()))
     }
 
-    /// A shorter number for messages: of 100 routes two have the same one in one table of 13.
+    /// A shorter hash for messages. With 100 routes, one table in 13 has two that collide.
     pub fn short(self) -> u32 {
         u32::from(self.0 as u16)
     }
 }
 
-/// Where a request counts.
+/// Identifies the accounts that a request counts towards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SizeClaim {
-    /// Its lane: tier, and rank within it.
+    /// Its lane: tier and rank within the tier.
     pub lane: (TierRank, u8),
-    /// Its kind.
+    /// Its route.
     pub route: RouteKey,
-    /// Its tenth by size; none if that is not known.
-    pub tenth: Option<SizeTenth>,
-    /// True if it is owed service.
-    pub is_owed: bool,
+    /// Its decile by size, if known.
+    pub decile: Option<SizeDecile>,
+    /// True if it was marked as underserved on arrival.
+    pub is_underserved: bool,
 }
 
-/// The part of a lane's requests that is served.
+/// The fraction of a lane's requests that is served.
 #[derive(Clone, Copy, Debug)]
 struct ServedShare {
-    ends: f64,
+    end_count: f64,
     share: f64,
 }
 
 impl Default for ServedShare {
     fn default() -> Self {
-        ServedShare { ends: 0.0, share: 1.0 }
+        ServedShare { end_count: 0.0, share: 1.0 }
     }
 }
 
 impl ServedShare {
     fn learn(&mut self, is_served: bool) {
-        self.ends = (self.ends + 1.0).min(WARM_ENDS);
-        self.share += (f64::from(u8::from(is_served)) - self.share) / self.ends;
+        self.end_count = (self.end_count + 1.0).min(WARM_UP_COUNT);
+        self.share += (f64::from(u8::from(is_served)) - self.share) / self.end_count;
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SizeAccount {
-    /// Requests that should have been served and were not, less those that were beyond the promise.
-    owed: f64,
+    /// Requests due under the guarantee but not served, less those served beyond it.
+    deficit: f64,
     used_at: Moment,
 }
 
-/// The accounts of one pool at one daemon.
+/// The service accounts of one pool in one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct SizeShares {
     lanes: HashMap<(TierRank, u8), ServedShare>,
-    accounts: HashMap<(RouteKey, SizeTenth), SizeAccount>,
+    accounts: HashMap<(RouteKey, SizeDecile), SizeAccount>,
 }
 
 impl SizeShares {
-    /// True if a request that arrives is owed service. `draw`, from 0.0..1.0, is where a new account begins: accounts of many
-    /// daemons, each with few requests, would otherwise all owe their first to nobody.
-    pub fn arrived(&mut self, claim: &SizeClaim, draw: f64, now: Moment) -> bool {
-        let Some(tenth) = claim.tenth else { return false };
-        let key = (claim.route, tenth);
-        if self.accounts.len() >= MOST_ACCOUNTS && !self.accounts.contains_key(&key) {
+    /// Charges an arriving request to its account; true if the request is underserved. `draw`, a
+    /// random number from 0.0..1.0, is the initial deficit of a new account: otherwise the accounts
+    /// of many daemons with few requests each would never reach a deficit of 1.
+    pub fn record_arrival(&mut self, claim: &SizeClaim, draw: f64, now: Moment) -> bool {
+        let Some(decile) = claim.decile else { return false };
+        let key = (claim.route, decile);
+        if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(&key) {
             self.accounts.retain(|_, account| now.since(account.used_at) < IDLE_AFTER);
-            if self.accounts.len() >= MOST_ACCOUNTS {
+            if self.accounts.len() >= MAX_ACCOUNTS {
                 return false;
             }
         }
-        let account = self.accounts.entry(key).or_insert(SizeAccount { owed: draw, used_at: now });
+        let account =
+            self.accounts.entry(key).or_insert(SizeAccount { deficit: draw, used_at: now });
         account.used_at = now;
-        let is_owed = account.owed >= 1.0;
-        account.owed -= f64::from(u8::from(is_owed));
-        is_owed
+        let is_underserved = account.deficit >= 1.0;
+        account.deficit -= f64::from(u8::from(is_underserved));
+        is_underserved
     }
 
-    /// Counts an end, with an answer or without, under the promise of `part`.
-    pub fn ended(&mut self, claim: &SizeClaim, is_served: bool, part: f64) {
+    /// Counts a request that ended, answered or not, under a guarantee of the fraction `guarantee`.
+    pub fn record_end(&mut self, claim: &SizeClaim, is_served: bool, guarantee: f64) {
         let lane = self.lanes.entry(claim.lane).or_default();
         lane.learn(is_served);
-        let promised = part * lane.share;
-        let account = claim.tenth.and_then(|tenth| self.accounts.get_mut(&(claim.route, tenth)));
+        let guaranteed = guarantee * lane.share;
+        let account = claim.decile.and_then(|decile| self.accounts.get_mut(&(claim.route, decile)));
         let Some(account) = account else { return };
-        let charged = f64::from(u8::from(claim.is_owed));
+        let charged = f64::from(u8::from(claim.is_underserved));
         let served = f64::from(u8::from(is_served));
-        account.owed = (account.owed + charged + promised - served).clamp(-MOST_AHEAD, MOST_OWED);
+        account.deficit =
+            (account.deficit + charged + guaranteed - served).clamp(-MAX_SURPLUS, MAX_DEFICIT);
     }
 }
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -263,7 +263,7 @@
         let is_shared = total < group.count * MIN_GROUP_UPSTREAMS;
         for (position, (_, index)) in order.into_iter().enumerate() {
             let is_in_group =
-                is_shared || FleetGroup::of(position, total, group.count) == group.index;
+                is_shared || FleetGroup::index_of(position, total, group.count) == group.index;
             self.update(index, |status| status.is_in_group = is_in_group);
         }
     }
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -9,7 +9,7 @@
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, Moment, PoolEvent, RequestId, RequestSizes, RouteKey,
-    SizeTenth, UpstreamEvent, UpstreamHash, UpstreamIndex,
+    SizeDecile, UpstreamEvent, UpstreamHash, UpstreamIndex,
 };
 use crate::quarantine::RequestFingerprint;
 use crate::report::{RouteRecord, record_route};
@@ -62,7 +62,7 @@
     pub caller: Option<CallerIdentity>,
     pub sizes: Option<RequestSizes>,
     /// Its tenth by size among the recent requests of its route, if that is known.
-    pub size_tenth: Option<SizeTenth>,
+    pub size_tenth: Option<SizeDecile>,
     /// When the caller's or the route's time is over, whichever is first.
     pub deadline: Moment,
     /// True if the caller named a deadline.
@@ -178,7 +178,7 @@
             && self.state.quarantine.held_for(self.fingerprint, self.state.clock.now()).is_none()
             && count.sent < self.route.attempts
             && !self.time_left().is_zero()
-            && self.state.with_repeats(service, |budget| budget.spend())
+            && self.state.with_repeats(service, |budget| budget.try_withdraw())
     }
 
     /// Waits for a place. Between the word and the send the table is asked again: a route may have moved and a
@@ -373,7 +373,7 @@
         let name = placed.name.clone();
         if count.sent == 0 {
             let daemons = request.state.fleet.daemons();
-            request.state.with_repeats(&service, |budget| budget.earn(daemons));
+            request.state.with_repeats(&service, |budget| budget.deposit(daemons));
         }
         request.count_as_run(true);
         let sent = request.try_send(&placed, &mut count, request.facts.last_event).await;
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -20,28 +20,28 @@
 ];
 
 fn waiting(id: u64, tier: u8, organisation: u32, cost: u32) -> WaitingRequest {
-    let late_at = Moment::from_millis(3_600_000);
+    let review_at = Moment::from_millis(3_600_000);
     WaitingRequest {
         output_tokens: 0,
         pause: None,
         rank: 0,
-        start_by: late_at,
+        start_by: review_at,
         id: RequestId(id),
         organisation: OrganisationIndex(organisation),
         weight: 1,
         tier: TierRank(tier),
         cost,
         prompt_tokens: cost,
-        deadline: late_at,
+        deadline: review_at,
         run_time: Duration::from_millis(1),
         arrived: Moment(id),
         prefix: Box::default(),
         prompt_bytes: 0,
-        late_at,
-        gives_up_at: late_at,
+        review_at,
+        expires_at: review_at,
         route: RouteKey::default(),
         size_tenth: None,
-        is_owed: false,
+        is_underserved: false,
     }
 }
 
@@ -230,20 +230,20 @@
 fn the_floor_rises_one_confirmed_tier_at_a_time() {
     let mut floor = ShedFloor::default();
     floor.set_ranks(vec![TierRank(0), TierRank(1), TierRank(2), TierRank(3)]);
-    floor.take(FloorOrder::default());
+    floor.apply(FloorOrder::default());
     let now = Moment::from_millis(10);
 
     let order = |confirmed| FloorOrder {
-        wanted_then: Some(TierRank(0)),
+        reported_wanted: Some(TierRank(0)),
         confirmed: Some(confirmed),
         imposed: Some(TierRank(0)),
         is_fresh: false,
     };
     let is_free = floor.raise(TierRank(0), now);
     let first = floor.lowest_admitted();
-    floor.take(order(TierRank(2)));
+    floor.apply(order(TierRank(2)));
     let second = floor.lowest_admitted();
-    floor.take(order(TierRank(0)));
+    floor.apply(order(TierRank(0)));
 
     assert!(!is_free);
     assert_eq!(first, Some(TierRank(2)));
@@ -259,11 +259,11 @@
 fn a_confirmation_of_another_floor_does_not_count() {
     let mut floor = ShedFloor::default();
     floor.set_ranks(vec![TierRank(0), TierRank(1), TierRank(2)]);
-    floor.take(FloorOrder::default());
+    floor.apply(FloorOrder::default());
     floor.raise(TierRank(1), Moment::from_millis(10));
 
-    floor.take(FloorOrder {
-        wanted_then: Some(TierRank(0)),
+    floor.apply(FloorOrder {
+        reported_wanted: Some(TierRank(0)),
         confirmed: Some(TierRank(0)),
         ..FloorOrder::default()
     });
@@ -363,11 +363,11 @@
     let running = admitted(&mut book, 1);
 
     book.set_share(0.1);
-    let used = book.used();
+    let used = book.largest_utilisation();
     book.release(OrganisationIndex(0), 0);
 
     assert_eq!((running, used), (5, 0.5));
-    assert_eq!(book.used(), 0.4);
+    assert_eq!(book.largest_utilisation(), 0.4);
     assert_eq!(book.demand(), 4);
 }
 
