--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one pool: admission, waiting, placement, eviction and refusal.
+//! Scheduler of one pool: admission, queueing, placement, eviction and refusal of requests.
 
 mod admission;
 mod events;
@@ -22,48 +22,49 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Share of dispatches that may be repeated because the first provably sent nothing.
+/// Redispatches allowed per dispatch, where the failed attempt provably sent no byte.
 const REDISPATCH_SHARE: f64 = 0.1;
-/// Most repeats saved up.
+/// Upper bound on accumulated redispatches.
 const REDISPATCH_BURST: f64 = 20.0;
-/// Requests that are passed over at most, one after the other, for want of a fitting place.
+/// Consecutive requests to skip because no upstream with room suits them.
 const MOST_PASSED_OVER: usize = 8;
-/// A run takes this many seconds at least, so that a time that was measured as nought divides nothing.
+/// Lower bound on the run time, which prevents a division by zero.
 const LEAST_RUN_SECONDS: f64 = 1e-4;
-/// Time between judgements of stragglers.
+/// Time between straggler checks.
 const JUDGE_PAUSE: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct RunningRequest {
     request: WaitingRequest,
     upstream: UpstreamIndex,
-    /// True if the upstream's bound, not the demand, held work back when this was sent.
+    /// True if the upstream's limit, rather than demand, was the bottleneck at dispatch.
     was_bound: bool,
     dispatched: Moment,
-    /// Prompt tokens that the upstream has not yet read, as far as is known.
+    /// Prompt tokens that the upstream is not yet known to have prefilled.
     unread: u32,
-    /// Prompt tokens that the upstream had to read before its first event, its own among them.
+    /// Prompt tokens to prefill before the first event, this request's included.
     ahead: u64,
-    /// How many times slower than usual the upstream was thought to be.
+    /// Estimated slowdown of the upstream relative to the pool, at dispatch.
     slowness: f64,
-    /// True until the upstream has said whether it has a place.
+    /// True until the upstream grants or refuses the slot reservation.
     is_asking: bool,
 }
 
-/// Numbers of a pool, for status and metrics.
+/// Pool counters for status pages and metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolStatus {
-    /// Requests waiting.
+    /// Requests in the queue.
     pub waiting: usize,
-    /// Requests at upstreams.
+    /// Requests dispatched to upstreams.
     pub running: usize,
-    /// Live upstreams.
+    /// Upstreams in the live state.
     pub live: usize,
-    /// The lowest tier admitted, if the floor is raised.
+    /// Lowest admitted tier; `None` if all tiers are admitted.
     pub floor: Option<TierRank>,
 }
 
-/// The scheduler of one pool. Pure: its only inputs are events, time and a random generator.
+/// Scheduler of one pool. Deterministic and free of I/O: its only inputs are events, the time and a
+/// random number generator.
 pub struct PoolScheduler {
     plan: PoolPlan,
     queue: Box<dyn WaitingQueue>,
@@ -82,12 +83,12 @@
     reservations: ReservationPace,
     others_waiting: OthersWaiting,
     shares: SizeShares,
-    /// Queues inside the upstreams of a plain service.
+    /// Queue lengths inside the upstreams of a plain service.
     crowd: CrowdMeter,
 }
 
 impl PoolScheduler {
-    /// A scheduler with no upstreams and nothing waiting.
+    /// Creates a scheduler with no upstreams and an empty queue.
     pub fn new(plan: PoolPlan) -> Self {
         let mut floor = ShedFloor::default();
         floor.set_ranks(plan.ranks());
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes one event and appends what must be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: PoolEvent,
@@ -165,7 +166,8 @@
         self.pump(now, rng, actions);
     }
 
-    /// Waiting requests keep their places as far as the new plan's order allows.
+    /// Applies a new plan. Waiting requests keep their positions as far as the new queue order
+    /// allows.
     fn replace_plan(&mut self, plan: PoolPlan) {
         if plan == self.plan {
             return;
@@ -216,9 +218,10 @@
         }
     }
 
-    /// Dispatches waiting requests while an upstream has room.
+    /// Dispatches waiting requests while any upstream has room.
     fn pump(&mut self, now: Moment, rng: &mut dyn RngCore, actions: &mut Vec<PoolAction>) {
-        // Only the order by worth can take a request back without harm to the order of the rest.
+        // Only the queue ordered by value per cost can take back a request without disturbing the
+        // order of the rest.
         let most = if self.plan.sheds_alone { MOST_PASSED_OVER } else { 1 };
         let mut passed_over = Vec::new();
         while let Some(lowest) = self.lowest_served().filter(|_| self.reservations.may_try(now)) {
@@ -238,9 +241,12 @@
         passed_over.into_iter().for_each(|request| self.queue.push_back_first(request));
     }
 
-    /// True if a late request has more before it at the group's other daemons than places will become free until those
-    /// daemons are heard again. One in time takes its chance: the group's order alone would starve the lowest lanes.
-    /// Without it, late requests of some daemons take places after a burst while requests of others become late.
+    /// Returns whether a request must leave free slots to requests of higher value.
+    ///
+    /// True for a late request if more requests precede it at the group's other daemons than slots
+    /// are expected to free up before those daemons report again. Otherwise, after a burst, late
+    /// requests of some daemons take slots while requests of other daemons become late. Requests
+    /// still in time are exempt: the group order alone would starve the lowest lanes.
     fn leaves_places(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         let is_in_time = now <= request.start_by;
         if !is_in_time && self.leaves_queues(now) {
@@ -255,7 +261,8 @@
         f64::from(before) > self.freed_places(self.others_waiting.age)
     }
 
-    /// True while the upstreams of a plain service have long queues. A late request there makes those in time late.
+    /// Returns whether the upstreams of a plain service have long queues. A late request sent there
+    /// would make requests late that are still in time.
     fn leaves_queues(&self, now: Moment) -> bool {
         !self.plan.counts_tokens
             && self.plan.sheds_alone
@@ -263,26 +270,26 @@
             && self.crowd.is_crowded(now)
     }
 
-    /// Places of the group's upstreams that become free within a time, by Little's law.
+    /// Expected number of the group's upstream slots that free up within `time`, by Little's law.
     fn freed_places(&self, time: Duration) -> f64 {
         let home = self.upstreams.iter().filter(|status| status.is_home);
         let running: u32 = home.map(|status| status.in_flight + status.others.requests).sum();
         f64::from(running) / self.run_seconds() * time.as_secs_f64()
     }
 
-    /// Mean time of a run, in seconds: as measured, or else as estimated.
+    /// Mean run time in seconds: measured if known, otherwise estimated.
     pub(super) fn run_seconds(&self) -> f64 {
         let output = if self.plan.counts_tokens { self.model.mean_output() } else { 1.0 };
         let estimated = output * self.model.speed().gap_micros / 1e6;
         self.mean_run.unwrap_or(estimated).max(LEAST_RUN_SECONDS)
     }
 
-    /// Waiting requests by what they are worth for their cost.
+    /// Numbers of waiting requests by value per cost.
     pub fn waiting_levels(&self) -> WaitingLevels {
         self.queue.levels()
     }
 
-    /// What waits at the other daemons of the group, as last heard.
+    /// Requests waiting at the other daemons of the group, as last reported.
     pub fn others_waiting(&self) -> &OthersWaiting {
         &self.others_waiting
     }
@@ -308,7 +315,7 @@
         self.placement.place(&self.upstreams, &query, rng)
     }
 
-    /// How well a place must fit the request, or it waits for another one.
+    /// Returns how well an upstream must suit the request for it to be dispatched now.
     fn fit(&self, request: &WaitingRequest, now: Moment) -> PlaceFit {
         if !self.plan.mechanisms.has(Mechanism::FitPlaces) {
             return PlaceFit::Any;
@@ -319,7 +326,7 @@
         }
     }
 
-    /// The pool's speed as far as it is learned.
+    /// Engine speed of the pool, as learned so far.
     pub(super) fn speed(&self) -> EngineSpeed {
         let speed = self.model.speed();
         if !self.knows_first_events() {
@@ -328,12 +335,12 @@
         EngineSpeed { prefill_micros: self.first_events.slope_micros(), ..speed }
     }
 
-    /// True if times of first events are a base and a part for each token.
+    /// Returns whether time to first event is modelled as a base plus a time per prompt token.
     pub(super) fn knows_first_events(&self) -> bool {
         self.plan.sheds_alone && self.plan.mechanisms.has(Mechanism::FirstEvents)
     }
 
-    /// The lowest tier that some upstream has room for; none if all are full.
+    /// Lowest tier for which some upstream has room; `None` if all are full.
     fn lowest_served(&self) -> Option<TierRank> {
         if !self.upstreams.open(RoomKind::Usual).is_empty() {
             return Some(TierRank(u8::MAX));
@@ -383,13 +390,14 @@
         self.running.insert(running.request.id, running);
     }
 
-    /// Prompt tokens that an upstream reads before the first event of a request sent now, and how slow it is.
+    /// Prompt tokens that an upstream must prefill before the first event of a request dispatched
+    /// now, and the upstream's slowdown.
     fn ahead_of(&self, upstream: UpstreamIndex, own: u32) -> (u64, f64) {
         let Some(status) = self.upstreams.get(upstream) else { return (u64::from(own), 1.0) };
         (status.all_unread() + u64::from(own), self.slowness(upstream))
     }
 
-    /// How many times slower than the pool's usual an upstream is; 1 if that is not known.
+    /// Time between tokens of an upstream divided by the pool's mean; 1 if unknown.
     pub fn slowness(&self, upstream: UpstreamIndex) -> f64 {
         let usual = self.model.speed().gap_micros.max(1.0);
         let gap = self.upstreams.get(upstream).and_then(UpstreamStatus::gap);
@@ -403,32 +411,32 @@
         }
     }
 
-    /// The upstreams.
+    /// All upstreams of the pool.
     pub fn upstreams(&self) -> &UpstreamSet {
         &self.upstreams
     }
 
-    /// The floor this daemon wants for the fleet.
+    /// Shed floor that this daemon requests from the fleet.
     pub fn wanted_floor(&self) -> Option<TierRank> {
         self.floor.wanted()
     }
 
-    /// Breaks of the shedding order; 0 unless the code is wrong or the queue has no tiers.
+    /// Violations of the shedding order; nonzero only through a bug or if the queue has no tiers.
     pub fn order_breaks(&self) -> u64 {
         self.audit.breaks()
     }
 
-    /// The floor that this daemon keeps until the next order.
+    /// Shed floor that this daemon guarantees to keep until the next order.
     pub fn guaranteed_floor(&self) -> Option<TierRank> {
         self.floor.guaranteed()
     }
 
-    /// The lowest tier that is admitted here and may be waiting; none while every tier is.
+    /// Lowest tier admitted here, which may therefore be waiting; `None` if all tiers are admitted.
     pub fn kept_floor(&self) -> Option<TierRank> {
         self.floor.lowest_admitted()
     }
 
-    /// Estimated tokens waiting and running here.
+    /// Estimated tokens of this daemon's waiting and running requests.
     pub fn demand_tokens(&self) -> u64 {
         let waiting: u64 =
             self.plan.tiers.iter().map(|share| self.queue.waiting_tokens(share.rank)).sum();
@@ -436,13 +444,13 @@
         waiting + running
     }
 
-    /// The largest part of an upstream's limit that work of this daemon takes up.
+    /// Largest utilisation of any upstream's limit, as a fraction.
     pub fn used_share(&self) -> f64 {
         let used = self.upstreams.iter().map(UpstreamStatus::used);
         used.fold(0.0, f64::max)
     }
 
-    /// The estimate for a request, as admission will see it.
+    /// Estimated cost of a request, as admission computes it.
     pub fn cost_of(
         &self,
         organisation: OrganisationIndex,
@@ -453,7 +461,7 @@
         self.model.estimate(organisation, tier, prompt_bytes, output_limit).cost
     }
 
-    /// Numbers for status and metrics.
+    /// Current counters for status pages and metrics.
     pub fn status(&self) -> PoolStatus {
         PoolStatus {
             waiting: self.queue.len(),
