--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what waits, what is refused at once, and what makes room.
+//! Admission control: queues, sheds or evicts requests.
 
 use super::{ArrivedRequest, PoolAction, PoolScheduler};
 use crate::answer::AnswerKind;
@@ -7,21 +7,24 @@
 use rand::{Rng, RngCore};
 use std::time::Duration;
 
-/// Refuse a deadline as too short only if it is less than this share of the estimated run time,
-/// since estimates are means and a short answer may still make it.
+/// A deadline is too short if it leaves less than this share of the estimated run time. The
+/// estimate is a mean, so a short answer may still meet a deadline shorter than it.
 const TOO_SHORT_SHARE: f64 = 0.5;
-/// A request is let in if its wait takes at most this part of the time it can spare: the rest is for the
-/// error of the estimate.
+/// A request is admitted if its estimated wait takes at most this share of its spare time; the rest
+/// allows for the estimation error.
 const PATIENCE: f64 = 0.6;
-/// The part of an objective that is left for what an estimate misses: the way to the engine, the step under way.
+/// Share of an objective reserved for delays that the estimate omits: network transfer and the
+/// engine step in progress.
 const OBJECTIVE_MARGIN: f64 = 0.1;
-/// A pool is taken to work off at least this part of what its limits should carry, before it has shown more.
+/// Lower bound on the assumed drain rate of a pool, as a share of the rate expected from its
+/// limits. Applies until a higher rate is measured.
 const LEAST_DRAIN: f64 = 0.5;
-/// The part of a pool's speed that late requests can reckon with: those that come meanwhile go before them.
+/// Share of the drain rate available to late requests, since requests that arrive meanwhile are
+/// served before them.
 const LATE_DRAIN: f64 = 0.5;
-/// The part of its time left within which a returned caller's request must have the prospect of a place.
+/// A late request keeps waiting only if it should start within this share of its remaining time.
 const PROSPECT_PART: f64 = 0.5;
-/// A late request that may not be shed yet is looked at again after this long.
+/// Time after which a late request that was not shed is checked again.
 const LATE_PAUSE: Duration = Duration::from_millis(50);
 
 impl PoolScheduler {
@@ -74,15 +77,17 @@
         self.enqueue(request, now);
     }
 
-    /// True if the prospects of returned callers are looked at.
+    /// Returns whether late requests of returning callers are refused early if they have no chance.
     fn looks_at_late(&self) -> bool {
         self.plan.sheds_alone
             && self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::LateRefusal)
     }
 
-    /// Looks at a request whose time to be looked at has come: it waits on while it has a prospect of a place. Without one its
-    /// caller would hear of the refusal only when its time is over, and places go to requests that can no longer be ended.
+    /// Checks a request whose `late_at` has passed, and sheds it unless it is likely to get a slot.
+    ///
+    /// Without this check its caller would learn of the refusal only once its time is over, and
+    /// slots would go to requests that can no longer complete.
     pub(super) fn look_at_late(
         &mut self,
         mut request: WaitingRequest,
@@ -97,7 +102,8 @@
         self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
     }
 
-    /// True if what goes before a late request, here and in the group, should be worked off well before its caller gives up.
+    /// Returns whether the work ahead of a late request, here and in the group, should be finished
+    /// well before its caller gives up.
     fn has_prospect(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         let left = request.gives_up_at.since(now).mul_f64(PROSPECT_PART);
         let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN) * LATE_DRAIN;
@@ -110,14 +116,14 @@
         others <= self.freed_places(left) * LATE_DRAIN
     }
 
-    /// True if the request is owed service, since too few of its size are served.
+    /// Returns whether the request is owed service because too few requests of its size are served.
     fn is_owed(&mut self, request: &WaitingRequest, now: Moment, rng: &mut dyn RngCore) -> bool {
         self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::SizeShare)
             && self.shares.arrived(&request.size_claim(), rng.random(), now)
     }
 
-    /// Counts the end of a request by its size.
+    /// Records whether a request was served, in the account of its size.
     pub(super) fn count_end(&mut self, request: &WaitingRequest, is_served: bool) {
         self.shares.ended(&request.size_claim(), is_served, self.plan.size_share);
     }
@@ -154,8 +160,8 @@
             size_tenth: request.size_tenth,
             is_owed: false,
         };
-        // An estimate of the run time longer than the whole slack must not make the request late at
-        // once: it was let in above because estimates are means.
+        // A run time estimate longer than the whole slack must not make the request late at once:
+        // such requests are admitted because the estimate is a mean.
         waiting.start_by = match request.objective {
             Some(objective) => self.start_by(&waiting, objective, now),
             None => waiting.latest_start(),
@@ -166,7 +172,7 @@
                 .max(now + request.deadline.since(now).mul_f64(TOO_SHORT_SHARE));
         }
         if let Some(patience) = request.patience {
-            // Its caller would leave before the first event of a later start.
+            // If it started later, the caller would leave before the first event.
             waiting.late_at = waiting.late_at.min(self.start_by(&waiting, patience, now));
         }
         waiting.gives_up_at = waiting.late_at;
@@ -177,7 +183,7 @@
         waiting
     }
 
-    /// The last moment to send a request so that its first event comes within its objective.
+    /// Latest dispatch time at which the first event still meets the objective.
     pub(super) fn start_by(
         &self,
         request: &WaitingRequest,
@@ -199,8 +205,10 @@
         Moment(objective.0.saturating_sub((margin + first).as_micros() as u64))
     }
 
-    /// True if a request should be refused at once, because by what waits before it and how fast the pool works
-    /// that off, it can meet neither its objective nor, as a late one, its deadline.
+    /// Returns whether to refuse a request on arrival.
+    ///
+    /// True if, given the work ahead of it and the drain rate of the pool, it can meet neither its
+    /// objective nor, as a late request, its deadline.
     pub(super) fn has_no_chance(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         if self.queue.is_empty() || request.is_owed {
             return false;
@@ -217,13 +225,13 @@
         now + wait(before, rate * LATE_DRAIN) > request.late_at
     }
 
-    /// Lets a request wait.
+    /// Adds an admitted request to the queue.
     pub(super) fn enqueue(&mut self, request: WaitingRequest, now: Moment) {
         self.audit.admitted(request.tier, now);
         self.queue.push(request);
     }
 
-    /// Refuses a request for want of capacity.
+    /// Refuses a request for lack of capacity and records it in the shed audit.
     pub(super) fn refuse_shed(
         &mut self,
         request: &WaitingRequest,
@@ -238,9 +246,11 @@
         actions.push(PoolAction::Refuse { id: request.id, kind });
     }
 
-    /// Makes room for a request of `tier` by evicting one of the lowest tier that waits, if that is lower
-    /// and may be shed. False if nothing lower waits; the queue may overrun its limit by as much again
-    /// while the fleet has not yet confirmed that the lower tier may go.
+    /// Makes room for a request of `tier` by evicting a request of the lowest waiting tier, if that
+    /// tier is lower and may be shed.
+    ///
+    /// Returns false if no lower tier waits. Until the fleet confirms that the lower tier may be
+    /// shed, the queue may grow to twice its limit.
     pub(super) fn make_room(
         &mut self,
         tier: TierRank,
@@ -274,7 +284,8 @@
         evicted.is_some()
     }
 
-    /// True if the request would miss its deadline even if all lower tiers' waiting work made room.
+    /// Returns whether the request would miss its deadline even with no waiting work of lower
+    /// tiers.
     pub(super) fn would_be_late(&self, request: &WaitingRequest, slack: Duration) -> bool {
         if self.queue.is_empty() || !self.plan.refuses_late {
             return false;
@@ -286,8 +297,9 @@
             .mul_f64(PATIENCE)
     }
 
-    /// Estimated wait of a request that arrives now, with no lower tier in its way: as its tier's queue was seen
-    /// to move, or, before any backlog, at what the limits should carry.
+    /// Estimated wait of a request that arrives now, not counting lower tiers. Uses the measured
+    /// progress of its tier's queue or, before the first backlog, the rate expected from the
+    /// limits.
     pub(super) fn least_wait(&self, request: &WaitingRequest) -> Duration {
         let (tier, organisation) = (request.tier, request.organisation);
         let span = self.queue.virtual_span(tier, organisation, request.weight);
@@ -296,12 +308,13 @@
         Duration::try_from_secs_f64(measured.unwrap_or_else(reckoned)).unwrap_or(Duration::MAX)
     }
 
-    /// Tokens a second that the pool should work off, by Little's law: tokens in flight over their mean time.
+    /// Expected throughput of the pool in tokens per second, by Little's law: tokens in flight
+    /// divided by the mean run time.
     pub(super) fn drain_rate(&self) -> f64 {
         (self.upstreams.live_limit(self.mean_cost) / self.run_seconds()).max(1.0)
     }
 
-    /// Sheds `request`, but only once nothing lower is admitted anywhere; until then it waits.
+    /// Sheds `request` once no daemon admits a lower tier; until then it waits in the queue.
     pub(super) fn shed(
         &mut self,
         mut request: WaitingRequest,
