--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told, and what it wants done.
+//! Input events and output actions of the pool scheduler.
 
 use super::PoolPlan;
 use crate::answer::AnswerKind;
@@ -10,169 +10,170 @@
 use crate::table::UpstreamName;
 use std::time::Duration;
 
-/// Requests that wait for a pool at the other daemons of a group.
+/// Requests waiting for a pool at the other daemons of the group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OthersWaiting {
-    /// Their numbers, by what they are worth for their cost.
+    /// Number of requests by value per cost.
     pub levels: WaitingLevels,
-    /// How old that may be.
+    /// Maximum age of these numbers.
     pub age: Duration,
 }
 
-/// A request at the pool's door.
+/// A request that has arrived at the pool and is not yet admitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ArrivedRequest {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
-    /// Whose it is.
+    /// Organisation that sent the request.
     pub organisation: OrganisationIndex,
-    /// The organisation's weight.
+    /// Scheduling weight of the organisation.
     pub weight: u32,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: TierRank,
-    /// Bytes of prompt.
+    /// Prompt size in bytes.
     pub prompt_bytes: usize,
-    /// Most output tokens, if it says.
+    /// Maximum number of output tokens, if the request sets one.
     pub output_limit: Option<u32>,
-    /// When the answer must be complete.
+    /// Time by which the answer must be complete.
     pub deadline: Moment,
-    /// Its rank within the tier, 0 the highest.
+    /// Rank within the tier; 0 is the highest.
     pub rank: u8,
-    /// When its first event or answer is due to be worth most.
+    /// Time by which the first event, or the answer, should arrive for full value.
     pub objective: Option<Moment>,
-    /// When its caller leaves if no event has come.
+    /// Time at which the caller leaves if no event has arrived.
     pub patience: Option<Moment>,
-    /// The longest good pause between its events.
+    /// Longest acceptable pause between events.
     pub pause: Option<Duration>,
-    /// Its size, where the caller says; else it is estimated.
+    /// Sizes given by the caller; estimated if absent.
     pub sizes: Option<RequestSizes>,
-    /// Its tenth by size among the recent requests of its route, if that is known.
+    /// Size decile among the recent requests of its route, if known.
     pub size_tenth: Option<SizeTenth>,
-    /// What sizes are compared among: the requests of its route.
+    /// Route of the request; sizes are compared among the requests of one route.
     pub route: RouteKey,
-    /// Hashes of the prompt's leading blocks.
+    /// Cumulative hashes of the leading blocks of the prompt.
     pub prefix: Box<[u64]>,
 }
 
-/// How a dispatch ended.
+/// Outcome of a dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
-    /// A whole answer; counts are zero for plain services.
+    /// The answer is complete. Counts are zero for plain services.
     Completed {
-        /// Prompt tokens as the engine counted them.
+        /// Prompt tokens counted by the engine.
         prompt_tokens: Option<u32>,
-        /// Output tokens.
+        /// Output tokens of the answer.
         output_tokens: u32,
     },
-    /// No byte was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// Sent, and no whole answer.
+    /// The request was sent, but no complete answer arrived.
     Failed,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
-    /// The upstream had no place to reserve; nothing was sent.
+    /// The upstream had no free slot to reserve; nothing was sent.
     Crowded,
 }
 
-/// What the scheduler is told.
+/// Input of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolEvent {
-    /// A request came.
+    /// A request arrived.
     Arrived(ArrivedRequest),
-    /// A waiting request's caller left.
+    /// The caller of a waiting request disconnected.
     CallerLeft(RequestId),
-    /// The upstream granted a dispatched request its place.
+    /// The upstream granted the slot reservation of a dispatched request.
     Granted(RequestId),
-    /// The first token of a dispatched request came.
+    /// The first token of a dispatched request arrived.
     FirstToken {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// Time since it was sent.
+        /// Time since the dispatch.
         after: Duration,
     },
-    /// Mean time between a request's tokens over the last stretch.
+    /// The mean time between recent tokens of a request was measured.
     TokenGap {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// The mean gap.
+        /// Mean time between tokens.
         gap: Duration,
     },
-    /// An upstream reported its birth, which is its incarnation.
+    /// An upstream reported its start time, which serves as its incarnation number.
     Born {
-        /// The upstream.
+        /// Upstream concerned.
         upstream: UpstreamIndex,
-        /// Its incarnation.
+        /// Incarnation number.
         incarnation: u64,
     },
     /// A dispatch ended.
     Ended {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// How.
+        /// Outcome of the dispatch.
         outcome: DispatchOutcome,
     },
     /// An upstream reported its load.
     Reported {
-        /// The upstream.
+        /// Upstream concerned.
         upstream: UpstreamIndex,
-        /// The report.
+        /// Load report.
         report: LoadReport,
     },
-    /// Something was learned of an upstream's life.
+    /// An event of an upstream's life cycle was observed.
     Word {
-        /// The upstream.
+        /// Upstream concerned.
         upstream: UpstreamIndex,
-        /// What.
+        /// Event of the upstream chart.
         word: UpstreamWord,
     },
-    /// An upstream dropped a prefix block from its cache.
+    /// An upstream evicted a prefix block from its cache.
     CacheEvicted {
-        /// The upstream.
+        /// Upstream concerned.
         upstream: UpstreamIndex,
-        /// The block's hash.
+        /// Hash of the block.
         block: u64,
     },
-    /// The merged list of upstreams changed.
+    /// The list of upstreams, merged from its sources, changed.
     Sources(Vec<UpstreamSource>),
-    /// The table changed.
+    /// The table's configuration of the pool changed.
     Plan(PoolPlan),
     /// This daemon's share of every upstream's limit changed.
     Share {
-        /// 0.0 to 1.0.
+        /// Fraction of the limit, 0.0 to 1.0.
         share: f64,
     },
-    /// This daemon may not act on its table any more: what waits is refused.
+    /// The lease on the table expired; the daemon may no longer act on it and refuses waiting
+    /// requests.
     LeaseLapsed,
-    /// The fleet's word on the shed floor.
+    /// The fleet's decision on the shed floor.
     FleetFloor(FloorOrder),
-    /// What the other daemons have at each upstream, as last heard, and how fast it is by their word.
+    /// Requests of the other daemons at each upstream and the upstream's speed, as last reported.
     Others {
-        /// The upstreams of which something new was heard.
+        /// Upstreams with new reports.
         rows: Vec<(UpstreamName, OthersWork)>,
-        /// This daemon's part of the fleet.
+        /// Group of daemons that this daemon belongs to.
         group: FleetGroup,
-        /// What waits at the other daemons of the group.
+        /// Requests waiting at the other daemons of the group.
         waiting: OthersWaiting,
     },
-    /// Time passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// What the scheduler wants done.
+/// Output of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolAction {
-    /// Send a request to an upstream.
+    /// Dispatch a request to an upstream.
     Dispatch {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// Where.
+        /// Destination.
         upstream: UpstreamIndex,
     },
     /// Refuse a request.
     Refuse {
-        /// The request.
+        /// Request id.
         id: RequestId,
-        /// Why.
+        /// Reason for the refusal.
         kind: AnswerKind,
     },
 }
