--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -1,4 +1,4 @@
-//! What the pool learns from its answers.
+//! Updates the estimates, limits and upstream states of a pool from the results of dispatches.
 
 use super::{DispatchOutcome, PoolAction, PoolScheduler, RunningRequest};
 use crate::answer::AnswerKind;
@@ -7,10 +7,10 @@
 };
 use std::time::Duration;
 
-/// A first token later than this many times its expected prefill, and than half its objective, is a
-/// sign of waiting inside the engine.
+/// A first token later than this multiple of the expected prefill time, and later than half its
+/// objective, indicates queueing inside the engine.
 const FIRST_TOKEN_RATIO: f64 = 3.0;
-/// Weight of a new cost in the mean.
+/// Weight of a new sample in the moving average of request cost.
 const COST_WEIGHT: f64 = 0.05;
 
 impl PoolScheduler {
@@ -27,8 +27,8 @@
         let micros = after.as_micros() as f64;
         let is_late = after > self.plan.first_token / 2 && micros > FIRST_TOKEN_RATIO * expected;
         if is_late {
-            // An engine that reports its queue says better than a late first token whether it is crowded:
-            // a long prompt in the same step is late by itself.
+            // A queue length reported by the engine is a better sign of overload than a late first
+            // token, which a long prompt in the same step also causes.
             self.upstreams.update(upstream, |status| {
                 if !status.reports_no_queue() {
                     status.limit.slowed(now);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Requests wait inside an upstream.
+    /// Records the reported queue length of an upstream of a plain service.
     pub(super) fn note_crowd(&mut self, upstream: UpstreamIndex, queued: u32, now: Moment) {
         if self.plan.counts_tokens {
             return;
@@ -89,7 +89,7 @@
         self.crowd.report(queued, status.limit.requests() as u32, now);
     }
 
-    /// The upstream has a place for the request, which is on its way.
+    /// Handles a granted slot reservation; the request is sent to the upstream.
     pub(super) fn granted(&mut self, id: RequestId) {
         let Some(running) = self.running.get_mut(&id) else { return };
         if std::mem::take(&mut running.is_asking) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// An upstream had no place to reserve: the request waits again, and nothing was lost but a moment.
+    /// Handles a refused slot reservation: the request returns to the front of its queue.
     fn crowded(&mut self, request: WaitingRequest, upstream: UpstreamIndex, now: Moment) {
         self.upstreams.update(upstream, |status| status.crowd(now));
         self.reservations.refused(now);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Mean run time weighted by cost, as Little's law on tokens needs it.
+    /// Updates the mean run time, weighted by cost as Little's law on tokens requires.
     pub(super) fn learn_run(&mut self, cost: u32, time: Duration) {
         let weight = COST_WEIGHT * (f64::from(cost) / self.mean_cost).min(4.0);
         self.mean_cost += (f64::from(cost) - self.mean_cost) * COST_WEIGHT;
@@ -150,8 +150,9 @@
         self.mean_run = Some(self.mean_run.map_or(sample, |mean| mean + (sample - mean) * weight));
     }
 
-    /// The first dispatch provably sent nothing, so a second one keeps "at most once". The budget
-    /// keeps a pool that refuses all connections from being tried by every request in turn.
+    /// Requeues a request whose dispatch provably sent no byte, so a second dispatch preserves
+    /// at-most-once execution. The budget bounds repeated attempts when all connections are
+    /// refused.
     pub(super) fn redispatch(
         &mut self,
         request: WaitingRequest,
