--- a/src/policy/scheduler/plan.rs
+++ b/src/policy/scheduler/plan.rs
@@ -1,4 +1,4 @@
-//! What the table says of one pool, in the scheduler's terms.
+//! Scheduler configuration of one pool, derived from the table.
 
 use crate::policy::{
     FairQueue, FifoQueue, LearnedLimit, MechanismSet, TierRank, TierShare, UrgencyQueue,
@@ -7,56 +7,59 @@
 use crate::table::{LimitChoice, PlacementChoice, QueueChoice, ServiceKind, ServiceRow};
 use std::time::Duration;
 
-/// The part of each engine's limit that only the highest tier may use. What goes wrong without it: under load
-/// only the engine that has just ended something has room, so a request of the highest tier, which comes
-/// seldom and is long, goes there and computes its prompt anew. One would notice by wasted prefill that is
-/// low at low load and as high as without affinity at high load.
+/// Share of each engine's limit reserved for the highest tier. Without it, under load, only the
+/// engine that has just finished a request has room, so the rare, long requests of the highest tier
+/// go there and recompute their prompts. The symptom is wasted prefill that is low at low load and
+/// as high as without affinity at high load.
 const HEADROOM: f64 = 0.15;
-/// First guess of the mean cost of a model request, in tokens.
+/// Initial estimate of the mean cost of a model request, in tokens.
 const FIRST_MEAN_COST: f64 = 512.0;
 
-/// What the table says of one pool, in the scheduler's terms.
+/// Scheduler configuration of one pool, derived from the table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolPlan {
-    /// Tiers, highest first.
+    /// Tiers with their weights, highest first.
     pub tiers: Vec<TierShare>,
-    /// Order of waiting requests.
+    /// Queue discipline.
     pub queue: QueueChoice,
-    /// Choice of upstream.
+    /// Placement policy.
     pub placement: PlacementChoice,
-    /// Bound on the work at one upstream.
+    /// Kind of concurrency limit per upstream.
     pub limit: LimitChoice,
-    /// Requests per upstream to begin with.
+    /// Initial concurrency limit per upstream, in requests.
     pub first_guess: u32,
-    /// Most requests waiting.
+    /// Maximum queue length.
     pub waiting_limit: usize,
-    /// True for model engines.
+    /// True for model engines, whose cost is counted in tokens; false for plain services.
     pub counts_tokens: bool,
-    /// Objective between tokens.
+    /// Objective for the time between tokens.
     pub token_gap: Duration,
-    /// Objective to the first token.
+    /// Objective for the time to first token.
     pub first_token: Duration,
-    /// True if a request whose deadline cannot be met is refused while it waits; false in experiments only.
+    /// True if waiting requests that cannot meet their deadline are refused; false in experiments
+    /// only.
     pub refuses_late: bool,
     /// True if placement avoids stragglers; false in experiments only.
     pub avoids_stragglers: bool,
-    /// True if room is kept for the highest tier; false in experiments only.
+    /// True if headroom is reserved for the highest tier; false in experiments only.
     pub keeps_headroom: bool,
-    /// True if this daemon sheds by itself, without the fleet's floor: what it refuses is what it cannot serve
-    /// in time, whatever others still admit.
+    /// True if this daemon sheds without the fleet's floor: it refuses what it cannot serve in
+    /// time, regardless of what other daemons admit.
     pub sheds_alone: bool,
-    /// Tokens in one event of a stream.
+    /// Tokens per stream event.
     pub event_tokens: u32,
-    /// Each tenth by size of a kind is served at least this part as often as its lane, 0.0 to 1.0.
+    /// Each size decile of a route is served at least this fraction as often as its lane, 0.0 to
+    /// 1.0.
     pub size_share: f64,
-    /// Mechanisms that are switched off; none but to measure what each is worth.
+    /// Disabled mechanisms; used only to measure the effect of each.
     pub mechanisms: MechanismSet,
-    /// True if upstreams reserve a place before a request is sent: then what others have there is a hint only.
+    /// True if a slot is reserved at the upstream before a request is sent. The load of other
+    /// daemons is then only a hint.
     pub reserves: bool,
 }
 
 impl PoolPlan {
-    /// The plan for a service's row and the table's tiers.
+    /// Creates the configuration from a service's table row and the table's tiers.
     pub fn new(row: &ServiceRow, tiers: &[TierShare]) -> Self {
         let mut tiers = tiers.to_vec();
         tiers.sort_by_key(|share| share.rank);
@@ -95,7 +98,8 @@
         self.tiers.iter().map(|share| share.rank).collect()
     }
 
-    /// Room at each upstream for the highest tier alone, where a choice of upstream is worth it.
+    /// Share of each limit reserved for the highest tier; nonzero only with affinity placement and
+    /// a weighted queue of several tiers.
     pub(super) fn headroom(&self) -> f64 {
         let has_choice = self.placement == PlacementChoice::Affinity;
         let has_tiers = self.queue == QueueChoice::Weighted && self.tiers.len() > 1;
@@ -106,7 +110,7 @@
         if self.counts_tokens { FIRST_MEAN_COST } else { 1.0 }
     }
 
-    /// The bound of an upstream that works on `places` requests at once, where that is known.
+    /// Initial limit of an upstream; `places` is its number of concurrent requests, if known.
     pub(super) fn limit_of(&self, places: Option<u32>) -> LearnedLimit {
         LearnedLimit::new(
             places.unwrap_or(self.first_guess),
