--- a/src/policy/scheduler/reservations.rs
+++ b/src/policy/scheduler/reservations.rs
@@ -1,27 +1,30 @@
-//! How many places are asked for at once, and how often, while upstreams say that they have none.
+//! Limits the concurrency and rate of slot reservations while upstreams refuse them.
 
 use crate::policy::Moment;
 use std::time::Duration;
 
-/// Places asked for at once while each is granted.
+/// Maximum number of pending reservations while all are granted.
 const MOST_ASKED: usize = 16;
-/// The same after a refusal. Two, so that one upstream that says nothing does not hold up everything.
+/// Maximum number of pending reservations after a refusal. Two, so that a single unresponsive
+/// upstream does not block all dispatches.
 const LEAST_ASKED: usize = 2;
-/// Refusals in a row after which the asking pauses: with fresh word of the others most places asked for are there, and
-/// a wrong guess should cost no more than the way to the next engine.
+/// Consecutive refusals tolerated before backing off. With fresh reports from the other daemons
+/// most reservations succeed, and a wrong guess should cost no more than a round trip to the next
+/// engine.
 const FREE_REFUSALS: u32 = 4;
-/// The first pause; doubled with each further refusal.
+/// Initial backoff; doubled with each further refusal.
 const FIRST_PAUSE: Duration = Duration::from_millis(2);
-/// Most doublings: 32 ms. Each daemon asks 30 times a second at most while nothing is free, which costs it a part in
-/// a hundred of a small machine's processor.
+/// Maximum number of doublings, for a backoff of 32 ms. This limits each daemon to 30 reservations
+/// per second while nothing is free, which costs it 1 % of a small machine's processor.
 const MOST_DOUBLINGS: u32 = 4;
 
-/// Paces the asking.
+/// Limits pending reservations and backs off after refusals.
 ///
-/// What goes wrong without a bound on the places asked for at once: in a burst every waiting request asks, and the place
-/// that is free goes to any of them instead of to the one that the queue puts first (measured: half of the answers to
-/// the most urgent requests late, though all of them could have been in time). Without pauses every daemon asks every
-/// upstream all the time. The end of a request of one's own ends the pause, since it frees a place.
+/// Without a limit on pending reservations, every waiting request tries to reserve a slot during a
+/// burst, and a free slot goes to an arbitrary request instead of the head of the queue: half of
+/// the answers to the most urgent requests were late, though all could have been in time. Without
+/// backoff every daemon constantly polls every upstream. The end of one of this daemon's own
+/// requests frees a slot and therefore ends the backoff.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReservationPace {
     asked: usize,
@@ -37,29 +40,29 @@
 }
 
 impl ReservationPace {
-    /// True if a place may be asked for.
+    /// Returns whether a slot may be reserved now.
     pub(super) fn may_try(&self, now: Moment) -> bool {
         now >= self.next_at && self.asked < self.most_asked
     }
 
-    /// A place is asked for.
+    /// Records a reservation request.
     pub(super) fn asked(&mut self) {
         self.asked += 1;
     }
 
-    /// A place that was asked for was granted, or its request has gone.
+    /// Records the end of a pending reservation: granted, refused or abandoned.
     pub(super) fn settled(&mut self) {
         self.asked = self.asked.saturating_sub(1);
     }
 
-    /// A place was granted.
+    /// Records a granted reservation.
     pub(super) fn granted(&mut self) {
         self.settled();
         self.most_asked = (self.most_asked * 2).min(MOST_ASKED);
         self.freed();
     }
 
-    /// An upstream had no place.
+    /// Records a refused reservation.
     pub(super) fn refused(&mut self, now: Moment) {
         self.settled();
         self.most_asked = LEAST_ASKED;
@@ -69,7 +72,7 @@
         }
     }
 
-    /// A request ended: there may be a place.
+    /// Ends the backoff because a slot may have become free.
     pub(super) fn freed(&mut self) {
         self.refused_in_row = 0;
         self.next_at = Moment(0);
