--- a/src/answer/mod.rs
+++ b/src/answer/mod.rs
@@ -1,6 +1,6 @@
-//! The closed list of answers the system gives itself, and the one table from kind to answer.
+//! Responses that the daemon generates itself, and the table that maps each kind to its response.
 //!
-//! Refusals are problem documents (RFC 9457) with two members of our own: `kind` and `ran`.
+//! Refusals are problem documents (RFC 9457) with the extension members `kind` and `ran`.
 
 use crate::upstream::REQUEST_ID_HEADER;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -8,107 +8,107 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What is known of a refused request's execution at an upstream.
+/// Whether a refused request was executed at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RanWord {
     /// No byte of the request reached an upstream.
     No,
-    /// A byte was sent and no complete answer came back.
+    /// At least one byte was sent, and no complete answer was received.
     Unknown,
-    /// The request ran, and was answered before.
+    /// The request was executed and answered earlier.
     Yes,
 }
 
-/// Whether and when a caller should come back.
+/// Whether and when the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryHint {
-    /// The same request would be refused again; no `Retry-After` is sent.
+    /// A retry would be refused again; no `Retry-After` header is sent.
     Never,
-    /// Worth another try after about this long; the answer adds jitter of up to the same length.
+    /// Retry after this delay; the response adds jitter of up to twice the delay.
     After(Duration),
 }
 
-/// Every reason for which the system answers instead of an upstream.
+/// Reason why the daemon responds instead of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnswerKind {
-    /// The request could not be read; the detail names the place.
+    /// The request could not be parsed; the detail gives the location.
     BadRequest,
-    /// No bearer key was given.
+    /// The request has no bearer key.
     KeyMissing,
     /// The bearer key belongs to no organisation.
     KeyUnknown,
-    /// The organisation may not use the service.
+    /// The organisation has no access to the service.
     NotAllowed,
-    /// No service answers at this path, or no service has this model name.
+    /// No service matches the path or the model name.
     ServiceUnknown,
-    /// The body is larger than the service's limit.
+    /// The body exceeds the service's size limit.
     BodyTooLarge,
-    /// The organisation's token rate is used up.
+    /// The organisation has exceeded its token rate.
     RateLimited,
-    /// The organisation has as many requests in progress as it may have.
+    /// The organisation has reached its limit of concurrent requests.
     ConcurrencyLimited,
-    /// Shed: the pool has no room for this tier.
+    /// Shed: the pool has no capacity for this tier.
     Overloaded,
-    /// Shed: removed from the queue to make room for a higher tier.
+    /// Shed: evicted from the queue to make room for a higher tier.
     Evicted,
-    /// Shed: the deadline would pass, or passed, in the queue.
+    /// Shed: the deadline passed, or would pass, in the queue.
     DeadlineWaiting,
-    /// The deadline is shorter than the request's own estimated run time.
+    /// The deadline is too short for the estimated run time of the request.
     DeadlineTooShort,
     /// The pool has no live upstream.
     UpstreamAbsent,
     /// This daemon cannot confirm that its table is current.
     TableStale,
-    /// This daemon is shutting down and takes no new work.
+    /// This daemon is shutting down and accepts no new requests.
     Draining,
-    /// Every upstream tried refused the connection; nothing was sent.
+    /// No connection to any upstream tried could be opened; nothing was sent.
     UpstreamUnreachable,
-    /// Every upstream tried says that it did not run the request.
+    /// Every upstream tried reported that it did not execute the request.
     UpstreamRefused,
-    /// The upstream ended the exchange without a complete answer.
+    /// The upstream ended the exchange before its answer was complete.
     UpstreamLost,
-    /// The upstream's answer ended before its end mark or declared length.
+    /// The upstream's answer ended before its end marker or declared length.
     UpstreamTruncated,
-    /// The upstream's answer carried another request's id.
+    /// The upstream's answer carried the id of another request.
     UpstreamCrossed,
-    /// The upstream fell silent and the stream could not be resumed.
+    /// The upstream stopped sending, and the stream could not be resumed.
     UpstreamSilent,
-    /// The deadline passed while the upstream worked.
+    /// The deadline passed while the request was running.
     DeadlineRunning,
     /// The idempotency key was used before with another body.
     ClaimMismatch,
     /// The first request with this idempotency key is still in progress.
     ClaimRunning,
-    /// The first request with this idempotency key may have run; its outcome is not known.
+    /// The first request with this idempotency key may have been executed; its outcome is unknown.
     ClaimUnknown,
-    /// The first request with this idempotency key was answered; its answer is not kept.
+    /// The first request with this idempotency key was answered; its answer was not stored.
     ClaimAnswered,
-    /// The claim could not be recorded, so the request was not dispatched.
+    /// The idempotency claim could not be recorded, so the request was not dispatched.
     ClaimUnavailable,
-    /// Upstreams ended while they ran this content, so it is held back.
+    /// Upstream processes ended while running the same content, so the request is quarantined.
     Quarantined,
-    /// A fault of the daemon itself before dispatch.
+    /// Internal error of the daemon before dispatch.
     Internal,
 }
 
-/// One row of the table from kind to answer.
+/// Row of the response table.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerRow {
-    /// The kind the row is for.
+    /// Kind described by this row.
     pub kind: AnswerKind,
-    /// The name used in problem documents, logs and metrics.
+    /// Name in problem documents, logs and metrics.
     pub name: &'static str,
     /// HTTP status code.
     pub status: u16,
-    /// What the refusal says about execution.
+    /// Execution status reported in the refusal.
     pub ran: RanWord,
-    /// Whether to come back.
+    /// Retry advice.
     pub retry: RetryHint,
-    /// True where the refusal counts as shedding of a tier.
+    /// True if the refusal counts as load shedding.
     pub shed: bool,
-    /// One sentence for people.
+    /// Short human-readable title.
     pub title: &'static str,
 }
 
@@ -118,7 +118,7 @@
 
 macro_rules! answer_rows {
     ($($kind:ident $name:literal $status:literal $ran:ident $retry:expr, $shed:literal, $title:literal;)*) => {
-        /// The one table from kind to answer, in the order of [`AnswerKind`].
+        /// Response table, with one row per kind in the order of [`AnswerKind`].
         pub const ANSWER_TABLE: &[AnswerRow] = &[
             $(AnswerRow {
                 kind: AnswerKind::$kind,
@@ -166,7 +166,7 @@
 }
 
 impl AnswerKind {
-    /// The kind's row in [`ANSWER_TABLE`].
+    /// Row of this kind in [`ANSWER_TABLE`].
     pub fn row(self) -> &'static AnswerRow {
         &ANSWER_TABLE[self as usize]
     }
@@ -178,43 +178,43 @@
     }
 }
 
-/// The body of a refusal, an RFC 9457 problem document.
+/// Body of a refusal: an RFC 9457 problem document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProblemBody {
-    /// A URN naming the kind.
+    /// URN of the kind.
     #[serde(rename = "type")]
     pub kind_uri: String,
-    /// One sentence, the same for each kind.
+    /// Title of the kind.
     pub title: String,
-    /// HTTP status code, repeated.
+    /// HTTP status code, as in the response.
     pub status: u16,
-    /// What was special about this refusal; may be empty.
+    /// Explanation specific to this refusal; may be empty.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
-    /// The error kind's name.
+    /// Kind of the refusal.
     pub kind: AnswerKind,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub ran: RanWord,
-    /// The daemon's id for the request.
+    /// Request id assigned by the daemon.
     pub request_id: String,
 }
 
-/// A refusal ready to be sent: the kind, a detail and the seconds to wait, if any.
+/// A refusal with its detail and retry delay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RefusalAnswer {
-    /// Why.
+    /// Kind of the refusal.
     pub kind: AnswerKind,
-    /// What was special about it.
+    /// Explanation specific to this refusal.
     pub detail: String,
-    /// Seconds for `Retry-After`.
+    /// Default `Retry-After` value, in whole seconds.
     pub retry_seconds: Option<u64>,
-    /// A time to return that is known better than by the kind; may hold parts of a second.
+    /// Computed `Retry-After` value, which takes precedence; may include fractions of a second.
     pub retry_after: Option<Duration>,
 }
 
 impl RefusalAnswer {
-    /// A refusal of `kind`; `jitter` in 0.0..1.0 spreads the callers' return over the hint's length,
-    /// so that callers refused together do not come back together.
+    /// Creates a refusal of `kind`. `jitter`, in 0.0..1.0, spreads the retry delay so that callers
+    /// refused together do not retry together.
     pub fn new(kind: AnswerKind, detail: impl Into<String>, jitter: f64) -> Self {
         let retry_seconds = match kind.row().retry {
             RetryHint::Never => None,
@@ -223,13 +223,13 @@
         RefusalAnswer { kind, detail: detail.into(), retry_seconds, retry_after: None }
     }
 
-    /// Names the time to return, where it is known better than by the kind.
+    /// Sets a computed retry delay, which overrides the default of the kind.
     pub fn returning_within(mut self, time: Option<Duration>) -> Self {
         self.retry_after = time;
         self
     }
 
-    /// The problem document for this refusal.
+    /// Problem document of this refusal.
     pub fn body(&self, request_id: &str) -> ProblemBody {
         let row = self.kind.row();
         ProblemBody {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The whole HTTP response.
+    /// Complete HTTP response.
     pub fn response(&self, request_id: &str) -> Response<axum::body::Body> {
         let body = serde_json::to_vec(&self.body(request_id)).unwrap_or_default();
         let mut response = Response::new(axum::body::Body::from(body));
@@ -264,7 +264,7 @@
     }
 }
 
-/// Between `base` and three times `base`, in whole seconds, at least one.
+/// Returns one to three times `base`, by `jitter`, in whole seconds and at least one second.
 fn spread_seconds(base: Duration, jitter: f64) -> u64 {
     let spread = base.as_secs_f64() * (1.0 + 2.0 * jitter.clamp(0.0, 1.0));
     (spread.round() as u64).max(1)
