--- a/src/chart/mod.rs
+++ b/src/chart/mod.rs
@@ -1,8 +1,8 @@
-//! The interpreter of state charts: flat charts in JSON, typed by the code that runs them.
+//! Interpreter for flat state charts defined in JSON.
 //!
-//! A chart names its states, its final states and, for every state, what each event does: a
-//! transition with actions, or `"ignore"`. The names are read into enums, so a chart that names a
-//! state, event or action the code does not know fails to load.
+//! A chart lists its states, its final states and, for each state, how it handles each event: with
+//! a transition and actions, or with `"ignore"`. Names deserialise into enums, so a chart with an
+//! unknown state, event or action fails to load.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,72 +10,72 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-/// What a name in a chart must be: a plain enum that serde can read.
+/// Name of a state, event or action: a fieldless enum that serde can deserialise.
 pub trait ChartName: DeserializeOwned + Serialize + Ord + Copy + Debug + 'static {
-    /// All names, in order; used to check that a chart answers each.
+    /// All names, in order; used to check that a chart is complete.
     const ALL: &'static [Self];
 }
 
-/// What one event does in one state.
+/// Response of one state to one event.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged, bound(deserialize = "S: ChartName, A: ChartName"))]
 pub enum ChartStep<S, A> {
-    /// The literal `"ignore"`: the event is expected here and changes nothing.
+    /// The literal `"ignore"`: the event is expected in this state and has no effect.
     Ignore(IgnoreWord),
-    /// Go to `to` (a state of the chart) and do the actions in order.
+    /// Transition to state `to` and perform the actions in order.
     Move {
-        /// The next state.
+        /// Target state.
         to: S,
-        /// Actions for the caller, in order.
+        /// Actions for the caller to perform, in order.
         #[serde(default = "Vec::new", rename = "do")]
         actions: Vec<A>,
     },
 }
 
-/// The word `ignore`.
+/// The literal `"ignore"`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum IgnoreWord {
-    /// Nothing happens.
+    /// The event has no effect.
     Ignore,
 }
 
-/// A loaded and checked chart over states `S`, events `V` and actions `A`.
+/// A validated chart over states `S`, events `V` and actions `A`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, bound(deserialize = "S: ChartName, V: ChartName, A: ChartName"))]
 pub struct StateChart<S, V, A> {
-    /// The chart's name, for errors.
+    /// Name of the chart, used in error messages.
     pub chart: String,
-    /// Where a new machine starts.
+    /// Initial state of a new machine.
     pub initial: S,
-    /// States with no way out.
+    /// Final states, which have no transitions.
     #[serde(rename = "final")]
     pub finals: BTreeSet<S>,
-    /// For each state that is not final, what each event does.
+    /// Response to each event, for each state that is not final.
     pub states: BTreeMap<S, BTreeMap<V, ChartStep<S, A>>>,
 }
 
-/// Why a chart cannot be used.
+/// Error while loading a chart.
 #[derive(Debug, Snafu)]
 pub enum ChartError {
-    /// The JSON is not a chart, or names something unknown.
-    #[snafu(display("chart is not readable: {source}"))]
+    /// The JSON is not a chart, or contains an unknown name.
+    #[snafu(display("cannot parse chart: {source}"))]
     Unreadable {
-        /// The reader's error, with line and column.
+        /// Error of the JSON parser, with line and column.
         source: serde_json::Error,
     },
-    /// The chart is readable but incomplete.
+    /// The chart can be parsed but is incomplete.
     #[snafu(display("chart {chart}: {fault}"))]
     Incomplete {
-        /// The chart's name.
+        /// Name of the chart.
         chart: String,
-        /// What is missing, and where.
+        /// Description of the first fault.
         fault: String,
     },
 }
 
 impl<S: ChartName, V: ChartName, A: ChartName> StateChart<S, V, A> {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     pub fn load(text: &str) -> Result<Self, ChartError> {
         let chart: Self =
             serde_json::from_str(text).map_err(|source| ChartError::Unreadable { source })?;
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Everything wrong with the chart: unanswered events, unreachable states, ways out of final states.
+    /// All faults of the chart: unhandled events, unreachable states and transitions out of final
+    /// states.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         for state in S::ALL {
@@ -97,7 +98,7 @@
                 }
                 Some(events) => {
                     V::ALL.iter().filter(|event| !events.contains_key(event)).for_each(|event| {
-                        faults.push(format!("state {state:?} does not answer {event:?}"))
+                        faults.push(format!("state {state:?} does not handle {event:?}"))
                     })
                 }
             }
@@ -126,18 +127,18 @@
         reached
     }
 
-    /// A machine in `state`, for one that was kept.
+    /// Creates a machine in `state`, to continue a stored one.
     pub fn resume(&'static self, state: S) -> ChartMachine<S, V, A> {
         ChartMachine { chart: self, state }
     }
 
-    /// A machine in the initial state.
+    /// Creates a machine in the initial state.
     pub fn start(&'static self) -> ChartMachine<S, V, A> {
         ChartMachine { chart: self, state: self.initial }
     }
 }
 
-/// One running instance of a chart.
+/// A running instance of a chart.
 #[derive(Clone, Copy, Debug)]
 pub struct ChartMachine<S: 'static, V: 'static, A: 'static> {
     chart: &'static StateChart<S, V, A>,
@@ -145,7 +146,8 @@
 }
 
 impl<S: ChartName, V: ChartName, A: ChartName> ChartMachine<S, V, A> {
-    /// Takes an event; returns the actions to do, none where the event is ignored or the state is final.
+    /// Handles an event and returns the actions to perform; empty if the event is ignored or the
+    /// state is final.
     pub fn step(&mut self, event: V) -> &'static [A] {
         let step = self.chart.states.get(&self.state).and_then(|events| events.get(&event));
         match step {
@@ -157,18 +159,18 @@
         }
     }
 
-    /// The present state.
+    /// Current state.
     pub fn state(&self) -> S {
         self.state
     }
 
-    /// True once no event changes anything any more.
+    /// Returns whether the current state is final, so that no further event has an effect.
     pub fn is_final(&self) -> bool {
         self.chart.finals.contains(&self.state)
     }
 }
 
-/// Declares an enum of chart names together with its `ALL` list.
+/// Declares an enum of chart names and implements [`ChartName`](crate::chart::ChartName) for it.
 #[macro_export]
 macro_rules! chart_names {
     ($(#[$meta:meta])* $name:ident { $($(#[$doc:meta])* $variant:ident,)* }) => {
