--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -1,20 +1,20 @@
-//! Claims, pure: who may dispatch a request with an idempotency key, and what became of it.
+//! Idempotency claims: which request may be dispatched under an idempotency key, and its outcome.
 //!
-//! A claim is committed by a quorum before the dispatch, and its outcome recorded after. A resend
-//! through any daemon finds the claim and never leads to a second run.
+//! A quorum commits the claim before the dispatch and the outcome afterwards. A retry through any
+//! daemon finds the claim and never causes a second execution. This module performs no I/O.
 
 use crate::table::{DaemonName, OrganisationName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// An organisation's idempotency key.
+/// Idempotency key, scoped to an organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClaimKey {
-    /// The organisation.
+    /// Organisation that uses the key.
     pub organisation: OrganisationName,
-    /// Its key.
+    /// Key chosen by the organisation.
     pub key: String,
 }
 
@@ -46,83 +46,83 @@
 /// The request that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimOwner {
-    /// The daemon that will dispatch it.
+    /// Daemon that dispatches the request.
     pub daemon: DaemonName,
-    /// The daemon's boot number.
+    /// Boot number of the daemon.
     pub boot: u64,
-    /// The request's id.
+    /// Request id.
     pub request: String,
 }
 
-/// An answer kept for resends.
+/// Answer stored for retries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its content type.
+    /// Content type of the body.
     pub content_type: String,
-    /// Its body; absent if it was too large or not text.
+    /// Body; absent if it was too large or not text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<String>,
 }
 
-/// What became of the request.
+/// Outcome of the request that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimOutcome {
-    /// A whole answer came.
+    /// The request received a complete answer.
     Answered(RecordedAnswer),
-    /// It may have run.
+    /// The request may have been executed.
     Unknown,
-    /// It provably did not run: the key is free again.
+    /// The request was provably not executed; the key may be claimed again.
     NotRun,
 }
 
-/// A change of claims, as it stands in the log.
+/// Command to change a claim, as stored in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimCommand {
-    /// Take the claim.
+    /// Acquires a claim.
     Take {
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// Digest of the request's method, path and body.
+        /// Digest of the request method, path and body.
         digest: String,
-        /// Who takes it.
+        /// Request that acquires the claim.
         owner: ClaimOwner,
-        /// The leader's wall clock, in milliseconds; expiry only ever compares such stamps.
+        /// Wall-clock time of the leader, in milliseconds. Expiry compares only such timestamps.
         at: u64,
-        /// How long the record is kept, in milliseconds.
+        /// Lifetime of the record, in milliseconds.
         life: u64,
     },
-    /// Record the outcome.
+    /// Records the outcome of a claim.
     Settle {
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// Who held it.
+        /// Request that holds the claim.
         owner: ClaimOwner,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: ClaimOutcome,
     },
 }
 
-/// The answer to a command.
+/// Reply to a [`ClaimCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimReply {
-    /// The claim is held by the asker: it may dispatch, once.
+    /// The requester holds the claim and may dispatch once.
     Granted,
-    /// The key was used with another body.
+    /// The key was used with a different request.
     Mismatch,
-    /// The first request is in progress.
+    /// The first request with the key is still in progress.
     Running(ClaimOwner),
-    /// The first request's answer.
+    /// The first request was answered.
     Answered(RecordedAnswer),
-    /// The first request may have run.
+    /// The first request may have been executed; its outcome is unknown.
     Unknown,
-    /// The asker had already given the claim up.
+    /// The requester had already withdrawn its claim.
     Withdrawn,
-    /// The outcome is recorded, or no longer matters.
+    /// The outcome is recorded or no longer relevant.
     Settled,
 }
 
@@ -132,7 +132,7 @@
     Running,
     Answered(RecordedAnswer),
     Unknown,
-    /// Given up before any dispatch. Kept, so that a take that arrives late is not granted.
+    /// Withdrawn before any dispatch. Stored so that a delayed acquisition is not granted.
     Withdrawn,
 }
 
@@ -144,22 +144,22 @@
     expires: u64,
 }
 
-/// All claims of one shard.
+/// Claims of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClaimBook {
     records: BTreeMap<ClaimKey, ClaimRecord>,
-    /// Records by their end; a key stands here at most once.
+    /// Keys ordered by expiry time; each key occurs at most once.
     #[serde(default)]
     expiry: BTreeSet<(u64, ClaimKey)>,
 }
 
-/// A claim withdrawn before it arrived is remembered this long, in milliseconds.
+/// Lifetime, in milliseconds, of the record of a claim withdrawn before its acquisition arrived.
 const WITHDRAWN_LIFE: u64 = 600_000;
-/// Expired records dropped with one command, so that no command is long.
+/// Maximum number of expired records removed per command, to bound the time a command takes.
 const EXPIRED_AT_ONCE: usize = 16;
 
 impl ClaimBook {
-    /// Applies a command; deterministic, as every replica must come to the same state.
+    /// Applies a command. Deterministic, so that all replicas reach the same state.
     pub fn apply(&mut self, command: &ClaimCommand) -> ClaimReply {
         match command {
             ClaimCommand::Take { key, digest, owner, at, life } => {
@@ -184,7 +184,7 @@
             ClaimState::Withdrawn if record.owner == *owner => ClaimReply::Withdrawn,
             ClaimState::Withdrawn => self.grant(key, digest, owner, expires),
             _ if record.digest != digest => ClaimReply::Mismatch,
-            // The same request asks again because it lost the answer: it still holds the claim.
+            // The owner retries because it missed the reply; it still holds the claim.
             ClaimState::Running if record.owner == *owner => ClaimReply::Granted,
             ClaimState::Running => ClaimReply::Running(record.owner.clone()),
             ClaimState::Answered(answer) => ClaimReply::Answered(answer.clone()),
@@ -217,7 +217,8 @@
         self.expiry.insert((expires, key.clone()));
     }
 
-    /// Only the owner may settle: a late settlement of an earlier owner changes nothing.
+    /// Records an outcome. Only the owner may do so: a delayed command of an earlier owner has no
+    /// effect.
     fn settle(&mut self, key: &ClaimKey, owner: &ClaimOwner, outcome: &ClaimOutcome) -> ClaimReply {
         let state = match outcome {
             ClaimOutcome::Answered(answer) => ClaimState::Answered(answer.clone()),
@@ -242,7 +243,7 @@
         ClaimReply::Settled
     }
 
-    /// Drops a few records whose time is over; a running one is kept until it is settled.
+    /// Removes a bounded number of expired records, whatever their state.
     fn expire(&mut self, now: u64) {
         let due: Vec<(u64, ClaimKey)> = self
             .expiry
@@ -257,12 +258,12 @@
         }
     }
 
-    /// Claims kept.
+    /// Number of stored claims.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True if none are kept.
+    /// Returns whether no claims are stored.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
