--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -9,26 +9,26 @@
 
 /// A deadline is too short if it leaves less than this share of the estimated run time. The
 /// estimate is a mean, so a short answer may still meet a deadline shorter than it.
-const TOO_SHORT_SHARE: f64 = 0.5;
+const MIN_DEADLINE_SHARE: f64 = 0.5;
 /// A request is admitted if its estimated wait takes at most this share of its spare time; the rest
 /// allows for the estimation error.
-const PATIENCE: f64 = 0.6;
+const MAX_WAIT_SHARE: f64 = 0.6;
 /// Share of an objective reserved for delays that the estimate omits: network transfer and the
 /// engine step in progress.
 const OBJECTIVE_MARGIN: f64 = 0.1;
 /// Lower bound on the assumed drain rate of a pool, as a share of the rate expected from its
 /// limits. Applies until a higher rate is measured.
-const LEAST_DRAIN: f64 = 0.5;
+const MIN_DRAIN_SHARE: f64 = 0.5;
 /// Share of the drain rate available to late requests, since requests that arrive meanwhile are
 /// served before them.
-const LATE_DRAIN: f64 = 0.5;
+const LATE_DRAIN_SHARE: f64 = 0.5;
 /// A late request keeps waiting only if it should start within this share of its remaining time.
-const PROSPECT_PART: f64 = 0.5;
+const MAX_LATE_WAIT_SHARE: f64 = 0.5;
 /// Time after which a late request that was not shed is checked again.
-const LATE_PAUSE: Duration = Duration::from_millis(50);
+const LATE_RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl PoolScheduler {
-    pub(super) fn arrived(
+    pub(super) fn handle_arrival(
         &mut self,
         request: ArrivedRequest,
         now: Moment,
@@ -40,45 +40,45 @@
         if self.upstreams.live_count() == 0 {
             return refuse(AnswerKind::UpstreamAbsent);
         }
-        let mut request = self.estimated(request, now);
+        let mut request = self.to_waiting_request(request, now);
         let slack = request.deadline.since(now);
         if self.plan.refuses_late
             && !self.plan.sheds_alone
-            && request.run_time.mul_f64(TOO_SHORT_SHARE) > slack
+            && request.run_time.mul_f64(MIN_DEADLINE_SHARE) > slack
         {
             return refuse(AnswerKind::DeadlineTooShort);
         }
-        request.is_owed = self.is_owed(&request, now, rng);
+        request.is_owed = self.claim_owed_service(&request, now, rng);
         if self.plan.queue == QueueChoice::Fifo {
             match self.queue.len() >= self.plan.waiting_limit {
-                true => self.refuse_shed(&request, AnswerKind::Overloaded, now, actions),
+                true => self.shed_now(&request, AnswerKind::Overloaded, now, actions),
                 false => self.enqueue(request, now),
             }
             return;
         }
         if !self.floor.admits(request.tier) {
-            return self.refuse_shed(&request, AnswerKind::Overloaded, now, actions);
+            return self.shed_now(&request, AnswerKind::Overloaded, now, actions);
         }
         if self.queue.len() >= self.plan.waiting_limit
             && !self.make_room(request.tier, now, actions)
         {
-            return self.shed(request, AnswerKind::Overloaded, now, actions);
+            return self.shed_when_confirmed(request, AnswerKind::Overloaded, now, actions);
         }
         if self.plan.sheds_alone {
-            match self.plan.refuses_late && self.has_no_chance(&request, now) {
-                true => self.refuse_shed(&request, AnswerKind::DeadlineWaiting, now, actions),
+            match self.plan.refuses_late && self.is_infeasible(&request, now) {
+                true => self.shed_now(&request, AnswerKind::DeadlineWaiting, now, actions),
                 false => self.enqueue(request, now),
             }
             return;
         }
-        if self.would_be_late(&request, slack) {
-            return self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
+        if self.is_likely_late(&request, slack) {
+            return self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions);
         }
         self.enqueue(request, now);
     }
 
     /// Returns whether late requests of returning callers are refused early if they have no chance.
-    fn looks_at_late(&self) -> bool {
+    fn has_late_refusal(&self) -> bool {
         self.plan.sheds_alone
             && self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::LateRefusal)
@@ -88,47 +88,57 @@
     ///
     /// Without this check its caller would learn of the refusal only once its time is over, and
     /// slots would go to requests that can no longer complete.
-    pub(super) fn look_at_late(
+    pub(super) fn recheck_late(
         &mut self,
         mut request: WaitingRequest,
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        let may_wait = now < request.gives_up_at && self.looks_at_late();
-        if may_wait && (request.is_owed || self.has_prospect(&request, now)) {
-            request.late_at = request.gives_up_at.min(now + LATE_PAUSE);
+        let may_wait = now < request.gives_up_at && self.has_late_refusal();
+        if may_wait && (request.is_owed || self.is_likely_to_start(&request, now)) {
+            request.late_at = request.gives_up_at.min(now + LATE_RECHECK_INTERVAL);
             return self.queue.push_back_first(request);
         }
-        self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
+        self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions);
     }
 
     /// Returns whether the work ahead of a late request, here and in the group, should be finished
     /// well before its caller gives up.
-    fn has_prospect(&mut self, request: &WaitingRequest, now: Moment) -> bool {
-        let left = request.gives_up_at.since(now).mul_f64(PROSPECT_PART);
-        let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN) * LATE_DRAIN;
+    fn is_likely_to_start(&mut self, request: &WaitingRequest, now: Moment) -> bool {
+        let left = request.gives_up_at.since(now).mul_f64(MAX_LATE_WAIT_SHARE);
+        let rate = self.drain_meter.total_rate().max(self.expected_drain_rate() * MIN_DRAIN_SHARE)
+            * LATE_DRAIN_SHARE;
         let before = self.queue.cost_before(request, true, now) as f64;
         if before > rate * left.as_secs_f64() {
             return false;
         }
         let Some(level) = self.queue.level(request, now) else { return true };
         let others = f64::from(self.others_waiting.levels.above(level));
-        others <= self.freed_places(left) * LATE_DRAIN
+        others <= self.expected_free_slots(left) * LATE_DRAIN_SHARE
     }
 
     /// Returns whether the request is owed service because too few requests of its size are served.
-    fn is_owed(&mut self, request: &WaitingRequest, now: Moment, rng: &mut dyn RngCore) -> bool {
+    fn claim_owed_service(
+        &mut self,
+        request: &WaitingRequest,
+        now: Moment,
+        rng: &mut dyn RngCore,
+    ) -> bool {
         self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::SizeShare)
-            && self.shares.arrived(&request.size_claim(), rng.random(), now)
+            && self.size_shares.arrived(&request.size_claim(), rng.random(), now)
     }
 
     /// Records whether a request was served, in the account of its size.
-    pub(super) fn count_end(&mut self, request: &WaitingRequest, is_served: bool) {
-        self.shares.ended(&request.size_claim(), is_served, self.plan.size_share);
+    pub(super) fn record_end(&mut self, request: &WaitingRequest, is_served: bool) {
+        self.size_shares.ended(&request.size_claim(), is_served, self.plan.size_share);
     }
 
-    pub(super) fn estimated(&self, request: ArrivedRequest, now: Moment) -> WaitingRequest {
+    pub(super) fn to_waiting_request(
+        &self,
+        request: ArrivedRequest,
+        now: Moment,
+    ) -> WaitingRequest {
         let estimate = match request.sizes {
             Some(sizes) => self.model.of_sizes(sizes),
             None => self.model.estimate(
@@ -163,28 +173,28 @@
         // A run time estimate longer than the whole slack must not make the request late at once:
         // such requests are admitted because the estimate is a mean.
         waiting.start_by = match request.objective {
-            Some(objective) => self.start_by(&waiting, objective, now),
+            Some(objective) => self.latest_start_for(&waiting, objective, now),
             None => waiting.latest_start(),
         };
         if self.plan.queue != QueueChoice::Fifo && self.plan.refuses_late {
             waiting.late_at = waiting
                 .latest_start()
-                .max(now + request.deadline.since(now).mul_f64(TOO_SHORT_SHARE));
+                .max(now + request.deadline.since(now).mul_f64(MIN_DEADLINE_SHARE));
         }
         if let Some(patience) = request.patience {
             // If it started later, the caller would leave before the first event.
-            waiting.late_at = waiting.late_at.min(self.start_by(&waiting, patience, now));
+            waiting.late_at = waiting.late_at.min(self.latest_start_for(&waiting, patience, now));
         }
         waiting.gives_up_at = waiting.late_at;
         let has_returned = request.objective.is_some_and(|objective| objective <= now);
-        if has_returned && request.patience.is_some() && self.looks_at_late() {
-            waiting.late_at = waiting.late_at.min(now + LATE_PAUSE);
+        if has_returned && request.patience.is_some() && self.has_late_refusal() {
+            waiting.late_at = waiting.late_at.min(now + LATE_RECHECK_INTERVAL);
         }
         waiting
     }
 
     /// Latest dispatch time at which the first event still meets the objective.
-    pub(super) fn start_by(
+    pub(super) fn latest_start_for(
         &self,
         request: &WaitingRequest,
         objective: Moment,
@@ -193,7 +203,7 @@
         let margin = objective.since(now).mul_f64(OBJECTIVE_MARGIN);
         let first = match self.plan.counts_tokens {
             true => {
-                let base = match self.knows_first_events() {
+                let base = match self.has_first_event_model() {
                     true => self.first_events.base_micros(),
                     false => 0.0,
                 };
@@ -209,11 +219,11 @@
     ///
     /// True if, given the work ahead of it and the drain rate of the pool, it can meet neither its
     /// objective nor, as a late request, its deadline.
-    pub(super) fn has_no_chance(&mut self, request: &WaitingRequest, now: Moment) -> bool {
+    pub(super) fn is_infeasible(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         if self.queue.is_empty() || request.is_owed {
             return false;
         }
-        let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN);
+        let rate = self.drain_meter.total_rate().max(self.expected_drain_rate() * MIN_DRAIN_SHARE);
         let wait = |cost: u64, rate: f64| {
             Duration::try_from_secs_f64(cost as f64 / rate).unwrap_or(Duration::MAX)
         };
@@ -222,17 +232,17 @@
             return false;
         }
         let before = self.queue.cost_before(request, true, now);
-        now + wait(before, rate * LATE_DRAIN) > request.late_at
+        now + wait(before, rate * LATE_DRAIN_SHARE) > request.late_at
     }
 
     /// Adds an admitted request to the queue.
     pub(super) fn enqueue(&mut self, request: WaitingRequest, now: Moment) {
-        self.audit.admitted(request.tier, now);
+        self.shed_audit.admitted(request.tier, now);
         self.queue.push(request);
     }
 
     /// Refuses a request for lack of capacity and records it in the shed audit.
-    pub(super) fn refuse_shed(
+    pub(super) fn shed_now(
         &mut self,
         request: &WaitingRequest,
         kind: AnswerKind,
@@ -241,8 +251,8 @@
     ) {
         let lower = self.plan.tiers.iter().filter(|share| share.rank > request.tier);
         let lower_waiting = lower.map(|share| self.queue.waiting_count(share.rank)).sum();
-        self.audit.shed(request.tier, lower_waiting, now);
-        self.count_end(request, false);
+        self.shed_audit.shed(request.tier, lower_waiting, now);
+        self.record_end(request, false);
         actions.push(PoolAction::Refuse { id: request.id, kind });
     }
 
@@ -257,8 +267,9 @@
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) -> bool {
-        let waits = |share: &&TierShare| self.queue.waiting_count(share.rank) > 0;
-        let Some(lowest) = self.plan.tiers.iter().rev().find(waits).map(|share| share.rank) else {
+        let has_waiting = |share: &&TierShare| self.queue.waiting_count(share.rank) > 0;
+        let Some(lowest) = self.plan.tiers.iter().rev().find(has_waiting).map(|share| share.rank)
+        else {
             return false;
         };
         if lowest <= tier {
@@ -280,42 +291,42 @@
         let evicted = self.queue.evict_below(tier);
         evicted
             .iter()
-            .for_each(|request| self.refuse_shed(request, AnswerKind::Evicted, now, actions));
+            .for_each(|request| self.shed_now(request, AnswerKind::Evicted, now, actions));
         evicted.is_some()
     }
 
     /// Returns whether the request would miss its deadline even with no waiting work of lower
     /// tiers.
-    pub(super) fn would_be_late(&self, request: &WaitingRequest, slack: Duration) -> bool {
+    pub(super) fn is_likely_late(&self, request: &WaitingRequest, slack: Duration) -> bool {
         if self.queue.is_empty() || !self.plan.refuses_late {
             return false;
         }
-        let wait = self.least_wait(request);
+        let wait = self.estimated_wait(request);
         wait > slack
             .saturating_sub(request.run_time)
-            .max(slack.mul_f64(1.0 - TOO_SHORT_SHARE))
-            .mul_f64(PATIENCE)
+            .max(slack.mul_f64(1.0 - MIN_DEADLINE_SHARE))
+            .mul_f64(MAX_WAIT_SHARE)
     }
 
     /// Estimated wait of a request that arrives now, not counting lower tiers. Uses the measured
     /// progress of its tier's queue or, before the first backlog, the rate expected from the
     /// limits.
-    pub(super) fn least_wait(&self, request: &WaitingRequest) -> Duration {
+    pub(super) fn estimated_wait(&self, request: &WaitingRequest) -> Duration {
         let (tier, organisation) = (request.tier, request.organisation);
         let span = self.queue.virtual_span(tier, organisation, request.weight);
-        let measured = self.meter.wait(tier, span);
-        let reckoned = || self.queue.waiting_tokens(tier) as f64 / self.drain_rate();
-        Duration::try_from_secs_f64(measured.unwrap_or_else(reckoned)).unwrap_or(Duration::MAX)
+        let measured = self.drain_meter.wait(tier, span);
+        let expected = || self.queue.waiting_tokens(tier) as f64 / self.expected_drain_rate();
+        Duration::try_from_secs_f64(measured.unwrap_or_else(expected)).unwrap_or(Duration::MAX)
     }
 
     /// Expected throughput of the pool in tokens per second, by Little's law: tokens in flight
     /// divided by the mean run time.
-    pub(super) fn drain_rate(&self) -> f64 {
+    pub(super) fn expected_drain_rate(&self) -> f64 {
         (self.upstreams.live_limit(self.mean_cost) / self.run_seconds()).max(1.0)
     }
 
     /// Sheds `request` once no daemon admits a lower tier; until then it waits in the queue.
-    pub(super) fn shed(
+    pub(super) fn shed_when_confirmed(
         &mut self,
         mut request: WaitingRequest,
         kind: AnswerKind,
@@ -323,14 +334,14 @@
         actions: &mut Vec<PoolAction>,
     ) {
         if self.plan.sheds_alone {
-            return self.refuse_shed(&request, kind, now, actions);
+            return self.shed_now(&request, kind, now, actions);
         }
         let confirmed = self.floor.raise(request.tier, now);
         self.evict_below_floor(now, actions);
         if confirmed || now >= request.deadline {
-            return self.refuse_shed(&request, kind, now, actions);
+            return self.shed_now(&request, kind, now, actions);
         }
-        request.late_at = request.deadline.min(now + LATE_PAUSE);
+        request.late_at = request.deadline.min(now + LATE_RECHECK_INTERVAL);
         self.queue.push_back_first(request);
     }
 
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -9,23 +9,24 @@
 
 /// A first token later than this multiple of the expected prefill time, and later than half its
 /// objective, indicates queueing inside the engine.
-const FIRST_TOKEN_RATIO: f64 = 3.0;
+const LATE_FIRST_TOKEN_RATIO: f64 = 3.0;
 /// Weight of a new sample in the moving average of request cost.
-const COST_WEIGHT: f64 = 0.05;
+const COST_SAMPLE_WEIGHT: f64 = 0.05;
 
 impl PoolScheduler {
-    pub(super) fn first_token(&mut self, id: RequestId, after: Duration, now: Moment) {
+    pub(super) fn handle_first_token(&mut self, id: RequestId, after: Duration, now: Moment) {
         let Some(running) = self.running.get_mut(&id) else { return };
-        let unread = std::mem::take(&mut running.unread);
+        let unread_tokens = std::mem::take(&mut running.unread_tokens);
         let prompt_tokens = running.request.prompt_tokens;
-        let (ahead, slowness) = (running.ahead, running.slowness);
+        let (tokens_ahead, slowness) = (running.tokens_ahead, running.slowness);
         let upstream = running.upstream;
-        self.upstreams.update(upstream, |status| status.read(unread));
+        self.upstreams.update(upstream, |status| status.read(unread_tokens));
         let expected = f64::from(prompt_tokens) * self.model.speed().prefill_micros;
         self.model.learn_prefill(prompt_tokens, after);
-        self.first_events.learn(ahead, slowness, after);
+        self.first_events.learn(tokens_ahead, slowness, after);
         let micros = after.as_micros() as f64;
-        let is_late = after > self.plan.first_token / 2 && micros > FIRST_TOKEN_RATIO * expected;
+        let is_late =
+            after > self.plan.first_token / 2 && micros > LATE_FIRST_TOKEN_RATIO * expected;
         if is_late {
             // A queue length reported by the engine is a better sign of overload than a late first
             // token, which a long prompt in the same step also causes.
@@ -37,7 +38,7 @@
         }
     }
 
-    pub(super) fn token_gap(&mut self, id: RequestId, gap: Duration, now: Moment) {
+    pub(super) fn handle_token_gap(&mut self, id: RequestId, gap: Duration, now: Moment) {
         let Some(running) = self.running.get(&id) else { return };
         self.model.learn_gap(gap);
         let is_late = gap > self.plan.token_gap;
@@ -49,7 +50,7 @@
         });
     }
 
-    pub(super) fn ended(
+    pub(super) fn handle_end(
         &mut self,
         id: RequestId,
         outcome: DispatchOutcome,
@@ -57,56 +58,68 @@
         actions: &mut Vec<PoolAction>,
     ) {
         let Some(running) = self.running.remove(&id) else { return };
-        let RunningRequest { ref request, upstream, unread, is_asking, .. } = running;
+        let RunningRequest { ref request, upstream, unread_tokens, is_reserving, .. } = running;
         self.upstreams.ended(upstream, request.cost, now);
-        if is_asking && outcome != DispatchOutcome::Crowded {
-            self.reservations.settled();
+        if is_reserving && outcome != DispatchOutcome::Crowded {
+            self.reservations.release_pending();
         }
-        if !is_asking && outcome != DispatchOutcome::NotSent {
+        if !is_reserving && outcome != DispatchOutcome::NotSent {
             self.upstreams.update(upstream, UpstreamStatus::uncrowd);
-            self.reservations.freed();
+            self.reservations.reset_backoff();
         }
-        self.upstreams.update(upstream, |status| status.read(unread));
+        self.upstreams.update(upstream, |status| status.read(unread_tokens));
         self.upstreams.judge_end(upstream, outcome, now);
         match outcome {
             DispatchOutcome::Completed { prompt_tokens, output_tokens } => {
-                self.completed(&running, prompt_tokens, output_tokens, now);
+                self.handle_completion(&running, prompt_tokens, output_tokens, now);
             }
             DispatchOutcome::NotSent => self.redispatch(running.request, upstream, now, actions),
-            DispatchOutcome::Crowded => self.crowded(running.request, upstream, now),
+            DispatchOutcome::Crowded => {
+                self.handle_refused_reservation(running.request, upstream, now)
+            }
             DispatchOutcome::Failed | DispatchOutcome::Cancelled => {
-                self.count_end(&running.request, false);
+                self.record_end(&running.request, false);
             }
         }
     }
 
     /// Records the reported queue length of an upstream of a plain service.
-    pub(super) fn note_crowd(&mut self, upstream: UpstreamIndex, queued: u32, now: Moment) {
+    pub(super) fn record_upstream_queue(
+        &mut self,
+        upstream: UpstreamIndex,
+        queued: u32,
+        now: Moment,
+    ) {
         if self.plan.counts_tokens {
             return;
         }
         let Some(status) = self.upstreams.get(upstream) else { return };
-        self.crowd.report(queued, status.limit.requests() as u32, now);
+        self.upstream_queues.report(queued, status.limit.requests() as u32, now);
     }
 
     /// Handles a granted slot reservation; the request is sent to the upstream.
-    pub(super) fn granted(&mut self, id: RequestId) {
+    pub(super) fn handle_grant(&mut self, id: RequestId) {
         let Some(running) = self.running.get_mut(&id) else { return };
-        if std::mem::take(&mut running.is_asking) {
+        if std::mem::take(&mut running.is_reserving) {
             let upstream = running.upstream;
             self.upstreams.update(upstream, UpstreamStatus::uncrowd);
-            self.reservations.granted();
+            self.reservations.record_grant();
         }
     }
 
     /// Handles a refused slot reservation: the request returns to the front of its queue.
-    fn crowded(&mut self, request: WaitingRequest, upstream: UpstreamIndex, now: Moment) {
+    fn handle_refused_reservation(
+        &mut self,
+        request: WaitingRequest,
+        upstream: UpstreamIndex,
+        now: Moment,
+    ) {
         self.upstreams.update(upstream, |status| status.crowd(now));
-        self.reservations.refused(now);
+        self.reservations.record_refusal(now);
         self.queue.push_back_first(request);
     }
 
-    pub(super) fn completed(
+    pub(super) fn handle_completion(
         &mut self,
         running: &RunningRequest,
         prompt_tokens: Option<u32>,
@@ -114,8 +127,8 @@
         now: Moment,
     ) {
         let RunningRequest { request, upstream, .. } = running;
-        let time = now.since(running.dispatched);
-        self.count_end(request, true);
+        let time = now.since(running.dispatched_at);
+        self.record_end(request, true);
         self.upstreams.tell(*upstream, UpstreamWord::Answered);
         if self.plan.counts_tokens {
             let (organisation, tier) = (request.organisation, request.tier);
@@ -136,18 +149,19 @@
                 }
             });
         }
-        self.learn_run(request.cost, time);
-        if running.was_bound {
+        self.update_mean_run(request.cost, time);
+        if running.was_limited {
             self.upstreams.update(*upstream, |status| status.limit.succeeded(request.cost));
         }
     }
 
     /// Updates the mean run time, weighted by cost as Little's law on tokens requires.
-    pub(super) fn learn_run(&mut self, cost: u32, time: Duration) {
-        let weight = COST_WEIGHT * (f64::from(cost) / self.mean_cost).min(4.0);
-        self.mean_cost += (f64::from(cost) - self.mean_cost) * COST_WEIGHT;
+    pub(super) fn update_mean_run(&mut self, cost: u32, time: Duration) {
+        let weight = COST_SAMPLE_WEIGHT * (f64::from(cost) / self.mean_cost).min(4.0);
+        self.mean_cost += (f64::from(cost) - self.mean_cost) * COST_SAMPLE_WEIGHT;
         let sample = time.as_secs_f64();
-        self.mean_run = Some(self.mean_run.map_or(sample, |mean| mean + (sample - mean) * weight));
+        self.mean_run_seconds =
+            Some(self.mean_run_seconds.map_or(sample, |mean| mean + (sample - mean) * weight));
     }
 
     /// Requeues a request whose dispatch provably sent no byte, so a second dispatch preserves
@@ -161,13 +175,14 @@
         actions: &mut Vec<PoolAction>,
     ) {
         self.upstreams.tell(upstream, UpstreamWord::Unreachable);
-        let can_try =
-            self.redispatches >= 1.0 && self.upstreams.live_count() > 0 && now < request.deadline;
-        if can_try {
-            self.redispatches -= 1.0;
+        let may_retry = self.redispatch_budget >= 1.0
+            && self.upstreams.live_count() > 0
+            && now < request.deadline;
+        if may_retry {
+            self.redispatch_budget -= 1.0;
             self.queue.push_back_first(request);
         } else {
-            self.count_end(&request, false);
+            self.record_end(&request, false);
             actions
                 .push(PoolAction::Refuse { id: request.id, kind: AnswerKind::UpstreamUnreachable });
         }
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -8,7 +8,7 @@
 
 pub use events::{ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent};
 pub use plan::PoolPlan;
-use reservations::ReservationPace;
+use reservations::ReservationLimiter;
 
 use super::{
     CostModel, CrowdMeter, DrainMeter, EngineSpeed, FirstEventModel, Mechanism, Moment,
@@ -27,27 +27,27 @@
 /// Upper bound on accumulated redispatches.
 const REDISPATCH_BURST: f64 = 20.0;
 /// Consecutive requests to skip because no upstream with room suits them.
-const MOST_PASSED_OVER: usize = 8;
+const MAX_SKIPPED_REQUESTS: usize = 8;
 /// Lower bound on the run time, which prevents a division by zero.
-const LEAST_RUN_SECONDS: f64 = 1e-4;
+const MIN_RUN_SECONDS: f64 = 1e-4;
 /// Time between straggler checks.
-const JUDGE_PAUSE: Duration = Duration::from_millis(500);
+const STRAGGLER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct RunningRequest {
     request: WaitingRequest,
     upstream: UpstreamIndex,
     /// True if the upstream's limit, rather than demand, was the bottleneck at dispatch.
-    was_bound: bool,
-    dispatched: Moment,
+    was_limited: bool,
+    dispatched_at: Moment,
     /// Prompt tokens that the upstream is not yet known to have prefilled.
-    unread: u32,
+    unread_tokens: u32,
     /// Prompt tokens to prefill before the first event, this request's included.
-    ahead: u64,
+    tokens_ahead: u64,
     /// Estimated slowdown of the upstream relative to the pool, at dispatch.
     slowness: f64,
     /// True until the upstream grants or refuses the slot reservation.
-    is_asking: bool,
+    is_reserving: bool,
 }
 
 /// Pool counters for status pages and metrics.
@@ -73,45 +73,45 @@
     model: CostModel,
     first_events: FirstEventModel,
     floor: ShedFloor,
-    audit: ShedAudit,
+    shed_audit: ShedAudit,
     running: HashMap<RequestId, RunningRequest>,
     mean_cost: f64,
-    mean_run: Option<f64>,
-    meter: DrainMeter,
-    redispatches: f64,
-    judged_at: Moment,
-    reservations: ReservationPace,
+    mean_run_seconds: Option<f64>,
+    drain_meter: DrainMeter,
+    redispatch_budget: f64,
+    stragglers_checked_at: Moment,
+    reservations: ReservationLimiter,
     others_waiting: OthersWaiting,
-    shares: SizeShares,
+    size_shares: SizeShares,
     /// Queue lengths inside the upstreams of a plain service.
-    crowd: CrowdMeter,
+    upstream_queues: CrowdMeter,
 }
 
 impl PoolScheduler {
     /// Creates a scheduler with no upstreams and an empty queue.
     pub fn new(plan: PoolPlan) -> Self {
         let mut floor = ShedFloor::default();
-        floor.set_ranks(plan.ranks());
+        floor.set_ranks(plan.tier_ranks());
         let mut upstreams = UpstreamSet::default();
         upstreams.set_headroom(plan.headroom());
         PoolScheduler {
-            queue: plan.queue(),
+            queue: plan.new_queue(),
             placement: placement_policy(plan.placement),
             upstreams,
             model: CostModel::new(plan.counts_tokens),
             first_events: FirstEventModel::default(),
             floor,
-            audit: ShedAudit::default(),
+            shed_audit: ShedAudit::default(),
             running: HashMap::new(),
-            mean_cost: plan.mean_cost(),
-            mean_run: None,
-            meter: DrainMeter::default(),
-            redispatches: REDISPATCH_BURST,
-            judged_at: Moment(0),
-            reservations: ReservationPace::default(),
+            mean_cost: plan.initial_mean_cost(),
+            mean_run_seconds: None,
+            drain_meter: DrainMeter::default(),
+            redispatch_budget: REDISPATCH_BURST,
+            stragglers_checked_at: Moment(0),
+            reservations: ReservationLimiter::default(),
             others_waiting: OthersWaiting::default(),
-            shares: SizeShares::default(),
-            crowd: CrowdMeter::default(),
+            size_shares: SizeShares::default(),
+            upstream_queues: CrowdMeter::default(),
             plan,
         }
     }
@@ -125,29 +125,29 @@
         actions: &mut Vec<PoolAction>,
     ) {
         match event {
-            PoolEvent::Arrived(request) => self.arrived(request, now, rng, actions),
+            PoolEvent::Arrived(request) => self.handle_arrival(request, now, rng, actions),
             PoolEvent::CallerLeft(id) => {
                 if let Some(request) = self.queue.remove(id) {
-                    self.count_end(&request, false);
+                    self.record_end(&request, false);
                 }
             }
-            PoolEvent::Granted(id) => self.granted(id),
-            PoolEvent::FirstToken { id, after } => self.first_token(id, after, now),
-            PoolEvent::TokenGap { id, gap } => self.token_gap(id, gap, now),
-            PoolEvent::Ended { id, outcome } => self.ended(id, outcome, now, actions),
+            PoolEvent::Granted(id) => self.handle_grant(id),
+            PoolEvent::FirstToken { id, after } => self.handle_first_token(id, after, now),
+            PoolEvent::TokenGap { id, gap } => self.handle_token_gap(id, gap, now),
+            PoolEvent::Ended { id, outcome } => self.handle_end(id, outcome, now, actions),
             PoolEvent::Reported { upstream, report } => {
-                self.note_crowd(upstream, report.queued, now);
+                self.record_upstream_queue(upstream, report.queued, now);
                 self.upstreams.reported(upstream, report, now)
             }
             PoolEvent::Word { upstream, word } => self.upstreams.tell(upstream, word),
             PoolEvent::CacheEvicted { upstream, block } => self.placement.evicted(block, upstream),
             PoolEvent::Sources(sources) => {
                 let plan = &self.plan;
-                self.upstreams.set_sources(&sources, |places| plan.limit_of(places))
+                self.upstreams.set_sources(&sources, |places| plan.initial_limit(places))
             }
             PoolEvent::Born { upstream, incarnation } => {
                 let plan = &self.plan;
-                self.upstreams.born(upstream, incarnation, |places| plan.limit_of(places))
+                self.upstreams.born(upstream, incarnation, |places| plan.initial_limit(places))
             }
             PoolEvent::Plan(plan) => self.replace_plan(plan),
             PoolEvent::Share { share } => self.upstreams.set_share(share),
@@ -163,7 +163,7 @@
             }
             PoolEvent::Tick => self.tick(now, actions),
         }
-        self.pump(now, rng, actions);
+        self.dispatch_waiting(now, rng, actions);
     }
 
     /// Applies a new plan. Waiting requests keep their positions as far as the new queue order
@@ -180,35 +180,38 @@
             || plan.mechanisms != self.plan.mechanisms
         {
             let waiting = self.queue.drain();
-            self.queue = plan.queue();
+            self.queue = plan.new_queue();
             waiting.into_iter().for_each(|request| self.queue.push(request));
         }
         if plan.limit != self.plan.limit || plan.first_guess != self.plan.first_guess {
-            self.upstreams.update_all(|status| status.limit = plan.limit_of(status.source.places));
+            self.upstreams
+                .update_all(|status| status.limit = plan.initial_limit(status.source.places));
         }
         self.upstreams.set_headroom(plan.headroom());
         self.plan = plan;
-        self.floor.set_ranks(self.plan.ranks());
+        self.floor.set_ranks(self.plan.tier_ranks());
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
         while let Some(request) = self.queue.pop_late(now) {
             match self.plan.queue {
                 QueueChoice::Weighted => {
-                    self.shed(request, AnswerKind::DeadlineWaiting, now, actions)
+                    self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions)
                 }
-                QueueChoice::Urgency => self.look_at_late(request, now, actions),
+                QueueChoice::Urgency => self.recheck_late(request, now, actions),
                 QueueChoice::Fifo => {
-                    self.refuse_shed(&request, AnswerKind::DeadlineWaiting, now, actions);
+                    self.shed_now(&request, AnswerKind::DeadlineWaiting, now, actions);
                 }
             }
         }
         self.upstreams.reopen(now);
         let progress = self.plan.tiers.iter().map(|share| self.queue.progress(share.rank));
-        self.meter.tick(progress, now);
+        self.drain_meter.tick(progress, now);
         self.floor.relax(now);
-        if self.plan.avoids_stragglers && now.since(self.judged_at) >= JUDGE_PAUSE {
-            self.judged_at = now;
+        if self.plan.avoids_stragglers
+            && now.since(self.stragglers_checked_at) >= STRAGGLER_CHECK_INTERVAL
+        {
+            self.stragglers_checked_at = now;
             self.upstreams.judge_stragglers();
         }
         if self.upstreams.live_count() == 0
@@ -219,26 +222,33 @@
     }
 
     /// Dispatches waiting requests while any upstream has room.
-    fn pump(&mut self, now: Moment, rng: &mut dyn RngCore, actions: &mut Vec<PoolAction>) {
+    fn dispatch_waiting(
+        &mut self,
+        now: Moment,
+        rng: &mut dyn RngCore,
+        actions: &mut Vec<PoolAction>,
+    ) {
         // Only the queue ordered by value per cost can take back a request without disturbing the
         // order of the rest.
-        let most = if self.plan.sheds_alone { MOST_PASSED_OVER } else { 1 };
-        let mut passed_over = Vec::new();
-        while let Some(lowest) = self.lowest_served().filter(|_| self.reservations.may_try(now)) {
+        let max_skipped = if self.plan.sheds_alone { MAX_SKIPPED_REQUESTS } else { 1 };
+        let mut skipped = Vec::new();
+        while let Some(lowest) =
+            self.lowest_tier_with_room().filter(|_| self.reservations.may_reserve(now))
+        {
             let Some(request) = self.queue.pop(lowest, now) else { break };
-            if self.leaves_places(&request, now) {
-                passed_over.push(request);
+            if self.has_to_yield(&request, now) {
+                skipped.push(request);
                 break;
             }
-            match self.place(&request, now, rng) {
+            match self.choose_upstream(&request, now, rng) {
                 Some(upstream) => self.dispatch(request, upstream, now, actions),
-                None => passed_over.push(request),
+                None => skipped.push(request),
             }
-            if passed_over.len() >= most {
+            if skipped.len() >= max_skipped {
                 break;
             }
         }
-        passed_over.into_iter().for_each(|request| self.queue.push_back_first(request));
+        skipped.into_iter().for_each(|request| self.queue.push_back_first(request));
     }
 
     /// Returns whether a request must leave free slots to requests of higher value.
@@ -247,9 +257,9 @@
     /// are expected to free up before those daemons report again. Otherwise, after a burst, late
     /// requests of some daemons take slots while requests of other daemons become late. Requests
     /// still in time are exempt: the group order alone would starve the lowest lanes.
-    fn leaves_places(&mut self, request: &WaitingRequest, now: Moment) -> bool {
+    fn has_to_yield(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         let is_in_time = now <= request.start_by;
-        if !is_in_time && self.leaves_queues(now) {
+        if !is_in_time && self.has_long_upstream_queues(now) {
             return true;
         }
         let has_order = self.plan.reserves && self.plan.mechanisms.has(Mechanism::GroupOrder);
@@ -258,20 +268,20 @@
         }
         let Some(level) = self.queue.level(request, now) else { return false };
         let before = self.others_waiting.levels.above(level);
-        f64::from(before) > self.freed_places(self.others_waiting.age)
+        f64::from(before) > self.expected_free_slots(self.others_waiting.age)
     }
 
     /// Returns whether the upstreams of a plain service have long queues. A late request sent there
     /// would make requests late that are still in time.
-    fn leaves_queues(&self, now: Moment) -> bool {
+    fn has_long_upstream_queues(&self, now: Moment) -> bool {
         !self.plan.counts_tokens
             && self.plan.sheds_alone
             && self.plan.mechanisms.has(Mechanism::LateWait)
-            && self.crowd.is_crowded(now)
+            && self.upstream_queues.is_crowded(now)
     }
 
     /// Expected number of the group's upstream slots that free up within `time`, by Little's law.
-    fn freed_places(&self, time: Duration) -> f64 {
+    fn expected_free_slots(&self, time: Duration) -> f64 {
         let home = self.upstreams.iter().filter(|status| status.is_home);
         let running: u32 = home.map(|status| status.in_flight + status.others.requests).sum();
         f64::from(running) / self.run_seconds() * time.as_secs_f64()
@@ -281,7 +291,7 @@
     pub(super) fn run_seconds(&self) -> f64 {
         let output = if self.plan.counts_tokens { self.model.mean_output() } else { 1.0 };
         let estimated = output * self.model.speed().gap_micros / 1e6;
-        self.mean_run.unwrap_or(estimated).max(LEAST_RUN_SECONDS)
+        self.mean_run_seconds.unwrap_or(estimated).max(MIN_RUN_SECONDS)
     }
 
     /// Numbers of waiting requests by value per cost.
@@ -294,7 +304,7 @@
         &self.others_waiting
     }
 
-    fn place(
+    fn choose_upstream(
         &mut self,
         request: &WaitingRequest,
         now: Moment,
@@ -305,18 +315,18 @@
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
             speed: self.speed(),
-            room: self.room(request.tier),
+            room: self.room_kind(request.tier),
             event_tokens: self.plan.event_tokens,
             pause: request.pause,
             left: request.deadline.since(now),
-            fit: self.fit(request, now),
+            fit: self.required_fit(request, now),
             now,
         };
         self.placement.place(&self.upstreams, &query, rng)
     }
 
     /// Returns how well an upstream must suit the request for it to be dispatched now.
-    fn fit(&self, request: &WaitingRequest, now: Moment) -> PlaceFit {
+    fn required_fit(&self, request: &WaitingRequest, now: Moment) -> PlaceFit {
         if !self.plan.mechanisms.has(Mechanism::FitPlaces) {
             return PlaceFit::Any;
         }
@@ -329,19 +339,19 @@
     /// Engine speed of the pool, as learned so far.
     pub(super) fn speed(&self) -> EngineSpeed {
         let speed = self.model.speed();
-        if !self.knows_first_events() {
+        if !self.has_first_event_model() {
             return speed;
         }
         EngineSpeed { prefill_micros: self.first_events.slope_micros(), ..speed }
     }
 
     /// Returns whether time to first event is modelled as a base plus a time per prompt token.
-    pub(super) fn knows_first_events(&self) -> bool {
+    pub(super) fn has_first_event_model(&self) -> bool {
         self.plan.sheds_alone && self.plan.mechanisms.has(Mechanism::FirstEvents)
     }
 
     /// Lowest tier for which some upstream has room; `None` if all are full.
-    fn lowest_served(&self) -> Option<TierRank> {
+    fn lowest_tier_with_room(&self) -> Option<TierRank> {
         if !self.upstreams.open(RoomKind::Usual).is_empty() {
             return Some(TierRank(u8::MAX));
         }
@@ -349,7 +359,7 @@
         highest.filter(|_| !self.upstreams.open(RoomKind::Highest).is_empty())
     }
 
-    fn room(&self, tier: TierRank) -> RoomKind {
+    fn room_kind(&self, tier: TierRank) -> RoomKind {
         match self.plan.tiers.first() {
             Some(highest) if tier <= highest.rank => RoomKind::Highest,
             _ => RoomKind::Usual,
@@ -365,26 +375,26 @@
     ) {
         self.placement.dispatched(&request.prefix, upstream);
         self.upstreams.dispatched(upstream, request.cost, now);
-        let unread = request.prompt_tokens;
-        let (ahead, slowness) = self.ahead_of(upstream, unread);
-        self.upstreams.update(upstream, |status| status.unread_tokens += u64::from(unread));
-        self.meter.dispatched(request.tier, request.cost);
-        self.redispatches = (self.redispatches + REDISPATCH_SHARE).min(REDISPATCH_BURST);
+        let unread_tokens = request.prompt_tokens;
+        let (tokens_ahead, slowness) = self.prefill_ahead(upstream, unread_tokens);
+        self.upstreams.update(upstream, |status| status.unread_tokens += u64::from(unread_tokens));
+        self.drain_meter.dispatched(request.tier, request.cost);
+        self.redispatch_budget = (self.redispatch_budget + REDISPATCH_SHARE).min(REDISPATCH_BURST);
         actions.push(PoolAction::Dispatch { id: request.id, upstream });
-        let was_bound = !self.queue.is_empty()
+        let was_limited = !self.queue.is_empty()
             || self.upstreams.get(upstream).is_some_and(|status| status.load() > 0.8);
-        let is_asking = self.plan.reserves;
-        if is_asking {
-            self.reservations.asked();
+        let is_reserving = self.plan.reserves;
+        if is_reserving {
+            self.reservations.record_request();
         }
         let running = RunningRequest {
             upstream,
-            was_bound,
-            dispatched: now,
-            unread,
-            ahead,
+            was_limited,
+            dispatched_at: now,
+            unread_tokens,
+            tokens_ahead,
             slowness,
-            is_asking,
+            is_reserving,
             request,
         };
         self.running.insert(running.request.id, running);
@@ -392,7 +402,7 @@
 
     /// Prompt tokens that an upstream must prefill before the first event of a request dispatched
     /// now, and the upstream's slowdown.
-    fn ahead_of(&self, upstream: UpstreamIndex, own: u32) -> (u64, f64) {
+    fn prefill_ahead(&self, upstream: UpstreamIndex, own: u32) -> (u64, f64) {
         let Some(status) = self.upstreams.get(upstream) else { return (u64::from(own), 1.0) };
         (status.all_unread() + u64::from(own), self.slowness(upstream))
     }
@@ -406,7 +416,7 @@
 
     fn refuse_waiting(&mut self, kind: AnswerKind, actions: &mut Vec<PoolAction>) {
         for request in self.queue.drain() {
-            self.count_end(&request, false);
+            self.record_end(&request, false);
             actions.push(PoolAction::Refuse { id: request.id, kind });
         }
     }
@@ -423,7 +433,7 @@
 
     /// Violations of the shedding order; nonzero only through a bug or if the queue has no tiers.
     pub fn order_breaks(&self) -> u64 {
-        self.audit.breaks()
+        self.shed_audit.breaks()
     }
 
     /// Shed floor that this daemon guarantees to keep until the next order.
--- a/src/policy/scheduler/plan.rs
+++ b/src/policy/scheduler/plan.rs
@@ -11,9 +11,9 @@
 /// engine that has just finished a request has room, so the rare, long requests of the highest tier
 /// go there and recompute their prompts. The symptom is wasted prefill that is low at low load and
 /// as high as without affinity at high load.
-const HEADROOM: f64 = 0.15;
+const HIGHEST_TIER_HEADROOM: f64 = 0.15;
 /// Initial estimate of the mean cost of a model request, in tokens.
-const FIRST_MEAN_COST: f64 = 512.0;
+const INITIAL_MEAN_COST_TOKENS: f64 = 512.0;
 
 /// Scheduler configuration of one pool, derived from the table.
 #[derive(Clone, Debug, PartialEq)]
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn queue(&self) -> Box<dyn WaitingQueue> {
+    pub(super) fn new_queue(&self) -> Box<dyn WaitingQueue> {
         match self.queue {
             QueueChoice::Weighted => Box::new(FairQueue::new(&self.tiers)),
             QueueChoice::Fifo => Box::new(FifoQueue::default()),
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(super) fn ranks(&self) -> Vec<TierRank> {
+    pub(super) fn tier_ranks(&self) -> Vec<TierRank> {
         self.tiers.iter().map(|share| share.rank).collect()
     }
 
@@ -103,18 +103,18 @@
     pub(super) fn headroom(&self) -> f64 {
         let has_choice = self.placement == PlacementChoice::Affinity;
         let has_tiers = self.queue == QueueChoice::Weighted && self.tiers.len() > 1;
-        if has_choice && has_tiers && self.keeps_headroom { HEADROOM } else { 0.0 }
+        if has_choice && has_tiers && self.keeps_headroom { HIGHEST_TIER_HEADROOM } else { 0.0 }
     }
 
-    pub(super) fn mean_cost(&self) -> f64 {
-        if self.counts_tokens { FIRST_MEAN_COST } else { 1.0 }
+    pub(super) fn initial_mean_cost(&self) -> f64 {
+        if self.counts_tokens { INITIAL_MEAN_COST_TOKENS } else { 1.0 }
     }
 
     /// Initial limit of an upstream; `places` is its number of concurrent requests, if known.
-    pub(super) fn limit_of(&self, places: Option<u32>) -> LearnedLimit {
+    pub(super) fn initial_limit(&self, places: Option<u32>) -> LearnedLimit {
         LearnedLimit::new(
             places.unwrap_or(self.first_guess),
-            self.mean_cost(),
+            self.initial_mean_cost(),
             self.limit == LimitChoice::Learned,
         )
     }
