--- a/src/answer/mod.rs
+++ b/src/answer/mod.rs
@@ -112,9 +112,9 @@
     pub title: &'static str,
 }
 
-const SECOND: RetryHint = RetryHint::After(Duration::from_secs(1));
-const SHORTLY: RetryHint = RetryHint::After(Duration::from_secs(2));
-const LATER: RetryHint = RetryHint::After(Duration::from_secs(5));
+const RETRY_IN_1S: RetryHint = RetryHint::After(Duration::from_secs(1));
+const RETRY_IN_2S: RetryHint = RetryHint::After(Duration::from_secs(2));
+const RETRY_IN_5S: RetryHint = RetryHint::After(Duration::from_secs(5));
 
 macro_rules! answer_rows {
     ($($kind:ident $name:literal $status:literal $ran:ident $retry:expr, $shed:literal, $title:literal;)*) => {
@@ -140,29 +140,29 @@
     NotAllowed "not-allowed" 403 No RetryHint::Never, false, "The organisation may not use this service";
     ServiceUnknown "service-unknown" 404 No RetryHint::Never, false, "No such service";
     BodyTooLarge "body-too-large" 413 No RetryHint::Never, false, "The body is too large";
-    RateLimited "rate-limited" 429 No SECOND, false, "The organisation's token rate is used up";
-    ConcurrencyLimited "concurrency-limited" 429 No SECOND, false, "The organisation has too many requests in progress";
-    Overloaded "overloaded" 503 No SHORTLY, true, "The pool has no room for this tier";
-    Evicted "evicted" 503 No SHORTLY, true, "Removed from the queue for a higher tier";
-    DeadlineWaiting "deadline-waiting" 503 No SHORTLY, true, "The deadline cannot be met by waiting";
+    RateLimited "rate-limited" 429 No RETRY_IN_1S, false, "The organisation's token rate is used up";
+    ConcurrencyLimited "concurrency-limited" 429 No RETRY_IN_1S, false, "The organisation has too many requests in progress";
+    Overloaded "overloaded" 503 No RETRY_IN_2S, true, "The pool has no room for this tier";
+    Evicted "evicted" 503 No RETRY_IN_2S, true, "Removed from the queue for a higher tier";
+    DeadlineWaiting "deadline-waiting" 503 No RETRY_IN_2S, true, "The deadline cannot be met by waiting";
     DeadlineTooShort "deadline-too-short" 422 No RetryHint::Never, false, "The deadline is shorter than the work takes";
-    UpstreamAbsent "upstream-absent" 503 No LATER, false, "The service has no live upstream";
-    TableStale "table-stale" 503 No SECOND, false, "This daemon cannot confirm its table";
-    Draining "draining" 503 No SECOND, false, "This daemon is shutting down";
-    UpstreamUnreachable "upstream-unreachable" 503 No SECOND, false, "No upstream could be reached";
-    UpstreamRefused "upstream-refused" 503 No SECOND, false, "No upstream took the request";
-    UpstreamLost "upstream-lost" 502 Unknown SECOND, false, "The upstream ended without an answer";
-    UpstreamTruncated "upstream-truncated" 502 Unknown SECOND, false, "The upstream's answer was cut short";
-    UpstreamCrossed "upstream-crossed" 502 Unknown SECOND, false, "The upstream answered another request";
-    UpstreamSilent "upstream-silent" 504 Unknown SECOND, false, "The upstream fell silent";
-    DeadlineRunning "deadline-running" 504 Unknown SECOND, false, "The deadline passed while the work ran";
+    UpstreamAbsent "upstream-absent" 503 No RETRY_IN_5S, false, "The service has no live upstream";
+    TableStale "table-stale" 503 No RETRY_IN_1S, false, "This daemon cannot confirm its table";
+    Draining "draining" 503 No RETRY_IN_1S, false, "This daemon is shutting down";
+    UpstreamUnreachable "upstream-unreachable" 503 No RETRY_IN_1S, false, "No upstream could be reached";
+    UpstreamRefused "upstream-refused" 503 No RETRY_IN_1S, false, "No upstream took the request";
+    UpstreamLost "upstream-lost" 502 Unknown RETRY_IN_1S, false, "The upstream ended without an answer";
+    UpstreamTruncated "upstream-truncated" 502 Unknown RETRY_IN_1S, false, "The upstream's answer was cut short";
+    UpstreamCrossed "upstream-crossed" 502 Unknown RETRY_IN_1S, false, "The upstream answered another request";
+    UpstreamSilent "upstream-silent" 504 Unknown RETRY_IN_1S, false, "The upstream fell silent";
+    DeadlineRunning "deadline-running" 504 Unknown RETRY_IN_1S, false, "The deadline passed while the work ran";
     ClaimMismatch "claim-mismatch" 422 No RetryHint::Never, false, "The idempotency key was used with another body";
-    ClaimRunning "claim-running" 409 Unknown SECOND, false, "The first request with this key is in progress";
+    ClaimRunning "claim-running" 409 Unknown RETRY_IN_1S, false, "The first request with this key is in progress";
     ClaimUnknown "claim-unknown" 409 Unknown RetryHint::Never, false, "The first request with this key may have run";
     ClaimAnswered "claim-answered" 409 Yes RetryHint::Never, false, "The first request with this key was answered, and its answer is not kept";
-    ClaimUnavailable "claim-unavailable" 503 No SECOND, false, "The claim could not be recorded";
-    Quarantined "quarantined" 503 No LATER, false, "Held back: upstreams ended while they ran this request";
-    Internal "internal" 500 No SECOND, false, "A fault of this daemon";
+    ClaimUnavailable "claim-unavailable" 503 No RETRY_IN_1S, false, "The claim could not be recorded";
+    Quarantined "quarantined" 503 No RETRY_IN_5S, false, "Held back: upstreams ended while they ran this request";
+    Internal "internal" 500 No RETRY_IN_1S, false, "A fault of this daemon";
 }
 
 impl AnswerKind {
@@ -207,25 +207,30 @@
     /// Explanation specific to this refusal.
     pub detail: String,
     /// Default `Retry-After` value, in whole seconds.
-    pub retry_seconds: Option<u64>,
+    pub default_retry_seconds: Option<u64>,
     /// Computed `Retry-After` value, which takes precedence; may include fractions of a second.
-    pub retry_after: Option<Duration>,
+    pub computed_retry_after: Option<Duration>,
 }
 
 impl RefusalAnswer {
     /// Creates a refusal of `kind`. `jitter`, in 0.0..1.0, spreads the retry delay so that callers
     /// refused together do not retry together.
     pub fn new(kind: AnswerKind, detail: impl Into<String>, jitter: f64) -> Self {
-        let retry_seconds = match kind.row().retry {
+        let default_retry_seconds = match kind.row().retry {
             RetryHint::Never => None,
-            RetryHint::After(base) => Some(spread_seconds(base, jitter)),
+            RetryHint::After(base) => Some(jittered_seconds(base, jitter)),
         };
-        RefusalAnswer { kind, detail: detail.into(), retry_seconds, retry_after: None }
+        RefusalAnswer {
+            kind,
+            detail: detail.into(),
+            default_retry_seconds,
+            computed_retry_after: None,
+        }
     }
 
     /// Sets a computed retry delay, which overrides the default of the kind.
     pub fn returning_within(mut self, time: Option<Duration>) -> Self {
-        self.retry_after = time;
+        self.computed_retry_after = time;
         self
     }
 
@@ -254,10 +259,10 @@
         if let Ok(value) = HeaderValue::from_str(request_id) {
             headers.insert(REQUEST_ID_HEADER, value);
         }
-        let exact = self.retry_after.map(|time| format!("{:.1}", time.as_secs_f64()));
-        if let Some(value) = exact.and_then(|text| HeaderValue::from_str(&text).ok()) {
+        let computed = self.computed_retry_after.map(|time| format!("{:.1}", time.as_secs_f64()));
+        if let Some(value) = computed.and_then(|text| HeaderValue::from_str(&text).ok()) {
             headers.insert(header::RETRY_AFTER, value);
-        } else if let Some(seconds) = self.retry_seconds {
+        } else if let Some(seconds) = self.default_retry_seconds {
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
         response
@@ -265,7 +270,7 @@
 }
 
 /// Returns one to three times `base`, by `jitter`, in whole seconds and at least one second.
-fn spread_seconds(base: Duration, jitter: f64) -> u64 {
+fn jittered_seconds(base: Duration, jitter: f64) -> u64 {
     let spread = base.as_secs_f64() * (1.0 + 2.0 * jitter.clamp(0.0, 1.0));
     (spread.round() as u64).max(1)
 }
