--- a/src/chart/mod.rs
+++ b/src/chart/mod.rs
@@ -21,7 +21,7 @@
 #[serde(untagged, bound(deserialize = "S: ChartName, A: ChartName"))]
 pub enum ChartStep<S, A> {
     /// The literal `"ignore"`: the event is expected in this state and has no effect.
-    Ignore(IgnoreWord),
+    Ignore(IgnoreLiteral),
     /// Transition to state `to` and perform the actions in order.
     Move {
         /// Target state.
@@ -35,7 +35,7 @@
 /// The literal `"ignore"`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum IgnoreWord {
+pub enum IgnoreLiteral {
     /// The event has no effect.
     Ignore,
 }
@@ -112,19 +112,19 @@
     }
 
     fn reachable(&self) -> BTreeSet<S> {
-        let mut reached = BTreeSet::from([self.initial]);
-        let mut open = vec![self.initial];
-        while let Some(state) = open.pop() {
+        let mut visited = BTreeSet::from([self.initial]);
+        let mut pending = vec![self.initial];
+        while let Some(state) = pending.pop() {
             let steps = self.states.get(&state).into_iter().flat_map(|events| events.values());
             for step in steps {
                 if let ChartStep::Move { to, .. } = step
-                    && reached.insert(*to)
+                    && visited.insert(*to)
                 {
-                    open.push(*to);
+                    pending.push(*to);
                 }
             }
         }
-        reached
+        visited
     }
 
     /// Creates a machine in `state`, to continue a stored one.
