--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -154,23 +154,25 @@
 }
 
 /// Lifetime, in milliseconds, of the record of a claim withdrawn before its acquisition arrived.
-const WITHDRAWN_LIFE: u64 = 600_000;
+const WITHDRAWN_TTL_MS: u64 = 600_000;
 /// Maximum number of expired records removed per command, to bound the time a command takes.
-const EXPIRED_AT_ONCE: usize = 16;
+const MAX_EXPIRED_PER_COMMAND: usize = 16;
 
 impl ClaimBook {
     /// Applies a command. Deterministic, so that all replicas reach the same state.
     pub fn apply(&mut self, command: &ClaimCommand) -> ClaimReply {
         match command {
             ClaimCommand::Take { key, digest, owner, at, life } => {
-                self.expire(*at);
-                self.take(key, digest, owner, at.saturating_add(*life))
+                self.remove_expired(*at);
+                self.acquire(key, digest, owner, at.saturating_add(*life))
+            }
+            ClaimCommand::Settle { key, owner, outcome } => {
+                self.record_outcome(key, owner, outcome)
             }
-            ClaimCommand::Settle { key, owner, outcome } => self.settle(key, owner, outcome),
         }
     }
 
-    fn take(
+    fn acquire(
         &mut self,
         key: &ClaimKey,
         digest: &str,
@@ -205,21 +207,26 @@
             state: ClaimState::Running,
             expires,
         };
-        self.put(key, record);
+        self.insert_record(key, record);
         ClaimReply::Granted
     }
 
-    fn put(&mut self, key: &ClaimKey, record: ClaimRecord) {
+    fn insert_record(&mut self, key: &ClaimKey, record: ClaimRecord) {
         let expires = record.expires;
-        if let Some(old) = self.records.insert(key.clone(), record) {
-            self.expiry.remove(&(old.expires, key.clone()));
+        if let Some(replaced) = self.records.insert(key.clone(), record) {
+            self.expiry.remove(&(replaced.expires, key.clone()));
         }
         self.expiry.insert((expires, key.clone()));
     }
 
     /// Records an outcome. Only the owner may do so: a delayed command of an earlier owner has no
     /// effect.
-    fn settle(&mut self, key: &ClaimKey, owner: &ClaimOwner, outcome: &ClaimOutcome) -> ClaimReply {
+    fn record_outcome(
+        &mut self,
+        key: &ClaimKey,
+        owner: &ClaimOwner,
+        outcome: &ClaimOutcome,
+    ) -> ClaimReply {
         let state = match outcome {
             ClaimOutcome::Answered(answer) => ClaimState::Answered(answer.clone()),
             ClaimOutcome::Unknown => ClaimState::Unknown,
@@ -229,14 +236,14 @@
             Some(record) if record.owner == *owner => record.state = state,
             Some(_) => {}
             None if *outcome == ClaimOutcome::NotRun => {
-                let newest = self.expiry.last().map_or(0, |(expires, _)| *expires);
+                let latest_expiry = self.expiry.last().map_or(0, |(expires, _)| *expires);
                 let record = ClaimRecord {
                     digest: String::new(),
                     owner: owner.clone(),
                     state,
-                    expires: newest + WITHDRAWN_LIFE,
+                    expires: latest_expiry + WITHDRAWN_TTL_MS,
                 };
-                self.put(key, record);
+                self.insert_record(key, record);
             }
             None => {}
         }
@@ -244,15 +251,15 @@
     }
 
     /// Removes a bounded number of expired records, whatever their state.
-    fn expire(&mut self, now: u64) {
-        let due: Vec<(u64, ClaimKey)> = self
+    fn remove_expired(&mut self, now: u64) {
+        let expired: Vec<(u64, ClaimKey)> = self
             .expiry
             .iter()
             .take_while(|(expires, _)| *expires <= now)
-            .take(EXPIRED_AT_ONCE)
+            .take(MAX_EXPIRED_PER_COMMAND)
             .cloned()
             .collect();
-        for (expires, key) in due {
+        for (expires, key) in expired {
             self.expiry.remove(&(expires, key.clone()));
             self.records.remove(&key);
         }
