--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -85,7 +85,7 @@
 fn refuse_without_lease(state: &TrafficState, pool: &PoolRuntime) {
     if !state.is_current() && pool.status().waiting > 0 {
         warn!(state.log, "lease ran out; refusing what waits"; "service" => pool.service.as_str());
-        pool.tell(PoolEvent::LeaseLapsed);
+        pool.tell(PoolEvent::LeaseExpired);
     }
 }
 
@@ -102,9 +102,9 @@
                 let (state, pool, path) = (Arc::clone(&state), Arc::clone(pool), path.clone());
                 tokio::spawn(async move {
                     let outcome = probe(&state, address, name.as_str(), path.as_deref()).await;
-                    if let Some(word) = word_of(outcome) {
-                        info!(state.log, "suspect upstream answers"; "upstream" => name.as_str(), "word" => format!("{word:?}"));
-                        pool.tell(PoolEvent::Word { upstream, word });
+                    if let Some(event) = word_of(outcome) {
+                        info!(state.log, "suspect upstream answers"; "upstream" => name.as_str(), "word" => format!("{event:?}"));
+                        pool.tell(PoolEvent::Lifecycle { upstream, event });
                     }
                 });
             }
@@ -145,9 +145,9 @@
     is_suspect: bool,
 ) {
     match pool.driver.report(address).await {
-        Some(report) => pool.tell(PoolEvent::Reported { upstream, report }),
+        Some(report) => pool.tell(PoolEvent::LoadReported { upstream, report }),
         None if is_suspect && pool.driver.probe(address).await => {
-            pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Answered });
+            pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamWord::Answered });
         }
         None => {}
     }
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -356,7 +356,7 @@
             for (engine, report) in reports.iter().enumerate() {
                 if let Some(report) = *report {
                     let upstream = UpstreamIndex(engine as u32);
-                    self.tell(daemon, PoolEvent::Reported { upstream, report });
+                    self.tell(daemon, PoolEvent::LoadReported { upstream, report });
                 }
             }
         }
@@ -431,7 +431,7 @@
     fn lose_work(&mut self, engine: usize) {
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
-            self.tell(number, PoolEvent::Word { upstream, word: UpstreamWord::Unreachable });
+            self.tell(number, PoolEvent::Lifecycle { upstream, event: UpstreamWord::Unreachable });
         }
         for request in 0..self.requests.len() {
             let running = &self.requests[request];
@@ -473,7 +473,7 @@
         self.engines[engine] = SimulatedEngine::new(self.plan.profile.shape);
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
-            self.tell(number, PoolEvent::Word { upstream, word: UpstreamWord::Answered });
+            self.tell(number, PoolEvent::Lifecycle { upstream, event: UpstreamWord::Answered });
         }
     }
 
--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -98,7 +98,7 @@
         gap: Duration,
     },
     /// An upstream reported its start time, which serves as its incarnation number.
-    Born {
+    IncarnationReported {
         /// Upstream concerned.
         upstream: UpstreamIndex,
         /// Incarnation number.
@@ -112,18 +112,18 @@
         outcome: DispatchOutcome,
     },
     /// An upstream reported its load.
-    Reported {
+    LoadReported {
         /// Upstream concerned.
         upstream: UpstreamIndex,
         /// Load report.
         report: LoadReport,
     },
     /// An event of an upstream's life cycle was observed.
-    Word {
+    Lifecycle {
         /// Upstream concerned.
         upstream: UpstreamIndex,
         /// Event of the upstream chart.
-        word: UpstreamWord,
+        event: UpstreamWord,
     },
     /// An upstream evicted a prefix block from its cache.
     CacheEvicted {
@@ -143,11 +143,11 @@
     },
     /// The lease on the table expired; the daemon may no longer act on it and refuses waiting
     /// requests.
-    LeaseLapsed,
+    LeaseExpired,
     /// The fleet's decision on the shed floor.
     FleetFloor(FloorOrder),
     /// Requests of the other daemons at each upstream and the upstream's speed, as last reported.
-    Others {
+    PeerLoad {
         /// Upstreams with new reports.
         rows: Vec<(UpstreamName, OthersWork)>,
         /// Group of daemons that this daemon belongs to.
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -135,28 +135,28 @@
             PoolEvent::FirstToken { id, after } => self.handle_first_token(id, after, now),
             PoolEvent::TokenGap { id, gap } => self.handle_token_gap(id, gap, now),
             PoolEvent::Ended { id, outcome } => self.handle_end(id, outcome, now, actions),
-            PoolEvent::Reported { upstream, report } => {
+            PoolEvent::LoadReported { upstream, report } => {
                 self.record_upstream_queue(upstream, report.queued, now);
                 self.upstreams.reported(upstream, report, now)
             }
-            PoolEvent::Word { upstream, word } => self.upstreams.tell(upstream, word),
+            PoolEvent::Lifecycle { upstream, event } => self.upstreams.tell(upstream, event),
             PoolEvent::CacheEvicted { upstream, block } => self.placement.evicted(block, upstream),
             PoolEvent::Sources(sources) => {
                 let plan = &self.plan;
                 self.upstreams.set_sources(&sources, |places| plan.initial_limit(places))
             }
-            PoolEvent::Born { upstream, incarnation } => {
+            PoolEvent::IncarnationReported { upstream, incarnation } => {
                 let plan = &self.plan;
                 self.upstreams.born(upstream, incarnation, |places| plan.initial_limit(places))
             }
             PoolEvent::Plan(plan) => self.replace_plan(plan),
             PoolEvent::Share { share } => self.upstreams.set_share(share),
-            PoolEvent::LeaseLapsed => self.refuse_waiting(AnswerKind::TableStale, actions),
+            PoolEvent::LeaseExpired => self.refuse_waiting(AnswerKind::TableStale, actions),
             PoolEvent::FleetFloor(order) => {
                 self.floor.take(order);
                 self.evict_below_floor(now, actions);
             }
-            PoolEvent::Others { rows, group, waiting } => {
+            PoolEvent::PeerLoad { rows, group, waiting } => {
                 self.upstreams.set_others(&rows, now);
                 self.upstreams.set_group(group);
                 self.others_waiting = waiting;
--- a/src/traffic/crash_check.rs
+++ b/src/traffic/crash_check.rs
@@ -118,13 +118,13 @@
 
 /// Tells the pool, so that no request of this daemon, and soon none of the others, is sent there for nothing.
 fn tell_pool(state: &TrafficState, upstream: &BrokenUpstream, fate: UpstreamFate) {
-    let word = match fate {
+    let event = match fate {
         UpstreamFate::LivesOn => return,
         UpstreamFate::Ended => UpstreamWord::Unreachable,
         UpstreamFate::Replaced => UpstreamWord::Leaving,
     };
     if let Some(pool) = state.version_pool(&upstream.service, upstream.version.as_ref()) {
-        pool.tell(PoolEvent::Word { upstream: upstream.index, word });
+        pool.tell(PoolEvent::Lifecycle { upstream: upstream.index, event });
     }
 }
 
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -318,7 +318,7 @@
                 self.exchange.on(ExchangeEvent::Opened, now);
                 let AnswerStream { head, pieces } = stream;
                 if let (Some(report), Some(upstream)) = (head.report, self.exchange.upstream()) {
-                    self.pool.tell(PoolEvent::Reported { upstream, report });
+                    self.pool.tell(PoolEvent::LoadReported { upstream, report });
                 }
                 let actions =
                     self.exchange.on(ExchangeEvent::Head { echo: head.echo.as_deref() }, now);
@@ -332,7 +332,8 @@
                     return self.exchange.on(ExchangeEvent::NotSent, now);
                 }
                 if let Some(upstream) = self.exchange.upstream() {
-                    self.pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Unreachable });
+                    self.pool
+                        .tell(PoolEvent::Lifecycle { upstream, event: UpstreamWord::Unreachable });
                 }
                 self.exchange.on(ExchangeEvent::Cut, now)
             }
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -260,7 +260,7 @@
             (changed_rows(&pool.service, upstreams, &others), is_changed)
         });
         if !rows.is_empty() || is_changed {
-            pool.tell(PoolEvent::Others { rows, group, waiting });
+            pool.tell(PoolEvent::PeerLoad { rows, group, waiting });
         }
     }
 }
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -197,7 +197,7 @@
     /// birth, if it came with the place, is taken first.
     pub fn is_still(&self, upstream: UpstreamIndex, incarnation: Option<u64>) -> bool {
         if let Some(incarnation) = incarnation {
-            self.tell(PoolEvent::Born { upstream, incarnation });
+            self.tell(PoolEvent::IncarnationReported { upstream, incarnation });
         }
         let core = self.lock();
         let status = core.scheduler.upstreams().get(upstream);
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -270,7 +270,7 @@
                 }
                 Reservation::Full => word = guard.requeue(DispatchOutcome::Crowded),
                 Reservation::Gone => {
-                    pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Leaving });
+                    pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamWord::Leaving });
                     word = guard.requeue(DispatchOutcome::Crowded);
                 }
                 Reservation::Unreachable => {
@@ -391,9 +391,9 @@
             Err(AttemptFault::NotSent(detail)) => {
                 count.sent -= 1;
                 info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
-                placed.pool.tell(PoolEvent::Word {
+                placed.pool.tell(PoolEvent::Lifecycle {
                     upstream: placed.upstream,
-                    word: UpstreamWord::Unreachable,
+                    event: UpstreamWord::Unreachable,
                 });
                 placed.guard.end(DispatchOutcome::Failed);
                 if request.time_left().is_zero() {
@@ -446,11 +446,11 @@
         check_upstream(&request.state, placed.broken_upstream(), broken);
     }
     if let AttemptFault::NotRun { load: Some(report), .. } = fault {
-        placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report: *report });
+        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report: *report });
     }
     if let AttemptFault::NotRun { is_other: true, .. } = fault {
-        let word = UpstreamWord::Leaving;
-        placed.pool.tell(PoolEvent::Word { upstream: placed.upstream, word });
+        let event = UpstreamWord::Leaving;
+        placed.pool.tell(PoolEvent::Lifecycle { upstream: placed.upstream, event });
     }
     if let AttemptFault::Broken(_) | AttemptFault::Lost(_) = fault {
         request.note_version(placed, AnswerCount::Failed);
@@ -516,7 +516,7 @@
 ) -> Answered {
     let status = answer.response.status();
     if let Some(report) = answer.facts.load {
-        placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report });
+        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report });
     }
     if request.route.kind.is_stream() && status.is_success() {
         request.stage = RequestStage::Answering;
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -259,7 +259,7 @@
             if is_leaving { ", leaving" } else { "" }
         ));
         let report = LoadReport { running, is_leaving, ..LoadReport::default() };
-        self.tell(PoolEvent::Reported { upstream: UpstreamIndex(upstream), report });
+        self.tell(PoolEvent::LoadReported { upstream: UpstreamIndex(upstream), report });
         self
     }
 
@@ -284,7 +284,7 @@
     /// The daemon's currency lease runs out.
     pub fn lease_lapsed(&mut self) -> &mut Self {
         self.note("currency lease ran out");
-        self.tell(PoolEvent::LeaseLapsed);
+        self.tell(PoolEvent::LeaseExpired);
         self
     }
 
--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -191,7 +191,7 @@
             let age = Duration::from_millis(WORD_AGE + PAUSE);
             let waiting = OthersWaiting { levels, age };
             let rows = work.into_iter().collect();
-            let event = PoolEvent::Others { rows, group: FleetGroup::default(), waiting };
+            let event = PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting };
             self.push(now + WORD_AGE, DueEvent::Hear { daemon, event });
         }
         self.push(now + PAUSE, DueEvent::Speak);
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -355,7 +355,7 @@
             let age = Duration::from_micros(WORD_AGE + PAUSE);
             let waiting = OthersWaiting { levels: others, age };
             let group = FleetGroup::default();
-            let event = PoolEvent::Others { rows: work.collect(), group, waiting };
+            let event = PoolEvent::PeerLoad { rows: work.collect(), group, waiting };
             self.push(now + WORD_AGE, DueEvent::Tell { daemon, event });
         }
         self.push(now + PAUSE, DueEvent::Speak);
--- a/tests/small_calls.rs
+++ b/tests/small_calls.rs
@@ -92,7 +92,7 @@
             }
             let report = report(upstream);
             let scheduler = &mut schedulers[call.daemon];
-            tell(scheduler, PoolEvent::Reported { upstream: index, report }, now, &mut rng);
+            tell(scheduler, PoolEvent::LoadReported { upstream: index, report }, now, &mut rng);
             let outcome = DispatchOutcome::Completed { prompt_tokens: None, output_tokens: 0 };
             let ended = PoolEvent::Ended { id: RequestId(id), outcome };
             let actions = tell(scheduler, ended, now, &mut rng);
@@ -215,7 +215,7 @@
                 }
                 let report = report(upstream);
                 let scheduler = &mut schedulers[call.daemon];
-                tell(scheduler, PoolEvent::Reported { upstream: index, report }, now, rng);
+                tell(scheduler, PoolEvent::LoadReported { upstream: index, report }, now, rng);
                 let ended = PoolEvent::Ended { id, outcome: DispatchOutcome::Failed };
                 open.extend(tell(scheduler, ended, now, rng));
                 refused.extend(calls.remove(&id.0));
--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -59,7 +59,7 @@
     let before = current(&pool).index;
 
     pool.tell(PoolEvent::Sources(vec![born(birth)]), 100);
-    pool.tell(PoolEvent::Born { upstream: before, incarnation: birth }, 110);
+    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: birth }, 110);
 
     let after = current(&pool);
     assert_eq!((after.index, after.source.incarnation, after.in_flight), (before, 5, 1));
@@ -72,10 +72,10 @@
     let mut pool = pool();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Born { upstream: before, incarnation: 9 }, 100);
+    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: 9 }, 100);
     let after = current(&pool).index;
     pool.tell(PoolEvent::Sources(vec![born(5)]), 200);
-    pool.tell(PoolEvent::Born { upstream: before, incarnation: 7 }, 210);
+    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: 7 }, 210);
 
     assert_ne!(after, before);
     assert_eq!((current(&pool).index, current(&pool).source.incarnation), (after, 9));
@@ -100,7 +100,7 @@
     let mut pool = BurstPool::new();
     pool.tell(PoolEvent::Sources(vec![born(5)]), 0);
     let index = current(&pool).index;
-    pool.tell(PoolEvent::Word { upstream: index, word: UpstreamWord::Leaving }, 10);
+    pool.tell(PoolEvent::Lifecycle { upstream: index, event: UpstreamWord::Leaving }, 10);
     pool.tell(PoolEvent::Sources(vec![born(5)]), 20);
     let refused = pool.arrive(1, 0, 30);
 
@@ -134,7 +134,7 @@
 fn an_upstream_that_is_not_known_is_not_born() {
     let mut pool = pool();
 
-    pool.tell(PoolEvent::Born { upstream: UpstreamIndex(99), incarnation: 9 }, 100);
+    pool.tell(PoolEvent::IncarnationReported { upstream: UpstreamIndex(99), incarnation: 9 }, 100);
 
     assert_eq!(pool.scheduler.upstreams().iter().count(), 1);
 }
--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -215,7 +215,7 @@
 
     for stamp in 1..=reports {
         let report = LoadReport { stamp, running: 8, queued: 4, ..LoadReport::default() };
-        pool.tell(PoolEvent::Reported { upstream: UpstreamIndex(0), report });
+        pool.tell(PoolEvent::LoadReported { upstream: UpstreamIndex(0), report });
     }
 
     let status = pool.scheduler.upstreams().get(UpstreamIndex(0)).expect("the engine");
--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -23,7 +23,10 @@
     let sources = (1..=count).map(|number| source(&format!("e{number:03}"), number)).collect();
     pool.tell(PoolEvent::Sources(sources), 0);
     let group = FleetGroup { index: 0, count: groups };
-    pool.tell(PoolEvent::Others { rows: Vec::new(), group, waiting: OthersWaiting::default() }, 0);
+    pool.tell(
+        PoolEvent::PeerLoad { rows: Vec::new(), group, waiting: OthersWaiting::default() },
+        0,
+    );
     pool
 }
 
@@ -60,7 +63,11 @@
     let mut pool = pool_of(2, 1);
     let rows = vec![("e001".into(), work(0, 24_000)), ("e002".into(), work(0, 6_000))];
     pool.tell(
-        PoolEvent::Others { rows, group: FleetGroup::default(), waiting: OthersWaiting::default() },
+        PoolEvent::PeerLoad {
+            rows,
+            group: FleetGroup::default(),
+            waiting: OthersWaiting::default(),
+        },
         1,
     );
     let placed: Vec<u32> =
@@ -81,7 +88,11 @@
         ("e002".into(), work(2, 18_000)),
     ];
     pool.tell(
-        PoolEvent::Others { rows, group: FleetGroup::default(), waiting: OthersWaiting::default() },
+        PoolEvent::PeerLoad {
+            rows,
+            group: FleetGroup::default(),
+            waiting: OthersWaiting::default(),
+        },
         1,
     );
     let mut long = arrived(1, 0, 10, 10);
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -291,7 +291,7 @@
     for upstream in [0, 1] {
         let upstream = tarragonknot::policy::UpstreamIndex(upstream);
         scheduler.handle(
-            PoolEvent::Reported { upstream, report: LoadReport::default() },
+            PoolEvent::LoadReported { upstream, report: LoadReport::default() },
             now,
             &mut rng,
             &mut actions,
