--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -71,7 +71,7 @@
     /// The caller disconnected.
     Cancelled,
     /// The upstream had no free slot to reserve; nothing was sent.
-    Crowded,
+    NoSlot,
 }
 
 /// Input of the scheduler.
--- a/src/policy/scheduler/feedback.rs
+++ b/src/policy/scheduler/feedback.rs
@@ -60,7 +60,7 @@
         let Some(running) = self.running.remove(&id) else { return };
         let RunningRequest { ref request, upstream, unread_tokens, is_reserving, .. } = running;
         self.upstreams.ended(upstream, request.cost, now);
-        if is_reserving && outcome != DispatchOutcome::Crowded {
+        if is_reserving && outcome != DispatchOutcome::NoSlot {
             self.reservations.release_pending();
         }
         if !is_reserving && outcome != DispatchOutcome::NotSent {
@@ -74,9 +74,7 @@
                 self.handle_completion(&running, prompt_tokens, output_tokens, now);
             }
             DispatchOutcome::NotSent => self.redispatch(running.request, upstream, now, actions),
-            DispatchOutcome::Crowded => {
-                self.handle_refused_reservation(running.request, upstream, now)
-            }
+            DispatchOutcome::NoSlot => self.handle_no_slot(running.request, upstream, now),
             DispatchOutcome::Failed | DispatchOutcome::Cancelled => {
                 self.record_end(&running.request, false);
             }
@@ -108,12 +106,7 @@
     }
 
     /// Handles a refused slot reservation: the request returns to the front of its queue.
-    fn handle_refused_reservation(
-        &mut self,
-        request: WaitingRequest,
-        upstream: UpstreamIndex,
-        now: Moment,
-    ) {
+    fn handle_no_slot(&mut self, request: WaitingRequest, upstream: UpstreamIndex, now: Moment) {
         self.upstreams.update(upstream, |status| status.crowd(now));
         self.reservations.record_refusal(now);
         self.queue.push_back_first(request);
--- a/src/policy/upstream_set.rs
+++ b/src/policy/upstream_set.rs
@@ -271,7 +271,7 @@
         let has_failed = match outcome {
             DispatchOutcome::Completed { .. } => false,
             DispatchOutcome::Failed => true,
-            DispatchOutcome::NotSent | DispatchOutcome::Cancelled | DispatchOutcome::Crowded => {
+            DispatchOutcome::NotSent | DispatchOutcome::Cancelled | DispatchOutcome::NoSlot => {
                 return;
             }
         };
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -250,7 +250,7 @@
                     if !pool.is_still(upstream, incarnation) =>
                 {
                     // It was born anew since, or leaves: the place lapses by itself.
-                    word = guard.requeue(DispatchOutcome::Crowded);
+                    word = guard.requeue(DispatchOutcome::NoSlot);
                 }
                 Reservation::Granted { place, .. } => {
                     guard.granted();
@@ -268,10 +268,10 @@
                         place,
                     }));
                 }
-                Reservation::Full => word = guard.requeue(DispatchOutcome::Crowded),
+                Reservation::Full => word = guard.requeue(DispatchOutcome::NoSlot),
                 Reservation::Gone => {
                     pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamWord::Leaving });
-                    word = guard.requeue(DispatchOutcome::Crowded);
+                    word = guard.requeue(DispatchOutcome::NoSlot);
                 }
                 Reservation::Unreachable => {
                     info!(self.state.log, "no word on a place"; "request" => self.id(), "upstream" => name.as_str());
--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -163,7 +163,7 @@
         let (daemon, id, upstream) = sent;
         let running = &mut self.running[upstream.0 as usize];
         if *running >= PLACES {
-            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::Crowded };
+            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::NoSlot };
             return self.tell(daemon, event, now);
         }
         *running += 1;
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -296,7 +296,7 @@
         let daemon = request.daemon;
         let engine = upstream.0 as usize;
         if self.running[engine] >= PLACES {
-            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::Crowded };
+            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::NoSlot };
             return self.tell(daemon, event, now);
         }
         self.running[engine] += 1;
--- a/tests/test_reservations.rs
+++ b/tests/test_reservations.rs
@@ -117,7 +117,7 @@
 }
 
 fn crowded(pool: &mut BurstPool, id: u64, millis: u64) -> Vec<PoolAction> {
-    let outcome = DispatchOutcome::Crowded;
+    let outcome = DispatchOutcome::NoSlot;
     pool.tell(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
 }
 
