--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -51,7 +51,7 @@
 pub use repeat_budget::{RepeatBound, RepeatBudget};
 pub use request_sizes::{RouteSizes, SizeTenth};
 pub use scheduler::{
-    ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
+    ArrivedRequest, DispatchOutcome, PeerWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
     PoolStatus,
 };
 pub use shared_list::{ChangeVerdict, ListChange, ListPart, ListedUpstream, SharedList};
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -113,7 +113,7 @@
             return false;
         }
         let Some(level) = self.queue.level(request, now) else { return true };
-        let others = f64::from(self.others_waiting.levels.above(level));
+        let others = f64::from(self.peer_waiting.levels.above(level));
         others <= self.expected_free_slots(left) * LATE_DRAIN_SHARE
     }
 
--- a/src/policy/scheduler/events.rs
+++ b/src/policy/scheduler/events.rs
@@ -12,7 +12,7 @@
 
 /// Requests waiting for a pool at the other daemons of the group.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OthersWaiting {
+pub struct PeerWaiting {
     /// Number of requests by value per cost.
     pub levels: WaitingLevels,
     /// Maximum age of these numbers.
@@ -153,7 +153,7 @@
         /// Group of daemons that this daemon belongs to.
         group: FleetGroup,
         /// Requests waiting at the other daemons of the group.
-        waiting: OthersWaiting,
+        waiting: PeerWaiting,
     },
     /// Periodic timer.
     Tick,
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -6,7 +6,7 @@
 mod plan;
 mod reservations;
 
-pub use events::{ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent};
+pub use events::{ArrivedRequest, DispatchOutcome, PeerWaiting, PoolAction, PoolEvent};
 pub use plan::PoolPlan;
 use reservations::ReservationLimiter;
 
@@ -81,7 +81,7 @@
     redispatch_budget: f64,
     stragglers_checked_at: Moment,
     reservations: ReservationLimiter,
-    others_waiting: OthersWaiting,
+    peer_waiting: PeerWaiting,
     size_shares: SizeShares,
     /// Queue lengths inside the upstreams of a plain service.
     upstream_queues: CrowdMeter,
@@ -109,7 +109,7 @@
             redispatch_budget: REDISPATCH_BURST,
             stragglers_checked_at: Moment(0),
             reservations: ReservationLimiter::default(),
-            others_waiting: OthersWaiting::default(),
+            peer_waiting: PeerWaiting::default(),
             size_shares: SizeShares::default(),
             upstream_queues: CrowdMeter::default(),
             plan,
@@ -159,7 +159,7 @@
             PoolEvent::PeerLoad { rows, group, waiting } => {
                 self.upstreams.set_others(&rows, now);
                 self.upstreams.set_group(group);
-                self.others_waiting = waiting;
+                self.peer_waiting = waiting;
             }
             PoolEvent::Tick => self.tick(now, actions),
         }
@@ -267,8 +267,8 @@
             return false;
         }
         let Some(level) = self.queue.level(request, now) else { return false };
-        let before = self.others_waiting.levels.above(level);
-        f64::from(before) > self.expected_free_slots(self.others_waiting.age)
+        let before = self.peer_waiting.levels.above(level);
+        f64::from(before) > self.expected_free_slots(self.peer_waiting.age)
     }
 
     /// Returns whether the upstreams of a plain service have long queues. A late request sent there
@@ -300,8 +300,8 @@
     }
 
     /// Requests waiting at the other daemons of the group, as last reported.
-    pub fn others_waiting(&self) -> &OthersWaiting {
-        &self.others_waiting
+    pub fn peer_waiting(&self) -> &PeerWaiting {
+        &self.peer_waiting
     }
 
     fn choose_upstream(
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -12,7 +12,7 @@
     WorkRow,
 };
 use crate::policy::{
-    Moment, OthersWaiting, OthersWork, PoolEvent, UpstreamHash, UpstreamSet, UpstreamState,
+    Moment, OthersWork, PeerWaiting, PoolEvent, UpstreamHash, UpstreamSet, UpstreamState,
 };
 use crate::table::{ServiceName, UpstreamName};
 use crate::upstream::PlatformList;
@@ -253,10 +253,10 @@
     drop(limits);
     for (service, pool) in state.pools().iter() {
         let levels = waiting.get(&ServiceHash::of(service)).cloned().unwrap_or_default();
-        let waiting = OthersWaiting { levels, age: horizon };
+        let waiting = PeerWaiting { levels, age: horizon };
         let (rows, is_changed) = pool.inspect(|scheduler| {
             let upstreams = scheduler.upstreams();
-            let is_changed = upstreams.group() != group || *scheduler.others_waiting() != waiting;
+            let is_changed = upstreams.group() != group || *scheduler.peer_waiting() != waiting;
             (changed_rows(&pool.service, upstreams, &others), is_changed)
         });
         if !rows.is_empty() || is_changed {
--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
 use tarragonknot::policy::{
-    DispatchOutcome, FleetGroup, Mechanism, MechanismSet, Moment, OthersWaiting, OthersWork,
+    DispatchOutcome, FleetGroup, Mechanism, MechanismSet, Moment, OthersWork, PeerWaiting,
     PoolAction, PoolEvent, PoolScheduler, RequestId, UpstreamIndex, WaitingLevels,
 };
 
@@ -189,7 +189,7 @@
                 }
             }
             let age = Duration::from_millis(WORD_AGE + PAUSE);
-            let waiting = OthersWaiting { levels, age };
+            let waiting = PeerWaiting { levels, age };
             let rows = work.into_iter().collect();
             let event = PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting };
             self.push(now + WORD_AGE, DueEvent::Hear { daemon, event });
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
 use tarragonknot::policy::{
-    ArrivedRequest, DispatchOutcome, FleetGroup, Moment, OthersWaiting, OthersWork, PoolAction,
+    ArrivedRequest, DispatchOutcome, FleetGroup, Moment, OthersWork, PeerWaiting, PoolAction,
     PoolEvent, PoolPlan, PoolScheduler, RequestId, RequestSizes, RouteKey, RouteSizes,
     UpstreamIndex, WaitingLevels,
 };
@@ -353,7 +353,7 @@
                 (name.clone(), OthersWork { requests, ..OthersWork::default() })
             });
             let age = Duration::from_micros(WORD_AGE + PAUSE);
-            let waiting = OthersWaiting { levels: others, age };
+            let waiting = PeerWaiting { levels: others, age };
             let group = FleetGroup::default();
             let event = PoolEvent::PeerLoad { rows: work.collect(), group, waiting };
             self.push(now + WORD_AGE, DueEvent::Tell { daemon, event });
--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tarragonknot::policy::{
-    FleetGroup, OthersWaiting, OthersWork, PoolAction, PoolEvent, RequestId, RequestSizes,
+    FleetGroup, OthersWork, PeerWaiting, PoolAction, PoolEvent, RequestId, RequestSizes,
     UpstreamIndex,
 };
 
@@ -23,10 +23,7 @@
     let sources = (1..=count).map(|number| source(&format!("e{number:03}"), number)).collect();
     pool.tell(PoolEvent::Sources(sources), 0);
     let group = FleetGroup { index: 0, count: groups };
-    pool.tell(
-        PoolEvent::PeerLoad { rows: Vec::new(), group, waiting: OthersWaiting::default() },
-        0,
-    );
+    pool.tell(PoolEvent::PeerLoad { rows: Vec::new(), group, waiting: PeerWaiting::default() }, 0);
     pool
 }
 
@@ -63,11 +60,7 @@
     let mut pool = pool_of(2, 1);
     let rows = vec![("e001".into(), work(0, 24_000)), ("e002".into(), work(0, 6_000))];
     pool.tell(
-        PoolEvent::PeerLoad {
-            rows,
-            group: FleetGroup::default(),
-            waiting: OthersWaiting::default(),
-        },
+        PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
     let placed: Vec<u32> =
@@ -88,11 +81,7 @@
         ("e002".into(), work(2, 18_000)),
     ];
     pool.tell(
-        PoolEvent::PeerLoad {
-            rows,
-            group: FleetGroup::default(),
-            waiting: OthersWaiting::default(),
-        },
+        PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
     let mut long = arrived(1, 0, 10, 10);
