--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -133,11 +133,11 @@
         refuses_late: true,
         avoids_stragglers: true,
         keeps_headroom: true,
-        sheds_alone: false,
+        sheds_locally: false,
         event_tokens: 1,
         size_share: 0.75,
         mechanisms: MechanismSet::default(),
-        reserves: false,
+        has_reservations: false,
     };
     let mut scheduler = PoolScheduler::new(plan);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -43,7 +43,7 @@
         let mut request = self.to_waiting_request(request, now);
         let slack = request.deadline.since(now);
         if self.plan.refuses_late
-            && !self.plan.sheds_alone
+            && !self.plan.sheds_locally
             && request.run_time.mul_f64(MIN_DEADLINE_SHARE) > slack
         {
             return refuse(AnswerKind::DeadlineTooShort);
@@ -64,7 +64,7 @@
         {
             return self.shed_when_confirmed(request, AnswerKind::Overloaded, now, actions);
         }
-        if self.plan.sheds_alone {
+        if self.plan.sheds_locally {
             match self.plan.refuses_late && self.is_infeasible(&request, now) {
                 true => self.shed_now(&request, AnswerKind::DeadlineWaiting, now, actions),
                 false => self.enqueue(request, now),
@@ -79,7 +79,7 @@
 
     /// Returns whether late requests of returning callers are refused early if they have no chance.
     fn has_late_refusal(&self) -> bool {
-        self.plan.sheds_alone
+        self.plan.sheds_locally
             && self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::LateRefusal)
     }
@@ -275,7 +275,7 @@
         if lowest <= tier {
             return false;
         }
-        if self.plan.sheds_alone || self.floor.raise(lowest, now) {
+        if self.plan.sheds_locally || self.floor.raise(lowest, now) {
             self.evict_one(tier, now, actions);
             return true;
         }
@@ -333,7 +333,7 @@
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        if self.plan.sheds_alone {
+        if self.plan.sheds_locally {
             return self.shed_now(&request, kind, now, actions);
         }
         let confirmed = self.floor.raise(request.tier, now);
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -230,7 +230,7 @@
     ) {
         // Only the queue ordered by value per cost can take back a request without disturbing the
         // order of the rest.
-        let max_skipped = if self.plan.sheds_alone { MAX_SKIPPED_REQUESTS } else { 1 };
+        let max_skipped = if self.plan.sheds_locally { MAX_SKIPPED_REQUESTS } else { 1 };
         let mut skipped = Vec::new();
         while let Some(lowest) =
             self.lowest_tier_with_room().filter(|_| self.reservations.may_reserve(now))
@@ -262,7 +262,8 @@
         if !is_in_time && self.has_long_upstream_queues(now) {
             return true;
         }
-        let has_order = self.plan.reserves && self.plan.mechanisms.has(Mechanism::GroupOrder);
+        let has_order =
+            self.plan.has_reservations && self.plan.mechanisms.has(Mechanism::GroupOrder);
         if is_in_time || request.is_owed || !has_order {
             return false;
         }
@@ -275,7 +276,7 @@
     /// would make requests late that are still in time.
     fn has_long_upstream_queues(&self, now: Moment) -> bool {
         !self.plan.counts_tokens
-            && self.plan.sheds_alone
+            && self.plan.sheds_locally
             && self.plan.mechanisms.has(Mechanism::LateWait)
             && self.upstream_queues.is_crowded(now)
     }
@@ -347,7 +348,7 @@
 
     /// Returns whether time to first event is modelled as a base plus a time per prompt token.
     pub(super) fn has_first_event_model(&self) -> bool {
-        self.plan.sheds_alone && self.plan.mechanisms.has(Mechanism::FirstEvents)
+        self.plan.sheds_locally && self.plan.mechanisms.has(Mechanism::FirstEvents)
     }
 
     /// Lowest tier for which some upstream has room; `None` if all are full.
@@ -383,7 +384,7 @@
         actions.push(PoolAction::Dispatch { id: request.id, upstream });
         let was_limited = !self.queue.is_empty()
             || self.upstreams.get(upstream).is_some_and(|status| status.load() > 0.8);
-        let is_reserving = self.plan.reserves;
+        let is_reserving = self.plan.has_reservations;
         if is_reserving {
             self.reservations.record_request();
         }
--- a/src/policy/scheduler/plan.rs
+++ b/src/policy/scheduler/plan.rs
@@ -45,7 +45,7 @@
     pub keeps_headroom: bool,
     /// True if this daemon sheds without the fleet's floor: it refuses what it cannot serve in
     /// time, regardless of what other daemons admit.
-    pub sheds_alone: bool,
+    pub sheds_locally: bool,
     /// Tokens per stream event.
     pub event_tokens: u32,
     /// Each size decile of a route is served at least this fraction as often as its lane, 0.0 to
@@ -55,7 +55,7 @@
     pub mechanisms: MechanismSet,
     /// True if a slot is reserved at the upstream before a request is sent. The load of other
     /// daemons is then only a hint.
-    pub reserves: bool,
+    pub has_reservations: bool,
 }
 
 impl PoolPlan {
@@ -76,11 +76,11 @@
             refuses_late: true,
             avoids_stragglers: true,
             keeps_headroom: true,
-            sheds_alone: false,
+            sheds_locally: false,
             event_tokens: row.event_tokens,
             size_share: f64::from(row.size_share_percent) / 100.0,
             mechanisms: MechanismSet::default(),
-            reserves: row.reservation_ms.is_some(),
+            has_reservations: row.reservation_ms.is_some(),
         }
     }
 
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -294,7 +294,7 @@
         let shares = access.tier_shares();
         for (row, version) in access.services().flat_map(|row| self.versions_of(row)) {
             let mut plan = PoolPlan::new(row, &shares);
-            plan.sheds_alone = !access.table().routes.is_empty();
+            plan.sheds_locally = !access.table().routes.is_empty();
             plan.mechanisms = self.mechanisms();
             let name = version_pool(&row.service, version.as_ref());
             let pool = match old.get(&name) {
--- a/tests/burst_pool.rs
+++ b/tests/burst_pool.rs
@@ -20,7 +20,7 @@
     row.first_guess = 1;
     let share = |rank, weight| TierShare { rank: TierRank(rank), weight };
     let mut plan = PoolPlan::new(&row, &[share(0, 16), share(1, 4)]);
-    plan.sheds_alone = true;
+    plan.sheds_locally = true;
     plan
 }
 
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -33,11 +33,11 @@
         refuses_late: true,
         avoids_stragglers: true,
         keeps_headroom: true,
-        sheds_alone: false,
+        sheds_locally: false,
         event_tokens: 1,
         size_share: 0.75,
         mechanisms: MechanismSet::default(),
-        reserves: false,
+        has_reservations: false,
     }
 }
 
--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -83,7 +83,7 @@
 impl SharedPlaces {
     fn new(off: &[Mechanism], seed: u64) -> Self {
         let mut plan = urgency_plan();
-        plan.reserves = true;
+        plan.has_reservations = true;
         plan.first_guess = PLACES;
         plan.mechanisms = MechanismSet::without(off);
         let daemons = (0..DAEMONS).map(|_| PoolScheduler::new(plan.clone())).collect();
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -167,7 +167,7 @@
 impl<'a> SizedPlay<'a> {
     fn new(load: &'a SizedLoad, change: impl Fn(&mut PoolPlan)) -> Self {
         let mut plan = urgency_plan();
-        plan.reserves = true;
+        plan.has_reservations = true;
         plan.first_guess = PLACES;
         change(&mut plan);
         let sizes = vec![RouteSizes::default(); load.kinds.len()];
--- a/tests/test_reservations.rs
+++ b/tests/test_reservations.rs
@@ -109,7 +109,7 @@
 /// A pool of `count` engines that reserve places.
 fn reserving_pool(count: u16) -> BurstPool {
     let mut plan = urgency_plan();
-    plan.reserves = true;
+    plan.has_reservations = true;
     let mut pool = BurstPool::with_plan(plan);
     let sources = (1..=count).map(|number| source(&format!("e{number}"), number)).collect();
     pool.tell(PoolEvent::Sources(sources), 0);
