--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -211,6 +211,6 @@
         wanted: scheduler.wanted_floor(),
         guaranteed: scheduler.guaranteed_floor(),
         demand: scheduler.demand_tokens(),
-        used: scheduler.used_share(),
+        used: scheduler.max_utilisation(),
     }
 }
--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -69,7 +69,7 @@
             refuse_without_lease(&state, pool);
             pool.tell(PoolEvent::Tick);
             let floor =
-                pool.inspect(|scheduler| (scheduler.wanted_floor(), scheduler.kept_floor()));
+                pool.inspect(|scheduler| (scheduler.wanted_floor(), scheduler.effective_floor()));
             is_busy |= floor != (None, None) || pool.status().waiting > 0;
             if floors.get(service).copied().unwrap_or_default() != floor {
                 floors.insert(service.clone(), floor);
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -191,7 +191,7 @@
         self.summary.prefill_tokens = self.ledger.computed_tokens();
         self.summary.wasted_tokens = self.ledger.wasted_tokens();
         self.summary.order_breaks =
-            self.daemons.iter().map(|daemon| daemon.scheduler.order_breaks()).sum();
+            self.daemons.iter().map(|daemon| daemon.scheduler.shed_order_violations()).sum();
     }
 
     /// Tells a daemon's scheduler something, and does what it says.
@@ -384,7 +384,7 @@
             wanted: scheduler.wanted_floor(),
             guaranteed: scheduler.guaranteed_floor(),
             demand: scheduler.demand_tokens(),
-            used: scheduler.used_share(),
+            used: scheduler.max_utilisation(),
         };
 
         let report = daemon.member.report(1, vec![state], false, now);
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -433,7 +433,7 @@
     }
 
     /// Violations of the shedding order; nonzero only through a bug or if the queue has no tiers.
-    pub fn order_breaks(&self) -> u64 {
+    pub fn shed_order_violations(&self) -> u64 {
         self.shed_audit.breaks()
     }
 
@@ -443,7 +443,7 @@
     }
 
     /// Lowest tier admitted here, which may therefore be waiting; `None` if all tiers are admitted.
-    pub fn kept_floor(&self) -> Option<TierRank> {
+    pub fn effective_floor(&self) -> Option<TierRank> {
         self.floor.lowest_admitted()
     }
 
@@ -456,13 +456,13 @@
     }
 
     /// Largest utilisation of any upstream's limit, as a fraction.
-    pub fn used_share(&self) -> f64 {
+    pub fn max_utilisation(&self) -> f64 {
         let used = self.upstreams.iter().map(UpstreamStatus::used);
         used.fold(0.0, f64::max)
     }
 
     /// Estimated cost of a request, as admission computes it.
-    pub fn cost_of(
+    pub fn estimate_cost(
         &self,
         organisation: OrganisationIndex,
         tier: TierRank,
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -144,7 +144,7 @@
 
     /// Breaks of the shedding order.
     pub fn order_breaks(&self) -> u64 {
-        self.lock().scheduler.order_breaks()
+        self.lock().scheduler.shed_order_violations()
     }
 
     /// The estimated cost of a request.
@@ -155,7 +155,7 @@
         prompt_bytes: usize,
         output_limit: Option<u32>,
     ) -> u32 {
-        self.lock().scheduler.cost_of(organisation, tier, prompt_bytes, output_limit)
+        self.lock().scheduler.estimate_cost(organisation, tier, prompt_bytes, output_limit)
     }
 
     /// Reads the scheduler's state.
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -87,7 +87,7 @@
     /// The transcript, checked: every request that ended did so once, and none was dispatched twice.
     pub fn transcript(self) -> String {
         assert!(self.dispatches.values().all(|count| *count == 1), "{:?}", self.dispatches);
-        assert_eq!(self.scheduler.order_breaks(), 0, "{}", self.log);
+        assert_eq!(self.scheduler.shed_order_violations(), 0, "{}", self.log);
         self.log
     }
 
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -200,7 +200,7 @@
 
         prop_assert_eq!(ended.len(), count);
         prop_assert!(ended.values().all(|times| *times == 1));
-        prop_assert_eq!(scheduler.order_breaks(), 0);
+        prop_assert_eq!(scheduler.shed_order_violations(), 0);
     }
 }
 
