--- a/src/answer/mod.rs
+++ b/src/answer/mod.rs
@@ -11,7 +11,7 @@
 /// Whether a refused request was executed at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RanWord {
+pub enum ExecutionStatus {
     /// No byte of the request reached an upstream.
     No,
     /// At least one byte was sent, and no complete answer was received.
@@ -103,11 +103,11 @@
     /// HTTP status code.
     pub status: u16,
     /// Execution status reported in the refusal.
-    pub ran: RanWord,
+    pub ran: ExecutionStatus,
     /// Retry advice.
     pub retry: RetryHint,
     /// True if the refusal counts as load shedding.
-    pub shed: bool,
+    pub is_shed: bool,
     /// Short human-readable title.
     pub title: &'static str,
 }
@@ -124,9 +124,9 @@
                 kind: AnswerKind::$kind,
                 name: $name,
                 status: $status,
-                ran: RanWord::$ran,
+                ran: ExecutionStatus::$ran,
                 retry: $retry,
-                shed: $shed,
+                is_shed: $shed,
                 title: $title,
             },)*
         ];
@@ -194,7 +194,7 @@
     /// Kind of the refusal.
     pub kind: AnswerKind,
     /// Whether the request was executed.
-    pub ran: RanWord,
+    pub ran: ExecutionStatus,
     /// Request id assigned by the daemon.
     pub request_id: String,
 }
@@ -229,7 +229,7 @@
     }
 
     /// Sets a computed retry delay, which overrides the default of the kind.
-    pub fn returning_within(mut self, time: Option<Duration>) -> Self {
+    pub fn with_retry_after(mut self, time: Option<Duration>) -> Self {
         self.computed_retry_after = time;
         self
     }
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -211,7 +211,7 @@
 
     async fn refuse(&mut self, sink: Box<AnswerSink>, kind: AnswerKind) {
         let detail = match &self.target {
-            Some((name, _)) if kind.row().ran == crate::answer::RanWord::Unknown => {
+            Some((name, _)) if kind.row().ran == crate::answer::ExecutionStatus::Unknown => {
                 format!("upstream {name}")
             }
             _ => String::new(),
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -483,7 +483,7 @@
     info!(request.state.log, "refused"; "request" => request.id(), "kind" => kind.row().name,
         "route" => &request.route.route, "sent" => count.sent, "may_have_run" => count.may_have_run, "after_ms" => waited, request.size_fields());
     RefusalAnswer::new(kind, "", request.state.jitter())
-        .returning_within(request.return_time(kind))
+        .with_retry_after(request.return_time(kind))
         .response(request.id())
 }
 
@@ -495,7 +495,7 @@
         if kind == AnswerKind::Quarantined {
             return self.state.quarantine.held_for(self.fingerprint, self.state.clock.now());
         }
-        let is_overload = kind.row().shed || kind == AnswerKind::UpstreamRefused;
+        let is_overload = kind.row().is_shed || kind == AnswerKind::UpstreamRefused;
         let spread = RETURN_LEAST + (RETURN_MOST - RETURN_LEAST) * self.state.jitter();
         is_overload.then(|| self.time_left().mul_f64(spread))
     }
--- a/src/traffic/routed/door.rs
+++ b/src/traffic/routed/door.rs
@@ -60,7 +60,7 @@
             let refusal = RefusalAnswer::new(kind, "", state.jitter());
             let is_limit = kind == AnswerKind::RateLimited;
             let wait = facts_deadline.filter(|_| is_limit).map(|time| time.mul_f64(LIMIT_RETURN));
-            refusal.returning_within(wait).response(&id)
+            refusal.with_retry_after(wait).response(&id)
         }
     }
 }
--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -3,7 +3,7 @@
 use crate::fixtures::{AGENTS_KEY, SmallFleet, small_fleet};
 use std::sync::Arc;
 use std::time::Duration;
-use tarragonknot::answer::{AnswerKind, RanWord};
+use tarragonknot::answer::{AnswerKind, ExecutionStatus};
 use tarragonknot::load::{CallOutcome, LoadCaller, LoadProfile, PlannedRequest, ProfileKind};
 use tarragonknot::settings::DaemonSettings;
 use tarragonknot::standin::StandinFault;
@@ -121,7 +121,7 @@
     let next = bench.call(2, "lookup", 1).await;
 
     assert!(kinds.iter().any(|kind| outcome == CallOutcome::Refused(*kind)), "{outcome:?}");
-    assert!(kinds.iter().all(|kind| kind.row().ran == RanWord::Unknown));
+    assert!(kinds.iter().all(|kind| kind.row().ran == ExecutionStatus::Unknown));
     assert_eq!(next, CallOutcome::Whole);
     bench.assert_dispatched_at_most_once();
 }
--- a/tests/test_quarantine.rs
+++ b/tests/test_quarantine.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioExecutor;
 use rstest::rstest;
 use std::time::Duration;
-use tarragonknot::answer::{AnswerKind, ProblemBody, RanWord};
+use tarragonknot::answer::{AnswerKind, ExecutionStatus, ProblemBody};
 use tarragonknot::quarantine::{RequestContent, RequestFingerprint};
 
 /// Engines that one content may end before the whole fleet holds it back, and sends of it after that.
@@ -64,7 +64,7 @@
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     let body = answer.body.expect("a whole body");
     let problem: ProblemBody = serde_json::from_str(&body).expect("a problem document");
-    assert_eq!((problem.kind, problem.ran), (AnswerKind::Quarantined, RanWord::No));
+    assert_eq!((problem.kind, problem.ran), (AnswerKind::Quarantined, ExecutionStatus::No));
     let returns = answer.headers["retry-after"].to_str().expect("text").parse::<f64>();
     assert!(returns.expect("seconds") > 500.0, "what is left of ten minutes");
     assert_eq!(park.poison_sends(), 3);
--- a/tests/test_traffic.rs
+++ b/tests/test_traffic.rs
@@ -8,7 +8,7 @@
 use hyper_util::rt::TokioExecutor;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tarragonknot::answer::{AnswerKind, ProblemBody, RanWord};
+use tarragonknot::answer::{AnswerKind, ExecutionStatus, ProblemBody};
 use tarragonknot::daemon::start_upkeep;
 use tarragonknot::policy::Moment;
 use tarragonknot::settings::DaemonSettings;
@@ -129,7 +129,7 @@
 
     assert_eq!(answer.status.as_u16(), status);
     assert_eq!(answer.problem().kind, kind);
-    assert_eq!(answer.problem().ran, RanWord::No);
+    assert_eq!(answer.problem().ran, ExecutionStatus::No);
     assert!(fleet.service.runs().is_empty());
 }
 
@@ -166,7 +166,7 @@
     let answer = waiting.await.unwrap();
 
     let problem = answer.problem();
-    assert_eq!((problem.kind, problem.ran), (AnswerKind::TableStale, RanWord::No));
+    assert_eq!((problem.kind, problem.ran), (AnswerKind::TableStale, ExecutionStatus::No));
     assert_eq!(pool.status().waiting, 0);
     running.abort();
 }
