--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -83,7 +83,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimCommand {
     /// Acquires a claim.
-    Take {
+    #[serde(rename = "take")]
+    Acquire {
         /// Key of the claim.
         key: ClaimKey,
         /// Digest of the request method, path and body.
@@ -91,9 +92,11 @@
         /// Request that acquires the claim.
         owner: ClaimOwner,
         /// Wall-clock time of the leader, in milliseconds. Expiry compares only such timestamps.
-        at: u64,
+        #[serde(rename = "at")]
+        timestamp_ms: u64,
         /// Lifetime of the record, in milliseconds.
-        life: u64,
+        #[serde(rename = "life")]
+        ttl_ms: u64,
     },
     /// Records the outcome of a claim.
     Settle {
@@ -146,7 +149,7 @@
 
 /// Claims of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ClaimBook {
+pub struct ClaimRegistry {
     records: BTreeMap<ClaimKey, ClaimRecord>,
     /// Keys ordered by expiry time; each key occurs at most once.
     #[serde(default)]
@@ -158,17 +161,15 @@
 /// Maximum number of expired records removed per command, to bound the time a command takes.
 const MAX_EXPIRED_PER_COMMAND: usize = 16;
 
-impl ClaimBook {
+impl ClaimRegistry {
     /// Applies a command. Deterministic, so that all replicas reach the same state.
     pub fn apply(&mut self, command: &ClaimCommand) -> ClaimReply {
         match command {
-            ClaimCommand::Take { key, digest, owner, at, life } => {
-                self.remove_expired(*at);
-                self.acquire(key, digest, owner, at.saturating_add(*life))
-            }
-            ClaimCommand::Settle { key, owner, outcome } => {
-                self.record_outcome(key, owner, outcome)
+            ClaimCommand::Acquire { key, digest, owner, timestamp_ms, ttl_ms } => {
+                self.remove_expired(*timestamp_ms);
+                self.acquire(key, digest, owner, timestamp_ms.saturating_add(*ttl_ms))
             }
+            ClaimCommand::Settle { key, owner, outcome } => self.set_outcome(key, owner, outcome),
         }
     }
 
@@ -221,7 +222,7 @@
 
     /// Records an outcome. Only the owner may do so: a delayed command of an earlier owner has no
     /// effect.
-    fn record_outcome(
+    fn set_outcome(
         &mut self,
         key: &ClaimKey,
         owner: &ClaimOwner,
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -63,9 +63,14 @@
         owner: &ClaimOwner,
         life: Duration,
     ) -> Option<ClaimReply> {
-        let life = life.as_millis() as u64;
-        let command =
-            ClaimCommand::Take { key: key.clone(), digest, owner: owner.clone(), at: 0, life };
+        let ttl_ms = life.as_millis() as u64;
+        let command = ClaimCommand::Acquire {
+            key: key.clone(),
+            digest,
+            owner: owner.clone(),
+            timestamp_ms: 0,
+            ttl_ms,
+        };
         let (sender, receiver) = oneshot::channel();
         let until = Instant::now() + TAKE_LIMIT;
         self.sender.send(PendingClaim { command, until, reply: Some(sender) }).ok()?;
--- a/src/control/control_loop/edits.rs
+++ b/src/control/control_loop/edits.rs
@@ -57,8 +57,8 @@
         let stamp = unix_millis();
         let mut commands = commands;
         for command in &mut commands {
-            if let ClaimCommand::Take { at, .. } = command {
-                *at = stamp;
+            if let ClaimCommand::Acquire { timestamp_ms, .. } = command {
+                *timestamp_ms = stamp;
             }
         }
         let left = commands.len();
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -2,7 +2,7 @@
 //! rules. Deterministic: every replica applies the same commands and comes to the same state.
 
 use super::quarantine_log::QuarantineLog;
-use crate::claim::{ClaimBook, ClaimCommand, ClaimReply};
+use crate::claim::{ClaimCommand, ClaimRegistry, ClaimReply};
 use crate::quarantine::{RequestFingerprint, SuspectRow};
 use crate::rollout::{RolloutLog, RolloutOrder, RolloutReply, RolloutStep};
 use crate::table::{CellChange, DaemonName, OperatorTable, VersionedTable, diff_tables};
@@ -175,7 +175,7 @@
     outcomes: VecDeque<KeptOutcome>,
     #[serde(skip)]
     by_edit: HashMap<String, EditOutcome>,
-    claims: ClaimBook,
+    claims: ClaimRegistry,
     members: BTreeMap<DaemonName, u64>,
     barred: BTreeSet<DaemonName>,
     #[serde(default)]
@@ -198,7 +198,7 @@
             tables: VecDeque::new(),
             outcomes: VecDeque::new(),
             by_edit: HashMap::new(),
-            claims: ClaimBook::default(),
+            claims: ClaimRegistry::default(),
             members: BTreeMap::new(),
             barred: BTreeSet::new(),
             quarantine: QuarantineLog::default(),
--- a/tests/schedule.rs
+++ b/tests/schedule.rs
@@ -404,7 +404,7 @@
                 }
             }
             (
-                ControlCommand::Claim(ClaimCommand::Take { key, owner, .. }),
+                ControlCommand::Claim(ClaimCommand::Acquire { key, owner, .. }),
                 ControlReply::Claim(ClaimReply::Granted),
             ) => match self.granted.insert(key.to_string(), owner.clone()) {
                 Some(known) if known != *owner => {
@@ -503,12 +503,12 @@
             request: format!("request-{}", self.rng.random_range(0..6)),
         };
         let command = match self.rng.random_bool(0.8) {
-            true => ClaimCommand::Take {
+            true => ClaimCommand::Acquire {
                 key,
                 digest: "same".to_owned(),
                 owner,
-                at: self.now / 1_000,
-                life: 3_600_000,
+                timestamp_ms: self.now / 1_000,
+                ttl_ms: 3_600_000,
             },
             false => ClaimCommand::Settle { key, owner, outcome: ClaimOutcome::Unknown },
         };
