--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -191,7 +191,7 @@
         self.summary.prefill_tokens = self.ledger.computed_tokens();
         self.summary.wasted_tokens = self.ledger.wasted_tokens();
         self.summary.order_breaks =
-            self.daemons.iter().map(|daemon| daemon.scheduler.order_breaks()).sum();
+            self.daemons.iter().map(|daemon| daemon.scheduler.shed_order_violations()).sum();
     }
 
     /// Tells a daemon's scheduler something, and does what it says.
@@ -356,7 +356,7 @@
             for (engine, report) in reports.iter().enumerate() {
                 if let Some(report) = *report {
                     let upstream = UpstreamIndex(engine as u32);
-                    self.tell(daemon, PoolEvent::Reported { upstream, report });
+                    self.tell(daemon, PoolEvent::LoadReported { upstream, report });
                 }
             }
         }
@@ -384,7 +384,7 @@
             wanted: scheduler.wanted_floor(),
             guaranteed: scheduler.guaranteed_floor(),
             demand: scheduler.demand_tokens(),
-            used: scheduler.used_share(),
+            used: scheduler.max_utilisation(),
         };
 
         let report = daemon.member.report(1, vec![state], false, now);
@@ -431,7 +431,7 @@
     fn lose_work(&mut self, engine: usize) {
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
-            self.tell(number, PoolEvent::Word { upstream, word: UpstreamEvent::Unreachable });
+            self.tell(number, PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Unreachable });
         }
         for request in 0..self.requests.len() {
             let running = &self.requests[request];
@@ -473,7 +473,7 @@
         self.engines[engine] = SimulatedEngine::new(self.plan.profile.shape);
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
-            self.tell(number, PoolEvent::Word { upstream, word: UpstreamEvent::Answered });
+            self.tell(number, PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Answered });
         }
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -51,7 +51,7 @@
 pub use retry_budget::{RetryBound, RetryBudget};
 pub use retry_detector::RetryDetector;
 pub use scheduler::{
-    ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
+    ArrivedRequest, DispatchOutcome, PeerWaiting, PoolAction, PoolEvent, PoolPlan, PoolScheduler,
     PoolStatus,
 };
 pub use shared_list::{ChangeVerdict, ListChange, ListPart, ListedUpstream, SharedList};
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what waits, what is refused at once, and what makes room.
+//! Admission control: queues, sheds or evicts requests.
 
 use super::{ArrivedRequest, PoolAction, PoolScheduler};
 use crate::answer::AnswerKind;
@@ -7,25 +7,28 @@
 use rand::{Rng, RngCore};
 use std::time::Duration;
 
-/// Refuse a deadline as too short only if it is less than this share of the estimated run time,
-/// since estimates are means and a short answer may still make it.
-const TOO_SHORT_SHARE: f64 = 0.5;
-/// A request is let in if its wait takes at most this part of the time it can spare: the rest is for the
-/// error of the estimate.
-const PATIENCE: f64 = 0.6;
-/// The part of an objective that is left for what an estimate misses: the way to the engine, the step under way.
+/// A deadline is too short if it leaves less than this share of the estimated run time. The
+/// estimate is a mean, so a short answer may still meet a deadline shorter than it.
+const MIN_DEADLINE_SHARE: f64 = 0.5;
+/// A request is admitted if its estimated wait takes at most this share of its spare time; the rest
+/// allows for the estimation error.
+const MAX_WAIT_SHARE: f64 = 0.6;
+/// Share of an objective reserved for delays that the estimate omits: network transfer and the
+/// engine step in progress.
 const OBJECTIVE_MARGIN: f64 = 0.1;
-/// A pool is taken to work off at least this part of what its limits should carry, before it has shown more.
-const LEAST_DRAIN: f64 = 0.5;
-/// The part of a pool's speed that late requests can reckon with: those that come meanwhile go before them.
-const LATE_DRAIN: f64 = 0.5;
-/// The part of its time left within which a returned caller's request must have the prospect of a place.
-const PROSPECT_PART: f64 = 0.5;
-/// A late request that may not be shed yet is looked at again after this long.
-const LATE_PAUSE: Duration = Duration::from_millis(50);
+/// Lower bound on the assumed drain rate of a pool, as a share of the rate expected from its
+/// limits. Applies until a higher rate is measured.
+const MIN_DRAIN_SHARE: f64 = 0.5;
+/// Share of the drain rate available to late requests, since requests that arrive meanwhile are
+/// served before them.
+const LATE_DRAIN_SHARE: f64 = 0.5;
+/// A late request keeps waiting only if it should start within this share of its remaining time.
+const MAX_LATE_WAIT_SHARE: f64 = 0.5;
+/// Time after which a late request that was not shed is checked again.
+const LATE_RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl PoolScheduler {
-    pub(super) fn arrived(
+    pub(super) fn handle_arrival(
         &mut self,
         request: ArrivedRequest,
         now: Moment,
@@ -37,92 +40,105 @@
         if self.upstreams.live_count() == 0 {
             return refuse(AnswerKind::UpstreamAbsent);
         }
-        let mut request = self.estimated(request, now);
+        let mut request = self.to_waiting_request(request, now);
         let slack = request.deadline.since(now);
         if self.plan.refuses_late
-            && !self.plan.sheds_alone
-            && request.run_time.mul_f64(TOO_SHORT_SHARE) > slack
+            && !self.plan.sheds_locally
+            && request.run_time.mul_f64(MIN_DEADLINE_SHARE) > slack
         {
             return refuse(AnswerKind::DeadlineTooShort);
         }
-        request.is_underserved = self.is_owed(&request, now, rng);
+        request.is_underserved = self.claim_owed_service(&request, now, rng);
         if self.plan.queue == QueueChoice::Fifo {
             match self.queue.len() >= self.plan.waiting_limit {
-                true => self.refuse_shed(&request, AnswerKind::Overloaded, now, actions),
+                true => self.shed_now(&request, AnswerKind::Overloaded, now, actions),
                 false => self.enqueue(request, now),
             }
             return;
         }
         if !self.floor.admits(request.tier) {
-            return self.refuse_shed(&request, AnswerKind::Overloaded, now, actions);
+            return self.shed_now(&request, AnswerKind::Overloaded, now, actions);
         }
         if self.queue.len() >= self.plan.waiting_limit
             && !self.make_room(request.tier, now, actions)
         {
-            return self.shed(request, AnswerKind::Overloaded, now, actions);
+            return self.shed_when_confirmed(request, AnswerKind::Overloaded, now, actions);
         }
-        if self.plan.sheds_alone {
-            match self.plan.refuses_late && self.has_no_chance(&request, now) {
-                true => self.refuse_shed(&request, AnswerKind::DeadlineWaiting, now, actions),
+        if self.plan.sheds_locally {
+            match self.plan.refuses_late && self.is_infeasible(&request, now) {
+                true => self.shed_now(&request, AnswerKind::DeadlineWaiting, now, actions),
                 false => self.enqueue(request, now),
             }
             return;
         }
-        if self.would_be_late(&request, slack) {
-            return self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
+        if self.is_likely_late(&request, slack) {
+            return self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions);
         }
         self.enqueue(request, now);
     }
 
-    /// True if the prospects of returned callers are looked at.
-    fn looks_at_late(&self) -> bool {
-        self.plan.sheds_alone
+    /// Returns whether late requests of returning callers are refused early if they have no chance.
+    fn has_late_refusal(&self) -> bool {
+        self.plan.sheds_locally
             && self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::LateRefusal)
     }
 
-    /// Looks at a request whose time to be looked at has come: it waits on while it has a prospect of a place. Without one its
-    /// caller would hear of the refusal only when its time is over, and places go to requests that can no longer be ended.
-    pub(super) fn look_at_late(
+    /// Checks a request whose `late_at` has passed, and sheds it unless it is likely to get a slot.
+    ///
+    /// Without this check its caller would learn of the refusal only once its time is over, and
+    /// slots would go to requests that can no longer complete.
+    pub(super) fn recheck_late(
         &mut self,
         mut request: WaitingRequest,
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        let may_wait = now < request.expires_at && self.looks_at_late();
-        if may_wait && (request.is_underserved || self.has_prospect(&request, now)) {
-            request.review_at = request.expires_at.min(now + LATE_PAUSE);
+        let may_wait = now < request.expires_at && self.has_late_refusal();
+        if may_wait && (request.is_underserved || self.is_likely_to_start(&request, now)) {
+            request.review_at = request.expires_at.min(now + LATE_RECHECK_INTERVAL);
             return self.queue.requeue_front(request);
         }
-        self.shed(request, AnswerKind::DeadlineWaiting, now, actions);
+        self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions);
     }
 
-    /// True if what goes before a late request, here and in the group, should be worked off well before its caller gives up.
-    fn has_prospect(&mut self, request: &WaitingRequest, now: Moment) -> bool {
-        let left = request.expires_at.since(now).mul_f64(PROSPECT_PART);
-        let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN) * LATE_DRAIN;
+    /// Returns whether the work ahead of a late request, here and in the group, should be finished
+    /// well before its caller gives up.
+    fn is_likely_to_start(&mut self, request: &WaitingRequest, now: Moment) -> bool {
+        let left = request.expires_at.since(now).mul_f64(MAX_LATE_WAIT_SHARE);
+        let rate = self.drain_meter.total_rate().max(self.expected_drain_rate() * MIN_DRAIN_SHARE)
+            * LATE_DRAIN_SHARE;
         let before = self.queue.cost_ahead(request, true, now) as f64;
         if before > rate * left.as_secs_f64() {
             return false;
         }
         let Some(level) = self.queue.density_level(request, now) else { return true };
-        let others = f64::from(self.others_waiting.levels.above(level));
-        others <= self.freed_places(left) * LATE_DRAIN
+        let others = f64::from(self.peer_waiting.levels.above(level));
+        others <= self.expected_free_slots(left) * LATE_DRAIN_SHARE
     }
 
-    /// True if the request is owed service, since too few of its size are served.
-    fn is_owed(&mut self, request: &WaitingRequest, now: Moment, rng: &mut dyn RngCore) -> bool {
+    /// Returns whether the request is owed service because too few requests of its size are served.
+    fn claim_owed_service(
+        &mut self,
+        request: &WaitingRequest,
+        now: Moment,
+        rng: &mut dyn RngCore,
+    ) -> bool {
         self.plan.queue == QueueChoice::Urgency
             && self.plan.mechanisms.has(Mechanism::SizeShare)
-            && self.shares.record_arrival(&request.size_claim(), rng.random(), now)
+            && self.size_shares.record_arrival(&request.size_claim(), rng.random(), now)
     }
 
-    /// Counts the end of a request by its size.
-    pub(super) fn count_end(&mut self, request: &WaitingRequest, is_served: bool) {
-        self.shares.record_end(&request.size_claim(), is_served, self.plan.size_share);
+    /// Records whether a request was served, in the account of its size.
+    pub(super) fn record_end(&mut self, request: &WaitingRequest, is_served: bool) {
+        self.size_shares.record_end(&request.size_claim(), is_served, self.plan.size_share);
     }
 
-    pub(super) fn estimated(&self, request: ArrivedRequest, now: Moment) -> WaitingRequest {
+    pub(super) fn to_waiting_request(
+        &self,
+        request: ArrivedRequest,
+        now: Moment,
+    ) -> WaitingRequest {
         let estimate = match request.sizes {
             Some(sizes) => self.model.estimate_from_sizes(sizes),
             None => self.model.estimate(
@@ -154,31 +170,32 @@
             size_tenth: request.size_tenth,
             is_underserved: false,
         };
-        // An estimate of the run time longer than the whole slack must not make the request late at
-        // once: it was let in above because estimates are means.
+        // A run time estimate longer than the whole slack must not make the request late at once:
+        // such requests are admitted because the estimate is a mean.
         waiting.start_by = match request.objective {
-            Some(objective) => self.start_by(&waiting, objective, now),
+            Some(objective) => self.latest_start_for(&waiting, objective, now),
             None => waiting.latest_start(),
         };
         if self.plan.queue != QueueChoice::Fifo && self.plan.refuses_late {
             waiting.review_at = waiting
                 .latest_start()
-                .max(now + request.deadline.since(now).mul_f64(TOO_SHORT_SHARE));
+                .max(now + request.deadline.since(now).mul_f64(MIN_DEADLINE_SHARE));
         }
         if let Some(patience) = request.patience {
-            // Its caller would leave before the first event of a later start.
-            waiting.review_at = waiting.review_at.min(self.start_by(&waiting, patience, now));
+            // If it started later, the caller would leave before the first event.
+            waiting.review_at =
+                waiting.review_at.min(self.latest_start_for(&waiting, patience, now));
         }
         waiting.expires_at = waiting.review_at;
         let has_returned = request.objective.is_some_and(|objective| objective <= now);
-        if has_returned && request.patience.is_some() && self.looks_at_late() {
-            waiting.review_at = waiting.review_at.min(now + LATE_PAUSE);
+        if has_returned && request.patience.is_some() && self.has_late_refusal() {
+            waiting.review_at = waiting.review_at.min(now + LATE_RECHECK_INTERVAL);
         }
         waiting
     }
 
-    /// The last moment to send a request so that its first event comes within its objective.
-    pub(super) fn start_by(
+    /// Latest dispatch time at which the first event still meets the objective.
+    pub(super) fn latest_start_for(
         &self,
         request: &WaitingRequest,
         objective: Moment,
@@ -187,7 +204,7 @@
         let margin = objective.since(now).mul_f64(OBJECTIVE_MARGIN);
         let first = match self.plan.counts_tokens {
             true => {
-                let base = match self.knows_first_events() {
+                let base = match self.has_first_event_model() {
                     true => self.first_events.base_micros(),
                     false => 0.0,
                 };
@@ -199,13 +216,15 @@
         Moment(objective.0.saturating_sub((margin + first).as_micros() as u64))
     }
 
-    /// True if a request should be refused at once, because by what waits before it and how fast the pool works
-    /// that off, it can meet neither its objective nor, as a late one, its deadline.
-    pub(super) fn has_no_chance(&mut self, request: &WaitingRequest, now: Moment) -> bool {
+    /// Returns whether to refuse a request on arrival.
+    ///
+    /// True if, given the work ahead of it and the drain rate of the pool, it can meet neither its
+    /// objective nor, as a late request, its deadline.
+    pub(super) fn is_infeasible(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         if self.queue.is_empty() || request.is_underserved {
             return false;
         }
-        let rate = self.meter.total_rate().max(self.drain_rate() * LEAST_DRAIN);
+        let rate = self.drain_meter.total_rate().max(self.expected_drain_rate() * MIN_DRAIN_SHARE);
         let wait = |cost: u64, rate: f64| {
             Duration::try_from_secs_f64(cost as f64 / rate).unwrap_or(Duration::MAX)
         };
@@ -214,17 +233,17 @@
             return false;
         }
         let before = self.queue.cost_ahead(request, true, now);
-        now + wait(before, rate * LATE_DRAIN) > request.review_at
+        now + wait(before, rate * LATE_DRAIN_SHARE) > request.review_at
     }
 
-    /// Lets a request wait.
+    /// Adds an admitted request to the queue.
     pub(super) fn enqueue(&mut self, request: WaitingRequest, now: Moment) {
-        self.audit.admitted(request.tier, now);
+        self.shed_audit.admitted(request.tier, now);
         self.queue.push(request);
     }
 
-    /// Refuses a request for want of capacity.
-    pub(super) fn refuse_shed(
+    /// Refuses a request for lack of capacity and records it in the shed audit.
+    pub(super) fn shed_now(
         &mut self,
         request: &WaitingRequest,
         kind: AnswerKind,
@@ -233,28 +252,31 @@
     ) {
         let lower = self.plan.tiers.iter().filter(|share| share.rank > request.tier);
         let lower_waiting = lower.map(|share| self.queue.waiting_count(share.rank)).sum();
-        self.audit.shed(request.tier, lower_waiting, now);
-        self.count_end(request, false);
+        self.shed_audit.shed(request.tier, lower_waiting, now);
+        self.record_end(request, false);
         actions.push(PoolAction::Refuse { id: request.id, kind });
     }
 
-    /// Makes room for a request of `tier` by evicting one of the lowest tier that waits, if that is lower
-    /// and may be shed. False if nothing lower waits; the queue may overrun its limit by as much again
-    /// while the fleet has not yet confirmed that the lower tier may go.
+    /// Makes room for a request of `tier` by evicting a request of the lowest waiting tier, if that
+    /// tier is lower and may be shed.
+    ///
+    /// Returns false if no lower tier waits. Until the fleet confirms that the lower tier may be
+    /// shed, the queue may grow to twice its limit.
     pub(super) fn make_room(
         &mut self,
         tier: TierRank,
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) -> bool {
-        let waits = |share: &&TierShare| self.queue.waiting_count(share.rank) > 0;
-        let Some(lowest) = self.plan.tiers.iter().rev().find(waits).map(|share| share.rank) else {
+        let has_waiting = |share: &&TierShare| self.queue.waiting_count(share.rank) > 0;
+        let Some(lowest) = self.plan.tiers.iter().rev().find(has_waiting).map(|share| share.rank)
+        else {
             return false;
         };
         if lowest <= tier {
             return false;
         }
-        if self.plan.sheds_alone || self.floor.raise(lowest, now) {
+        if self.plan.sheds_locally || self.floor.raise(lowest, now) {
             self.evict_one(tier, now, actions);
             return true;
         }
@@ -270,54 +292,57 @@
         let evicted = self.queue.evict_below(tier);
         evicted
             .iter()
-            .for_each(|request| self.refuse_shed(request, AnswerKind::Evicted, now, actions));
+            .for_each(|request| self.shed_now(request, AnswerKind::Evicted, now, actions));
         evicted.is_some()
     }
 
-    /// True if the request would miss its deadline even if all lower tiers' waiting work made room.
-    pub(super) fn would_be_late(&self, request: &WaitingRequest, slack: Duration) -> bool {
+    /// Returns whether the request would miss its deadline even with no waiting work of lower
+    /// tiers.
+    pub(super) fn is_likely_late(&self, request: &WaitingRequest, slack: Duration) -> bool {
         if self.queue.is_empty() || !self.plan.refuses_late {
             return false;
         }
-        let wait = self.least_wait(request);
+        let wait = self.estimated_wait(request);
         wait > slack
             .saturating_sub(request.run_time)
-            .max(slack.mul_f64(1.0 - TOO_SHORT_SHARE))
-            .mul_f64(PATIENCE)
+            .max(slack.mul_f64(1.0 - MIN_DEADLINE_SHARE))
+            .mul_f64(MAX_WAIT_SHARE)
     }
 
-    /// Estimated wait of a request that arrives now, with no lower tier in its way: as its tier's queue was seen
-    /// to move, or, before any backlog, at what the limits should carry.
-    pub(super) fn least_wait(&self, request: &WaitingRequest) -> Duration {
+    /// Estimated wait of a request that arrives now, not counting lower tiers. Uses the measured
+    /// progress of its tier's queue or, before the first backlog, the rate expected from the
+    /// limits.
+    pub(super) fn estimated_wait(&self, request: &WaitingRequest) -> Duration {
         let (tier, organisation) = (request.tier, request.organisation);
         let span = self.queue.virtual_span(tier, organisation, request.weight);
-        let measured = self.meter.wait_seconds(tier, span);
-        let reckoned = || self.queue.waiting_tokens(tier) as f64 / self.drain_rate();
-        Duration::try_from_secs_f64(measured.unwrap_or_else(reckoned)).unwrap_or(Duration::MAX)
+        let measured = self.drain_meter.wait_seconds(tier, span);
+        let expected = || self.queue.waiting_tokens(tier) as f64 / self.expected_drain_rate();
+        Duration::try_from_secs_f64(measured.unwrap_or_else(expected)).unwrap_or(Duration::MAX)
     }
 
-    /// Tokens a second that the pool should work off, by Little's law: tokens in flight over their mean time.
-    pub(super) fn drain_rate(&self) -> f64 {
+    /// Expected throughput of the pool in tokens per second, by Little's law: tokens in flight
+    /// divided by the mean run time.
+    pub(super) fn expected_drain_rate(&self) -> f64 {
         (self.upstreams.live_limit(self.mean_cost) / self.run_seconds()).max(1.0)
     }
 
-    /// Sheds `request`, but only once nothing lower is admitted anywhere; until then it waits.
-    pub(super) fn shed(
+    /// Sheds `request` once no daemon admits a lower tier; until then it waits in the queue.
+    pub(super) fn shed_when_confirmed(
         &mut self,
         mut request: WaitingRequest,
         kind: AnswerKind,
         now: Moment,
         actions: &mut Vec<PoolAction>,
     ) {
-        if self.plan.sheds_alone {
-            return self.refuse_shed(&request, kind, now, actions);
+        if self.plan.sheds_locally {
+            return self.shed_now(&request, kind, now, actions);
         }
         let confirmed = self.floor.raise(request.tier, now);
         self.evict_below_floor(now, actions);
         if confirmed || now >= request.deadline {
-            return self.refuse_shed(&request, kind, now, actions);
+            return self.shed_now(&request, kind, now, actions);
         }
-        request.review_at = request.deadline.min(now + LATE_PAUSE);
+        request.review_at = request.deadline.min(now + LATE_RECHECK_INTERVAL);
         self.queue.requeue_front(request);
     }
 
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one pool: admission, waiting, placement, eviction and refusal.
+//! Scheduler of one pool: admission, queueing, placement, eviction and refusal of requests.
 
 mod admission;
 mod events;
@@ -6,9 +6,9 @@
 mod plan;
 mod reservations;
 
-pub use events::{ArrivedRequest, DispatchOutcome, OthersWaiting, PoolAction, PoolEvent};
+pub use events::{ArrivedRequest, DispatchOutcome, PeerWaiting, PoolAction, PoolEvent};
 pub use plan::PoolPlan;
-use reservations::ReservationPace;
+use reservations::ReservationLimiter;
 
 use super::{
     CapacityClass, CostModel, DrainMeter, EngineSpeed, FirstEventModel, Mechanism, Moment,
@@ -22,48 +22,49 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Share of dispatches that may be repeated because the first provably sent nothing.
+/// Redispatches allowed per dispatch, where the failed attempt provably sent no byte.
 const REDISPATCH_SHARE: f64 = 0.1;
-/// Most repeats saved up.
+/// Upper bound on accumulated redispatches.
 const REDISPATCH_BURST: f64 = 20.0;
-/// Requests that are passed over at most, one after the other, for want of a fitting place.
-const MOST_PASSED_OVER: usize = 8;
-/// A run takes this many seconds at least, so that a time that was measured as nought divides nothing.
-const LEAST_RUN_SECONDS: f64 = 1e-4;
-/// Time between judgements of stragglers.
-const JUDGE_PAUSE: Duration = Duration::from_millis(500);
+/// Consecutive requests to skip because no upstream with room suits them.
+const MAX_SKIPPED_REQUESTS: usize = 8;
+/// Lower bound on the run time, which prevents a division by zero.
+const MIN_RUN_SECONDS: f64 = 1e-4;
+/// Time between straggler checks.
+const STRAGGLER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct RunningRequest {
     request: WaitingRequest,
     upstream: UpstreamIndex,
-    /// True if the upstream's bound, not the demand, held work back when this was sent.
-    was_bound: bool,
-    dispatched: Moment,
-    /// Prompt tokens that the upstream has not yet read, as far as is known.
-    unread: u32,
-    /// Prompt tokens that the upstream had to read before its first event, its own among them.
-    ahead: u64,
-    /// How many times slower than usual the upstream was thought to be.
+    /// True if the upstream's limit, rather than demand, was the bottleneck at dispatch.
+    was_limited: bool,
+    dispatched_at: Moment,
+    /// Prompt tokens that the upstream is not yet known to have prefilled.
+    unread_tokens: u32,
+    /// Prompt tokens to prefill before the first event, this request's included.
+    tokens_ahead: u64,
+    /// Estimated slowdown of the upstream relative to the pool, at dispatch.
     slowness: f64,
-    /// True until the upstream has said whether it has a place.
-    is_asking: bool,
+    /// True until the upstream grants or refuses the slot reservation.
+    is_reserving: bool,
 }
 
-/// Numbers of a pool, for status and metrics.
+/// Pool counters for status pages and metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolStatus {
-    /// Requests waiting.
+    /// Requests in the queue.
     pub waiting: usize,
-    /// Requests at upstreams.
+    /// Requests dispatched to upstreams.
     pub running: usize,
-    /// Live upstreams.
+    /// Upstreams in the live state.
     pub live: usize,
-    /// The lowest tier admitted, if the floor is raised.
+    /// Lowest admitted tier; `None` if all tiers are admitted.
     pub floor: Option<TierRank>,
 }
 
-/// The scheduler of one pool. Pure: its only inputs are events, time and a random generator.
+/// Scheduler of one pool. Deterministic and free of I/O: its only inputs are events, the time and a
+/// random number generator.
 pub struct PoolScheduler {
     plan: PoolPlan,
     queue: Box<dyn WaitingQueue>,
@@ -72,50 +73,50 @@
     model: CostModel,
     first_events: FirstEventModel,
     floor: ShedFloor,
-    audit: ShedAudit,
+    shed_audit: ShedAudit,
     running: HashMap<RequestId, RunningRequest>,
     mean_cost: f64,
-    mean_run: Option<f64>,
-    meter: DrainMeter,
-    redispatches: f64,
-    judged_at: Moment,
-    reservations: ReservationPace,
-    others_waiting: OthersWaiting,
-    shares: SizeShares,
-    /// Queues inside the upstreams of a plain service.
-    crowd: UpstreamQueueMeter,
+    mean_run_seconds: Option<f64>,
+    drain_meter: DrainMeter,
+    redispatch_budget: f64,
+    stragglers_checked_at: Moment,
+    reservations: ReservationLimiter,
+    peer_waiting: PeerWaiting,
+    size_shares: SizeShares,
+    /// Queue lengths inside the upstreams of a plain service.
+    upstream_queues: UpstreamQueueMeter,
 }
 
 impl PoolScheduler {
-    /// A scheduler with no upstreams and nothing waiting.
+    /// Creates a scheduler with no upstreams and an empty queue.
     pub fn new(plan: PoolPlan) -> Self {
         let mut floor = ShedFloor::default();
-        floor.set_ranks(plan.ranks());
+        floor.set_ranks(plan.tier_ranks());
         let mut upstreams = UpstreamSet::default();
         upstreams.set_headroom(plan.headroom());
         PoolScheduler {
-            queue: plan.queue(),
+            queue: plan.new_queue(),
             placement: placement_policy(plan.placement),
             upstreams,
             model: CostModel::new(plan.counts_tokens),
             first_events: FirstEventModel::default(),
             floor,
-            audit: ShedAudit::default(),
+            shed_audit: ShedAudit::default(),
             running: HashMap::new(),
-            mean_cost: plan.mean_cost(),
-            mean_run: None,
-            meter: DrainMeter::default(),
-            redispatches: REDISPATCH_BURST,
-            judged_at: Moment(0),
-            reservations: ReservationPace::default(),
-            others_waiting: OthersWaiting::default(),
-            shares: SizeShares::default(),
-            crowd: UpstreamQueueMeter::default(),
+            mean_cost: plan.initial_mean_cost(),
+            mean_run_seconds: None,
+            drain_meter: DrainMeter::default(),
+            redispatch_budget: REDISPATCH_BURST,
+            stragglers_checked_at: Moment(0),
+            reservations: ReservationLimiter::default(),
+            peer_waiting: PeerWaiting::default(),
+            size_shares: SizeShares::default(),
+            upstream_queues: UpstreamQueueMeter::default(),
             plan,
         }
     }
 
-    /// Takes one event and appends what must be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         event: PoolEvent,
@@ -124,49 +125,50 @@
         actions: &mut Vec<PoolAction>,
     ) {
         match event {
-            PoolEvent::Arrived(request) => self.arrived(request, now, rng, actions),
+            PoolEvent::Arrived(request) => self.handle_arrival(request, now, rng, actions),
             PoolEvent::CallerLeft(id) => {
                 if let Some(request) = self.queue.remove(id) {
-                    self.count_end(&request, false);
+                    self.record_end(&request, false);
                 }
             }
-            PoolEvent::Granted(id) => self.granted(id),
-            PoolEvent::FirstToken { id, after } => self.first_token(id, after, now),
-            PoolEvent::TokenGap { id, gap } => self.token_gap(id, gap, now),
-            PoolEvent::Ended { id, outcome } => self.ended(id, outcome, now, actions),
-            PoolEvent::Reported { upstream, report } => {
-                self.note_crowd(upstream, report.queued, now);
+            PoolEvent::Granted(id) => self.handle_grant(id),
+            PoolEvent::FirstToken { id, after } => self.handle_first_token(id, after, now),
+            PoolEvent::TokenGap { id, gap } => self.handle_token_gap(id, gap, now),
+            PoolEvent::Ended { id, outcome } => self.handle_end(id, outcome, now, actions),
+            PoolEvent::LoadReported { upstream, report } => {
+                self.record_upstream_queue(upstream, report.queued, now);
                 self.upstreams.reported(upstream, report, now)
             }
-            PoolEvent::Word { upstream, word } => self.upstreams.apply_event(upstream, word),
+            PoolEvent::Lifecycle { upstream, event } => self.upstreams.apply_event(upstream, event),
             PoolEvent::CacheEvicted { upstream, block } => self.placement.evicted(block, upstream),
             PoolEvent::Sources(sources) => {
                 let plan = &self.plan;
-                self.upstreams.set_sources(&sources, |places| plan.limit_of(places))
+                self.upstreams.set_sources(&sources, |places| plan.initial_limit(places))
             }
-            PoolEvent::Born { upstream, incarnation } => {
+            PoolEvent::IncarnationReported { upstream, incarnation } => {
                 let plan = &self.plan;
                 self.upstreams
-                    .observe_incarnation(upstream, incarnation, |places| plan.limit_of(places))
+                    .observe_incarnation(upstream, incarnation, |places| plan.initial_limit(places))
             }
             PoolEvent::Plan(plan) => self.replace_plan(plan),
             PoolEvent::Share { share } => self.upstreams.set_share(share),
-            PoolEvent::LeaseLapsed => self.refuse_waiting(AnswerKind::TableStale, actions),
+            PoolEvent::LeaseExpired => self.refuse_waiting(AnswerKind::TableStale, actions),
             PoolEvent::FleetFloor(order) => {
                 self.floor.apply(order);
                 self.evict_below_floor(now, actions);
             }
-            PoolEvent::Others { rows, group, waiting } => {
+            PoolEvent::PeerLoad { rows, group, waiting } => {
                 self.upstreams.set_peer_work(&rows, now);
                 self.upstreams.set_group(group);
-                self.others_waiting = waiting;
+                self.peer_waiting = waiting;
             }
             PoolEvent::Tick => self.tick(now, actions),
         }
-        self.pump(now, rng, actions);
+        self.dispatch_waiting(now, rng, actions);
     }
 
-    /// Waiting requests keep their places as far as the new plan's order allows.
+    /// Applies a new plan. Waiting requests keep their positions as far as the new queue order
+    /// allows.
     fn replace_plan(&mut self, plan: PoolPlan) {
         if plan == self.plan {
             return;
@@ -179,35 +181,38 @@
             || plan.mechanisms != self.plan.mechanisms
         {
             let waiting = self.queue.drain();
-            self.queue = plan.queue();
+            self.queue = plan.new_queue();
             waiting.into_iter().for_each(|request| self.queue.push(request));
         }
         if plan.limit != self.plan.limit || plan.first_guess != self.plan.first_guess {
-            self.upstreams.update_all(|status| status.limit = plan.limit_of(status.source.places));
+            self.upstreams
+                .update_all(|status| status.limit = plan.initial_limit(status.source.places));
         }
         self.upstreams.set_headroom(plan.headroom());
         self.plan = plan;
-        self.floor.set_ranks(self.plan.ranks());
+        self.floor.set_ranks(self.plan.tier_ranks());
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
         while let Some(request) = self.queue.pop_for_review(now) {
             match self.plan.queue {
                 QueueChoice::Weighted => {
-                    self.shed(request, AnswerKind::DeadlineWaiting, now, actions)
+                    self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions)
                 }
-                QueueChoice::Urgency => self.look_at_late(request, now, actions),
+                QueueChoice::Urgency => self.recheck_late(request, now, actions),
                 QueueChoice::Fifo => {
-                    self.refuse_shed(&request, AnswerKind::DeadlineWaiting, now, actions);
+                    self.shed_now(&request, AnswerKind::DeadlineWaiting, now, actions);
                 }
             }
         }
         self.upstreams.resume_paused(now);
         let progress = self.plan.tiers.iter().map(|share| self.queue.progress(share.rank));
-        self.meter.tick(progress, now);
+        self.drain_meter.tick(progress, now);
         self.floor.relax(now);
-        if self.plan.avoids_stragglers && now.since(self.judged_at) >= JUDGE_PAUSE {
-            self.judged_at = now;
+        if self.plan.avoids_stragglers
+            && now.since(self.stragglers_checked_at) >= STRAGGLER_CHECK_INTERVAL
+        {
+            self.stragglers_checked_at = now;
             self.upstreams.update_stragglers();
         }
         if self.upstreams.live_count() == 0
@@ -217,78 +222,91 @@
         }
     }
 
-    /// Dispatches waiting requests while an upstream has room.
-    fn pump(&mut self, now: Moment, rng: &mut dyn RngCore, actions: &mut Vec<PoolAction>) {
-        // Only the order by worth can take a request back without harm to the order of the rest.
-        let most = if self.plan.sheds_alone { MOST_PASSED_OVER } else { 1 };
-        let mut passed_over = Vec::new();
-        while let Some(lowest) = self.lowest_served().filter(|_| self.reservations.may_try(now)) {
+    /// Dispatches waiting requests while any upstream has room.
+    fn dispatch_waiting(
+        &mut self,
+        now: Moment,
+        rng: &mut dyn RngCore,
+        actions: &mut Vec<PoolAction>,
+    ) {
+        // Only the queue ordered by value per cost can take back a request without disturbing the
+        // order of the rest.
+        let max_skipped = if self.plan.sheds_locally { MAX_SKIPPED_REQUESTS } else { 1 };
+        let mut skipped = Vec::new();
+        while let Some(lowest) =
+            self.lowest_tier_with_room().filter(|_| self.reservations.may_reserve(now))
+        {
             let Some(request) = self.queue.pop(lowest, now) else { break };
-            if self.leaves_places(&request, now) {
-                passed_over.push(request);
+            if self.has_to_yield(&request, now) {
+                skipped.push(request);
                 break;
             }
-            match self.place(&request, now, rng) {
+            match self.choose_upstream(&request, now, rng) {
                 Some(upstream) => self.dispatch(request, upstream, now, actions),
-                None => passed_over.push(request),
+                None => skipped.push(request),
             }
-            if passed_over.len() >= most {
+            if skipped.len() >= max_skipped {
                 break;
             }
         }
-        passed_over.into_iter().for_each(|request| self.queue.requeue_front(request));
+        skipped.into_iter().for_each(|request| self.queue.requeue_front(request));
     }
 
-    /// True if a late request has more before it at the group's other daemons than places will become free until those
-    /// daemons are heard again. One in time takes its chance: the group's order alone would starve the lowest lanes.
-    /// Without it, late requests of some daemons take places after a burst while requests of others become late.
-    fn leaves_places(&mut self, request: &WaitingRequest, now: Moment) -> bool {
+    /// Returns whether a request must leave free slots to requests of higher value.
+    ///
+    /// True for a late request if more requests precede it at the group's other daemons than slots
+    /// are expected to free up before those daemons report again. Otherwise, after a burst, late
+    /// requests of some daemons take slots while requests of other daemons become late. Requests
+    /// still in time are exempt: the group order alone would starve the lowest lanes.
+    fn has_to_yield(&mut self, request: &WaitingRequest, now: Moment) -> bool {
         let is_in_time = now <= request.start_by;
-        if !is_in_time && self.leaves_queues(now) {
+        if !is_in_time && self.has_long_upstream_queues(now) {
             return true;
         }
-        let has_order = self.plan.reserves && self.plan.mechanisms.has(Mechanism::GroupOrder);
+        let has_order =
+            self.plan.has_reservations && self.plan.mechanisms.has(Mechanism::GroupOrder);
         if is_in_time || request.is_underserved || !has_order {
             return false;
         }
         let Some(level) = self.queue.density_level(request, now) else { return false };
-        let before = self.others_waiting.levels.above(level);
-        f64::from(before) > self.freed_places(self.others_waiting.age)
+        let before = self.peer_waiting.levels.above(level);
+        f64::from(before) > self.expected_free_slots(self.peer_waiting.age)
     }
 
-    /// True while the upstreams of a plain service have long queues. A late request there makes those in time late.
-    fn leaves_queues(&self, now: Moment) -> bool {
+    /// Returns whether the upstreams of a plain service have long queues. A late request sent there
+    /// would make requests late that are still in time.
+    fn has_long_upstream_queues(&self, now: Moment) -> bool {
         !self.plan.counts_tokens
-            && self.plan.sheds_alone
+            && self.plan.sheds_locally
             && self.plan.mechanisms.has(Mechanism::LateWait)
-            && self.crowd.has_long_queues(now)
+            && self.upstream_queues.has_long_queues(now)
     }
 
-    /// Places of the group's upstreams that become free within a time, by Little's law.
-    fn freed_places(&self, time: Duration) -> f64 {
+    /// Expected number of the group's upstream slots that free up within `time`, by Little's law.
+    fn expected_free_slots(&self, time: Duration) -> f64 {
         let home = self.upstreams.iter().filter(|status| status.is_in_group);
         let running: u32 = home.map(|status| status.in_flight + status.peer_work.requests).sum();
         f64::from(running) / self.run_seconds() * time.as_secs_f64()
     }
 
-    /// Mean time of a run, in seconds: as measured, or else as estimated.
+    /// Mean run time in seconds: measured if known, otherwise estimated.
     pub(super) fn run_seconds(&self) -> f64 {
         let output = if self.plan.counts_tokens { self.model.mean_output() } else { 1.0 };
         let estimated = output * self.model.speed().gap_micros / 1e6;
-        self.mean_run.unwrap_or(estimated).max(LEAST_RUN_SECONDS)
+        self.mean_run_seconds.unwrap_or(estimated).max(MIN_RUN_SECONDS)
     }
 
-    /// Waiting requests by what they are worth for their cost.
+    /// Numbers of waiting requests by value per cost.
     pub fn waiting_levels(&self) -> WaitingLevels {
         self.queue.waiting_levels()
     }
 
-    /// What waits at the other daemons of the group, as last heard.
-    pub fn others_waiting(&self) -> &OthersWaiting {
-        &self.others_waiting
+    /// Requests waiting at the other daemons of the group, as last reported.
+    pub fn peer_waiting(&self) -> &PeerWaiting {
+        &self.peer_waiting
     }
 
-    fn place(
+    fn choose_upstream(
         &mut self,
         request: &WaitingRequest,
         now: Moment,
@@ -299,18 +317,18 @@
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
             speed: self.speed(),
-            capacity: self.room(request.tier),
+            capacity: self.room_kind(request.tier),
             event_tokens: self.plan.event_tokens,
             max_pause: request.pause,
             time_left: request.deadline.since(now),
-            required_fit: self.fit(request, now),
+            required_fit: self.required_fit(request, now),
             now,
         };
         self.placement.place(&self.upstreams, &query, rng)
     }
 
-    /// How well a place must fit the request, or it waits for another one.
-    fn fit(&self, request: &WaitingRequest, now: Moment) -> RequiredFit {
+    /// Returns how well an upstream must suit the request for it to be dispatched now.
+    fn required_fit(&self, request: &WaitingRequest, now: Moment) -> RequiredFit {
         if !self.plan.mechanisms.has(Mechanism::FitPlaces) {
             return RequiredFit::Any;
         }
@@ -320,22 +338,22 @@
         }
     }
 
-    /// The pool's speed as far as it is learned.
+    /// Engine speed of the pool, as learned so far.
     pub(super) fn speed(&self) -> EngineSpeed {
         let speed = self.model.speed();
-        if !self.knows_first_events() {
+        if !self.has_first_event_model() {
             return speed;
         }
         EngineSpeed { prefill_micros: self.first_events.slope_micros(), ..speed }
     }
 
-    /// True if times of first events are a base and a part for each token.
-    pub(super) fn knows_first_events(&self) -> bool {
-        self.plan.sheds_alone && self.plan.mechanisms.has(Mechanism::FirstEvents)
+    /// Returns whether time to first event is modelled as a base plus a time per prompt token.
+    pub(super) fn has_first_event_model(&self) -> bool {
+        self.plan.sheds_locally && self.plan.mechanisms.has(Mechanism::FirstEvents)
     }
 
-    /// The lowest tier that some upstream has room for; none if all are full.
-    fn lowest_served(&self) -> Option<TierRank> {
+    /// Lowest tier for which some upstream has room; `None` if all are full.
+    fn lowest_tier_with_room(&self) -> Option<TierRank> {
         if !self.upstreams.open(CapacityClass::Regular).is_empty() {
             return Some(TierRank(u8::MAX));
         }
@@ -343,7 +361,7 @@
         highest.filter(|_| !self.upstreams.open(CapacityClass::WithHeadroom).is_empty())
     }
 
-    fn room(&self, tier: TierRank) -> CapacityClass {
+    fn room_kind(&self, tier: TierRank) -> CapacityClass {
         match self.plan.tiers.first() {
             Some(highest) if tier <= highest.rank => CapacityClass::WithHeadroom,
             _ => CapacityClass::Regular,
@@ -359,38 +377,39 @@
     ) {
         self.placement.dispatched(&request.prefix, upstream);
         self.upstreams.dispatched(upstream, request.cost, now);
-        let unread = request.prompt_tokens;
-        let (ahead, slowness) = self.ahead_of(upstream, unread);
-        self.upstreams.update(upstream, |status| status.unread_tokens += u64::from(unread));
-        self.meter.dispatched(request.tier, request.cost);
-        self.redispatches = (self.redispatches + REDISPATCH_SHARE).min(REDISPATCH_BURST);
+        let unread_tokens = request.prompt_tokens;
+        let (tokens_ahead, slowness) = self.prefill_ahead(upstream, unread_tokens);
+        self.upstreams.update(upstream, |status| status.unread_tokens += u64::from(unread_tokens));
+        self.drain_meter.dispatched(request.tier, request.cost);
+        self.redispatch_budget = (self.redispatch_budget + REDISPATCH_SHARE).min(REDISPATCH_BURST);
         actions.push(PoolAction::Dispatch { id: request.id, upstream });
-        let was_bound = !self.queue.is_empty()
+        let was_limited = !self.queue.is_empty()
             || self.upstreams.get(upstream).is_some_and(|status| status.load() > 0.8);
-        let is_asking = self.plan.reserves;
-        if is_asking {
-            self.reservations.asked();
+        let is_reserving = self.plan.has_reservations;
+        if is_reserving {
+            self.reservations.record_request();
         }
         let running = RunningRequest {
             upstream,
-            was_bound,
-            dispatched: now,
-            unread,
-            ahead,
+            was_limited,
+            dispatched_at: now,
+            unread_tokens,
+            tokens_ahead,
             slowness,
-            is_asking,
+            is_reserving,
             request,
         };
         self.running.insert(running.request.id, running);
     }
 
-    /// Prompt tokens that an upstream reads before the first event of a request sent now, and how slow it is.
-    fn ahead_of(&self, upstream: UpstreamIndex, own: u32) -> (u64, f64) {
+    /// Prompt tokens that an upstream must prefill before the first event of a request dispatched
+    /// now, and the upstream's slowdown.
+    fn prefill_ahead(&self, upstream: UpstreamIndex, own: u32) -> (u64, f64) {
         let Some(status) = self.upstreams.get(upstream) else { return (u64::from(own), 1.0) };
         (status.total_unread_tokens() + u64::from(own), self.slowness(upstream))
     }
 
-    /// How many times slower than the pool's usual an upstream is; 1 if that is not known.
+    /// Time between tokens of an upstream divided by the pool's mean; 1 if unknown.
     pub fn slowness(&self, upstream: UpstreamIndex) -> f64 {
         let usual = self.model.speed().gap_micros.max(1.0);
         let gap = self.upstreams.get(upstream).and_then(UpstreamStatus::gap);
@@ -399,37 +418,37 @@
 
     fn refuse_waiting(&mut self, kind: AnswerKind, actions: &mut Vec<PoolAction>) {
         for request in self.queue.drain() {
-            self.count_end(&request, false);
+            self.record_end(&request, false);
             actions.push(PoolAction::Refuse { id: request.id, kind });
         }
     }
 
-    /// The upstreams.
+    /// All upstreams of the pool.
     pub fn upstreams(&self) -> &UpstreamSet {
         &self.upstreams
     }
 
-    /// The floor this daemon wants for the fleet.
+    /// Shed floor that this daemon requests from the fleet.
     pub fn wanted_floor(&self) -> Option<TierRank> {
         self.floor.wanted()
     }
 
-    /// Breaks of the shedding order; 0 unless the code is wrong or the queue has no tiers.
-    pub fn order_breaks(&self) -> u64 {
-        self.audit.violations()
+    /// Violations of the shedding order; nonzero only through a bug or if the queue has no tiers.
+    pub fn shed_order_violations(&self) -> u64 {
+        self.shed_audit.violations()
     }
 
-    /// The floor that this daemon keeps until the next order.
+    /// Shed floor that this daemon guarantees to keep until the next order.
     pub fn guaranteed_floor(&self) -> Option<TierRank> {
         self.floor.guaranteed()
     }
 
-    /// The lowest tier that is admitted here and may be waiting; none while every tier is.
-    pub fn kept_floor(&self) -> Option<TierRank> {
+    /// Lowest tier admitted here, which may therefore be waiting; `None` if all tiers are admitted.
+    pub fn effective_floor(&self) -> Option<TierRank> {
         self.floor.lowest_admitted()
     }
 
-    /// Estimated tokens waiting and running here.
+    /// Estimated tokens of this daemon's waiting and running requests.
     pub fn demand_tokens(&self) -> u64 {
         let waiting: u64 =
             self.plan.tiers.iter().map(|share| self.queue.waiting_tokens(share.rank)).sum();
@@ -437,14 +456,14 @@
         waiting + running
     }
 
-    /// The largest part of an upstream's limit that work of this daemon takes up.
-    pub fn used_share(&self) -> f64 {
+    /// Largest utilisation of any upstream's limit, as a fraction.
+    pub fn max_utilisation(&self) -> f64 {
         let used = self.upstreams.iter().map(UpstreamStatus::utilisation);
         used.fold(0.0, f64::max)
     }
 
-    /// The estimate for a request, as admission will see it.
-    pub fn cost_of(
+    /// Estimated cost of a request, as admission computes it.
+    pub fn estimate_cost(
         &self,
         organisation: OrganisationIndex,
         tier: TierRank,
@@ -454,7 +473,7 @@
         self.model.estimate(organisation, tier, prompt_bytes, output_limit).cost
     }
 
-    /// Numbers for status and metrics.
+    /// Current counters for status pages and metrics.
     pub fn status(&self) -> PoolStatus {
         PoolStatus {
             waiting: self.queue.len(),
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -211,7 +211,7 @@
 
     async fn refuse(&mut self, sink: Box<AnswerSink>, kind: AnswerKind) {
         let detail = match &self.target {
-            Some((name, _)) if kind.row().ran == crate::answer::RanWord::Unknown => {
+            Some((name, _)) if kind.row().ran == crate::answer::ExecutionStatus::Unknown => {
                 format!("upstream {name}")
             }
             _ => String::new(),
@@ -318,7 +318,7 @@
                 self.exchange.handle(ExchangeEvent::Opened, now);
                 let AnswerStream { head, pieces } = stream;
                 if let (Some(report), Some(upstream)) = (head.report, self.exchange.upstream()) {
-                    self.pool.tell(PoolEvent::Reported { upstream, report });
+                    self.pool.tell(PoolEvent::LoadReported { upstream, report });
                 }
                 let actions =
                     self.exchange.handle(ExchangeEvent::Head { echo: head.echo.as_deref() }, now);
@@ -332,7 +332,8 @@
                     return self.exchange.handle(ExchangeEvent::NotSent, now);
                 }
                 if let Some(upstream) = self.exchange.upstream() {
-                    self.pool.tell(PoolEvent::Word { upstream, word: UpstreamEvent::Unreachable });
+                    self.pool
+                        .tell(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Unreachable });
                 }
                 self.exchange.handle(ExchangeEvent::Cut, now)
             }
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -250,7 +250,7 @@
                     if !pool.is_still(upstream, incarnation) =>
                 {
                     // It was born anew since, or leaves: the place lapses by itself.
-                    word = guard.requeue(DispatchOutcome::Crowded);
+                    word = guard.requeue(DispatchOutcome::NoSlot);
                 }
                 Reservation::Granted { place, .. } => {
                     guard.granted();
@@ -268,10 +268,10 @@
                         place,
                     }));
                 }
-                Reservation::Full => word = guard.requeue(DispatchOutcome::Crowded),
+                Reservation::Full => word = guard.requeue(DispatchOutcome::NoSlot),
                 Reservation::Gone => {
-                    pool.tell(PoolEvent::Word { upstream, word: UpstreamEvent::Leaving });
-                    word = guard.requeue(DispatchOutcome::Crowded);
+                    pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Leaving });
+                    word = guard.requeue(DispatchOutcome::NoSlot);
                 }
                 Reservation::Unreachable => {
                     info!(self.state.log, "no word on a place"; "request" => self.id(), "upstream" => name.as_str());
@@ -391,9 +391,9 @@
             Err(AttemptFault::NotSent(detail)) => {
                 count.sent -= 1;
                 info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
-                placed.pool.tell(PoolEvent::Word {
+                placed.pool.tell(PoolEvent::Lifecycle {
                     upstream: placed.upstream,
-                    word: UpstreamEvent::Unreachable,
+                    event: UpstreamEvent::Unreachable,
                 });
                 placed.guard.end(DispatchOutcome::Failed);
                 if request.time_left().is_zero() {
@@ -446,11 +446,11 @@
         check_upstream(&request.state, placed.broken_upstream(), broken);
     }
     if let AttemptFault::NotRun { load: Some(report), .. } = fault {
-        placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report: *report });
+        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report: *report });
     }
     if let AttemptFault::NotRun { is_other: true, .. } = fault {
-        let word = UpstreamEvent::Leaving;
-        placed.pool.tell(PoolEvent::Word { upstream: placed.upstream, word });
+        let event = UpstreamEvent::Leaving;
+        placed.pool.tell(PoolEvent::Lifecycle { upstream: placed.upstream, event });
     }
     if let AttemptFault::Broken(_) | AttemptFault::Lost(_) = fault {
         request.note_version(placed, AnswerCount::Failed);
@@ -483,7 +483,7 @@
     info!(request.state.log, "refused"; "request" => request.id(), "kind" => kind.row().name,
         "route" => &request.route.route, "sent" => count.sent, "may_have_run" => count.may_have_run, "after_ms" => waited, request.size_fields());
     RefusalAnswer::new(kind, "", request.state.jitter())
-        .returning_within(request.return_time(kind))
+        .with_retry_after(request.return_time(kind))
         .response(request.id())
 }
 
@@ -495,7 +495,7 @@
         if kind == AnswerKind::Quarantined {
             return self.state.quarantine.held_for(self.fingerprint, self.state.clock.now());
         }
-        let is_overload = kind.row().shed || kind == AnswerKind::UpstreamRefused;
+        let is_overload = kind.row().is_shed || kind == AnswerKind::UpstreamRefused;
         let spread = RETURN_LEAST + (RETURN_MOST - RETURN_LEAST) * self.state.jitter();
         is_overload.then(|| self.time_left().mul_f64(spread))
     }
@@ -516,7 +516,7 @@
 ) -> Answered {
     let status = answer.response.status();
     if let Some(report) = answer.facts.load {
-        placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report });
+        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report });
     }
     if request.route.kind.is_stream() && status.is_success() {
         request.stage = RequestStage::Answering;
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -33,11 +33,11 @@
         refuses_late: true,
         avoids_stragglers: true,
         keeps_headroom: true,
-        sheds_alone: false,
+        sheds_locally: false,
         event_tokens: 1,
         size_share: 0.75,
         mechanisms: MechanismSet::default(),
-        reserves: false,
+        has_reservations: false,
     }
 }
 
@@ -87,7 +87,7 @@
     /// The transcript, checked: every request that ended did so once, and none was dispatched twice.
     pub fn transcript(self) -> String {
         assert!(self.dispatches.values().all(|count| *count == 1), "{:?}", self.dispatches);
-        assert_eq!(self.scheduler.order_breaks(), 0, "{}", self.log);
+        assert_eq!(self.scheduler.shed_order_violations(), 0, "{}", self.log);
         self.log
     }
 
@@ -259,7 +259,7 @@
             if is_leaving { ", leaving" } else { "" }
         ));
         let report = LoadReport { running, is_leaving, ..LoadReport::default() };
-        self.tell(PoolEvent::Reported { upstream: UpstreamIndex(upstream), report });
+        self.tell(PoolEvent::LoadReported { upstream: UpstreamIndex(upstream), report });
         self
     }
 
@@ -284,7 +284,7 @@
     /// The daemon's currency lease runs out.
     pub fn lease_lapsed(&mut self) -> &mut Self {
         self.note("currency lease ran out");
-        self.tell(PoolEvent::LeaseLapsed);
+        self.tell(PoolEvent::LeaseExpired);
         self
     }
 
--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
 use tarragonknot::policy::{
-    DispatchOutcome, FleetGroup, Mechanism, MechanismSet, Moment, OthersWaiting, PeerWork,
+    DispatchOutcome, FleetGroup, Mechanism, MechanismSet, Moment, PeerWaiting, PeerWork,
     PoolAction, PoolEvent, PoolScheduler, RequestId, UpstreamIndex, WaitingLevels,
 };
 
@@ -83,7 +83,7 @@
 impl SharedPlaces {
     fn new(off: &[Mechanism], seed: u64) -> Self {
         let mut plan = urgency_plan();
-        plan.reserves = true;
+        plan.has_reservations = true;
         plan.first_guess = PLACES;
         plan.mechanisms = MechanismSet::without(off);
         let daemons = (0..DAEMONS).map(|_| PoolScheduler::new(plan.clone())).collect();
@@ -163,7 +163,7 @@
         let (daemon, id, upstream) = sent;
         let running = &mut self.running[upstream.0 as usize];
         if *running >= PLACES {
-            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::Crowded };
+            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::NoSlot };
             return self.tell(daemon, event, now);
         }
         *running += 1;
@@ -189,9 +189,9 @@
                 }
             }
             let age = Duration::from_millis(WORD_AGE + PAUSE);
-            let waiting = OthersWaiting { levels, age };
+            let waiting = PeerWaiting { levels, age };
             let rows = work.into_iter().collect();
-            let event = PoolEvent::Others { rows, group: FleetGroup::default(), waiting };
+            let event = PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting };
             self.push(now + WORD_AGE, DueEvent::Hear { daemon, event });
         }
         self.push(now + PAUSE, DueEvent::Speak);
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
 use tarragonknot::policy::{
-    ArrivedRequest, DispatchOutcome, FleetGroup, Moment, OthersWaiting, PeerWork, PoolAction,
+    ArrivedRequest, DispatchOutcome, FleetGroup, Moment, PeerWaiting, PeerWork, PoolAction,
     PoolEvent, PoolPlan, PoolScheduler, RequestId, RequestSizes, RouteKey, RouteSizes,
     UpstreamIndex, WaitingLevels,
 };
@@ -167,7 +167,7 @@
 impl<'a> SizedPlay<'a> {
     fn new(load: &'a SizedLoad, change: impl Fn(&mut PoolPlan)) -> Self {
         let mut plan = urgency_plan();
-        plan.reserves = true;
+        plan.has_reservations = true;
         plan.first_guess = PLACES;
         change(&mut plan);
         let sizes = vec![RouteSizes::default(); load.kinds.len()];
@@ -296,7 +296,7 @@
         let daemon = request.daemon;
         let engine = upstream.0 as usize;
         if self.running[engine] >= PLACES {
-            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::Crowded };
+            let event = PoolEvent::Ended { id, outcome: DispatchOutcome::NoSlot };
             return self.tell(daemon, event, now);
         }
         self.running[engine] += 1;
@@ -353,9 +353,9 @@
                 (name.clone(), PeerWork { requests, ..PeerWork::default() })
             });
             let age = Duration::from_micros(WORD_AGE + PAUSE);
-            let waiting = OthersWaiting { levels: others, age };
+            let waiting = PeerWaiting { levels: others, age };
             let group = FleetGroup::default();
-            let event = PoolEvent::Others { rows: work.collect(), group, waiting };
+            let event = PoolEvent::PeerLoad { rows: work.collect(), group, waiting };
             self.push(now + WORD_AGE, DueEvent::Tell { daemon, event });
         }
         self.push(now + PAUSE, DueEvent::Speak);
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -200,7 +200,7 @@
 
         prop_assert_eq!(ended.len(), count);
         prop_assert!(ended.values().all(|times| *times == 1));
-        prop_assert_eq!(scheduler.order_breaks(), 0);
+        prop_assert_eq!(scheduler.shed_order_violations(), 0);
     }
 }
 
@@ -291,7 +291,7 @@
     for upstream in [0, 1] {
         let upstream = tarragonknot::policy::UpstreamIndex(upstream);
         scheduler.handle(
-            PoolEvent::Reported { upstream, report: LoadReport::default() },
+            PoolEvent::LoadReported { upstream, report: LoadReport::default() },
             now,
             &mut rng,
             &mut actions,
