--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -1,7 +1,8 @@
-//! Requests by route: what a platform's callers send, carried to upstreams under the routes' rules.
+//! Request routing: forwards platform callers' requests to upstreams according to the route table.
 //!
-//! The way of a request: [`door`] reads and admits it, [`carry`] has it placed and sends it, [`relay`] passes
-//! a stream's events on. What the headers say is read by a [`CallDialect`]; nothing here knows their names.
+//! [`door`] reads and admits a request, [`carry`] has it placed and sends it, and [`relay`] passes
+//! the events of a streaming answer on. A [`CallDialect`] reads and writes the platform's headers;
+//! nothing in this module depends on header names.
 
 mod attempt;
 mod carry;
@@ -20,5 +21,5 @@
 pub use events::EventCutter;
 pub use index::RouteIndex;
 
-/// Stands for callers of public routes without a key, together.
+/// Index shared by all callers of public routes that present no key.
 const NO_ORGANISATION: OrganisationIndex = OrganisationIndex(u32::MAX);
