--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, up to the head of its answer.
+//! Sends a request to one upstream and waits for the head of the answer.
 
 use super::carry::CarriedRequest;
 use super::dialect::{AnswerFacts, SendFacts};
@@ -12,26 +12,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A kept connection is used again within this time of its last answer. Longer than the gap between requests to
-/// one upstream, since new connections cost the upstreams; shorter than what lies between tells of one that went
-/// silent.
+/// Longest idle time after which a connection is reused. Longer than the gap between requests to
+/// one upstream, since opening connections loads upstreams; shorter than the time after which a
+/// network device in between may drop an idle connection without notice.
 const KEPT_ALIVE: Duration = Duration::from_secs(10);
 
-/// How a send ended before an answer began.
+/// Why a send failed before an answer began.
 #[derive(Debug)]
 pub enum AttemptFault {
-    /// No byte left this machine.
+    /// No byte was sent.
     NotSent(String),
-    /// The upstream says that it did not run the request.
+    /// The upstream reports that it did not run the request.
     NotRun {
-        /// True if it is another incarnation than the one meant.
+        /// True if the upstream is not the expected incarnation.
         is_other: bool,
-        /// Its load.
+        /// The load that the upstream reports.
         load: Option<LoadReport>,
     },
-    /// The connection ended before the answer did: it may have run, and the upstream may have ended.
+    /// The connection closed before the answer was complete. The request may have run, and the
+    /// upstream may have terminated.
     Broken(String),
-    /// It may have run; the connection held.
+    /// No usable answer came, although the connection stayed open. The request may have run.
     Lost(String),
 }
 
@@ -40,26 +41,26 @@
         match self {
             AttemptFault::NotSent(detail) => write!(formatter, "nothing was sent: {detail}"),
             AttemptFault::NotRun { is_other: true, .. } => {
-                formatter.write_str("another incarnation")
+                formatter.write_str("the upstream is another incarnation")
             }
             AttemptFault::NotRun { is_other: false, .. } => {
-                formatter.write_str("it did not run it")
+                formatter.write_str("the upstream did not run the request")
             }
             AttemptFault::Broken(detail) | AttemptFault::Lost(detail) => {
-                write!(formatter, "it may have run: {detail}")
+                write!(formatter, "the request may have run: {detail}")
             }
         }
     }
 }
 
-/// An answer whose head has come.
+/// An answer whose head has been received.
 pub struct OpenAnswer {
     pub response: Response<Incoming>,
     pub facts: AnswerFacts,
     pub connection: ConnectionGuard,
 }
 
-/// Sends the request; `last_event` is the event after which a stream goes on.
+/// Sends the request. `last_event` is the id of the event after which a stream resumes.
 pub async fn send(
     request: &CarriedRequest,
     address: SocketAddr,
@@ -78,8 +79,8 @@
     let connection = connection.kept_for(facts.keeps_idle);
     let is_own = facts.echo.is_none() || facts.echo == request.facts.id;
     if !is_own {
-        // Another request's late answer: what else comes on this connection is not to be trusted either.
-        return Err(AttemptFault::Lost("the answer bears another request's id".to_owned()));
+        // A late answer to another request: the rest of the connection is unreliable too.
+        return Err(AttemptFault::Lost("the answer carries the id of another request".to_owned()));
     }
     if facts.is_not_run {
         let is_other = facts.is_other_incarnation;
@@ -117,7 +118,8 @@
     Ok(call)
 }
 
-/// The caller's headers that concern more than one connection. The body is sent whole, with a length of ours.
+/// The caller's end-to-end headers. `Content-Length` and `Expect` are dropped: the body is buffered
+/// and sent whole, with a newly computed length.
 fn passed_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = end_to_end_headers(headers);
     passed.remove(CONTENT_LENGTH);
