--- a/src/traffic/routed/dialect.rs
+++ b/src/traffic/routed/dialect.rs
@@ -1,100 +1,102 @@
-//! What a platform's headers say, in our words. The platform's adapter implements the trait; traffic decides.
+//! Platform-independent view of a platform's headers.
+//!
+//! A platform adapter implements [`CallDialect`]; all decisions are made by the traffic code.
 
 use crate::policy::LoadReport;
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode};
 use std::time::Duration;
 
-/// What a caller's headers say.
+/// Metadata that a caller sends in its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallerFacts {
-    /// The caller's id of this attempt; upstreams echo it.
+    /// The caller's id of this attempt, which upstreams echo.
     pub id: Option<String>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: Option<u32>,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub output_limit: Option<u32>,
-    /// The caller's guess of output tokens; right at the median, often far off.
+    /// The caller's estimate of output tokens: correct at the median, but often far off.
     pub output_guess: Option<u32>,
-    /// The last event that the caller has, where it resumes a stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What the daemon tells an upstream beside the caller's request.
+/// Metadata that the daemon adds to a request sent to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts<'a> {
-    /// What is left of the caller's time.
+    /// Time left until the caller's deadline.
     pub deadline: Option<Duration>,
-    /// The upstream's incarnation that is meant; another one must not run the request.
+    /// The expected incarnation of the upstream; any other must not run the request.
     pub incarnation: &'a str,
-    /// The organisation whose key the caller has.
+    /// The organisation that owns the caller's key.
     pub organisation: Option<&'a str>,
-    /// The event after which a stream goes on.
+    /// Id of the event after which a stream resumes.
     pub last_event: Option<u64>,
-    /// The place that the upstream reserved for the request.
+    /// Id of the place that the upstream reserved for the request.
     pub place: Option<&'a str>,
 }
 
-/// A place that is asked for at an upstream.
+/// A request to an upstream to reserve a place.
 #[derive(Clone, Copy, Debug)]
 pub struct PlaceWanted<'a> {
-    /// The upstream's incarnation that is meant.
+    /// The expected incarnation of the upstream.
     pub incarnation: &'a str,
-    /// Tokens of prompt and answer together, at most.
+    /// Maximum number of prompt and output tokens together.
     pub tokens: u32,
-    /// How long it is to be held for the request to come.
+    /// How long the upstream holds the place for the request to arrive.
     pub held_for: Duration,
 }
 
-/// What an upstream says to one who asks for a place.
+/// An upstream's reply to a reservation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlaceWord {
-    /// It has one.
+    /// A place was reserved.
     Reserved {
-        /// The place's name.
+        /// Id of the place.
         place: String,
-        /// The upstream's incarnation, where it says.
+        /// The upstream's incarnation, if the reply states it.
         incarnation: Option<u64>,
     },
-    /// It has none.
+    /// No place is free.
     Full,
-    /// It is another incarnation than was meant.
+    /// The upstream is not the expected incarnation.
     OtherIncarnation,
-    /// It does not reserve places, or not now.
+    /// The upstream does not reserve places, permanently or for now.
     Unknown,
 }
 
-/// What the head of an upstream's answer says.
+/// Metadata in the head of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerFacts {
-    /// The id of the request that it answers.
+    /// Id of the request that the upstream answers.
     pub echo: Option<String>,
-    /// True if the upstream says that it did not run the request.
+    /// True if the upstream reports that it did not run the request.
     pub is_not_run: bool,
-    /// True if the upstream is another incarnation than was meant.
+    /// True if the upstream is not the expected incarnation.
     pub is_other_incarnation: bool,
-    /// True if the answer bears the upstream's signature.
+    /// True if the answer carries the upstream's signature.
     pub is_signed: bool,
-    /// Its load.
+    /// The load that the upstream reports.
     pub load: Option<LoadReport>,
-    /// How long it keeps the connection open while idle.
+    /// How long the upstream keeps an idle connection open.
     pub keeps_idle: Option<Duration>,
 }
 
-/// A platform's headers.
+/// Reads and writes the headers of one platform.
 pub trait CallDialect: Send + Sync {
     /// Reads a caller's headers.
     fn read_caller(&self, headers: &HeaderMap) -> CallerFacts;
-    /// Makes a caller's headers those that go to an upstream.
+    /// Turns a caller's headers into those of the request to an upstream.
     fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
-    /// Reads the head of an answer.
+    /// Reads the metadata of an answer from its status and headers.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
-    /// The call that asks for a place; none if the platform has none.
+    /// Builds the request that reserves a place; `None` if the platform has no reservations.
     fn place_call(&self, wanted: &PlaceWanted<'_>) -> Option<Request<Bytes>>;
-    /// Reads the answer to such a call.
+    /// Reads the reply to a reservation request.
     fn read_place(&self, status: StatusCode, body: &[u8]) -> PlaceWord;
 }
