--- a/src/traffic/routed/events.rs
+++ b/src/traffic/routed/events.rs
@@ -1,12 +1,12 @@
-//! Cuts a stream of server-sent events (WHATWG HTML, section 9.2) into whole events; pure.
+//! Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of an event stream that are not yet passed on.
+/// Buffers the bytes of an event stream until they form complete events.
 ///
-/// What goes wrong without it: an upstream that stops in the middle of an event leaves half of it with the
-/// caller, and the event of the upstream that goes on is joined to it. One would notice by a caller that
-/// cannot read an event, or reads one twice.
+/// If partial events were passed on, an upstream that stops in the middle of an event would leave
+/// half of it with the caller, and the first event of the upstream that resumes the stream would be
+/// appended to it: the caller would fail to parse an event, or would read one twice.
 #[derive(Debug, Default)]
 pub struct EventCutter {
     pending: BytesMut,
@@ -15,9 +15,9 @@
 }
 
 impl EventCutter {
-    /// Takes bytes; returns the whole events among what is there now, none if there is none.
+    /// Appends bytes; returns all complete events in the buffer, or `None` if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        // Only the new bytes, and the two before them, can hold a new end of an event.
+        // A new terminator may span up to three bytes before the new ones (`\r\n\r\n`).
         let from = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
         let end = last_end(&self.pending, from)?;
@@ -26,23 +26,23 @@
         Some(whole)
     }
 
-    /// What is left when the stream has ended well.
+    /// Returns the unterminated rest after the stream has ended normally.
     pub fn rest(&mut self) -> Option<Bytes> {
         let rest = self.pending.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// Drops half an event, before another upstream goes on.
+    /// Discards a partial event before another upstream resumes the stream.
     pub fn drop_half(&mut self) {
         self.pending.clear();
     }
 
-    /// The id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Whole events so far.
+    /// Number of complete events with an id so far.
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The end of the last whole event, looking at places from `from` on.
+/// Returns the end of the last complete event, searching from offset `from`.
 fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
     let tail = &bytes[from..];
     let plain = tail.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
