--- a/src/traffic/routed/index.rs
+++ b/src/traffic/routed/index.rs
@@ -1,17 +1,17 @@
-//! The routes of one table, found by host and longest path prefix.
+//! Looks up the routes of a table by host and longest path prefix.
 
 use crate::table::{OperatorTable, RouteRow};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Routes by host, the longest prefix first.
+/// Routes grouped by host and ordered by descending length of the path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
     by_host: HashMap<String, Vec<Arc<RouteRow>>>,
 }
 
 impl RouteIndex {
-    /// Indexes the routes of `table`.
+    /// Builds the index from the routes of `table`.
     pub fn new(table: &OperatorTable) -> Self {
         let mut index = RouteIndex::default();
         for row in &table.routes {
@@ -25,7 +25,7 @@
         index
     }
 
-    /// The route of a request; `host` may carry a port.
+    /// Finds the route of a request; `host` may include a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteRow>> {
         let lower = host.to_ascii_lowercase();
         let name = lower.split(':').next().unwrap_or_default();
