--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -1,9 +1,10 @@
-//! Asks an upstream for a place before a request is sent there.
+//! Reserves a place at an upstream before a request is sent there.
 //!
-//! What goes wrong without it: many daemons know late what the others have sent, choose the same engine, and the request
-//! waits there behind others while places elsewhere are free (measured on a fleet of 64: a third of all sends, of which
-//! 28 % began late; of the others almost none). Also, an engine that says nothing is found out before the request is
-//! there, which may be sent once only.
+//! Daemons learn late what others have sent. Without reservations several of them choose the same
+//! engine, and the request queues there while places elsewhere are free. In a fleet of 64 this
+//! affected a third of all sends; 28 % of those began late, and almost none of the others. A
+//! reservation also detects an unresponsive engine before the request, which may be sent only once,
+//! has been sent there.
 
 use super::carry::CarriedRequest;
 use super::dialect::{PlaceWanted, PlaceWord};
@@ -13,38 +14,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An upstream answers within this time, or counts as unreachable. Far above the way there and back (at most 10 ms on
-/// the given platform), below the objective of the shortest route.
+/// An upstream that does not answer within this time counts as unreachable. Far above the
+/// round-trip time (at most 10 ms on the given platform) and below the shortest latency objective
+/// of a route.
 const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// A connection that was idle for longer is not used.
+/// Longest idle time after which a connection is reused.
 const KEPT_ALIVE: Duration = Duration::from_secs(10);
-/// A place is held for this long at most: the request follows at once.
+/// Maximum lifetime of a reservation; short, since the request follows immediately.
 const HELD_FOR: Duration = Duration::from_millis(1_000);
-/// Largest answer, in bytes.
+/// Maximum size of a reply, in bytes.
 const ANSWER_LIMIT: usize = 4 << 10;
 
-/// What came of asking.
+/// Outcome of a reservation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// The request may be sent, with the place's name where there is one.
+    /// The request may be sent, with the id of the place if one was reserved.
     Granted {
-        /// The place's name.
+        /// Id of the place.
         place: Option<String>,
-        /// The upstream's incarnation, where it says.
+        /// The upstream's incarnation, if the reply states it.
         incarnation: Option<u64>,
     },
-    /// There is no place.
+    /// No place is free.
     Full,
-    /// The upstream has gone; another one has its address.
+    /// The upstream is gone; its address now belongs to another incarnation.
     Gone,
-    /// It does not answer.
+    /// The upstream does not answer.
     Unreachable,
 }
 
-/// Granted where no places are reserved.
+/// Outcome for upstreams that do not reserve places.
 pub const NO_PLACE: Reservation = Reservation::Granted { place: None, incarnation: None };
 
-/// Asks the upstream at `address` for a place for a request.
+/// Reserves a place for a request at the upstream at `address`, for `longest` at most.
 pub async fn reserve(
     request: &CarriedRequest,
     address: SocketAddr,
@@ -68,7 +70,7 @@
     }
 }
 
-/// The upstream's word; none if none came.
+/// Sends the reservation request; `None` if no readable reply came.
 async fn ask(
     request: &CarriedRequest,
     address: SocketAddr,
