--- a/src/traffic/routed/size_fields.rs
+++ b/src/traffic/routed/size_fields.rs
@@ -1,10 +1,10 @@
-//! A request's size, as fields of log lines.
+//! Log fields that describe the size of a request.
 
 use super::dialect::CallerFacts;
 use crate::policy::SizeTenth;
 use slog::{KV, Record, Result, Serializer};
 
-/// What is known of a request's size, in tokens, and whether its caller has been here before.
+/// The known sizes of a request, in tokens, and whether its caller is retrying it.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeFields {
     tenth: Option<SizeTenth>,
@@ -15,7 +15,7 @@
 }
 
 impl SizeFields {
-    /// The fields of a request whose caller says `facts`.
+    /// Collects the fields from the caller's metadata.
     pub fn new(facts: &CallerFacts, tenth: Option<SizeTenth>, has_returned: bool) -> Self {
         SizeFields {
             tenth,
