--- a/src/traffic/routed/door.rs
+++ b/src/traffic/routed/door.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request, finds its route and organisation, and admits it.
+//! Admission: reads a caller's request, matches its route and organisation, and applies the limits.
 
 use super::carry::{CarriedRequest, RequestStage, carry};
 use super::dialect::{CallDialect, CallerFacts};
@@ -22,22 +22,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest request body, in bytes; the given platform's own bound is 4 MiB.
+/// Maximum size of a request body, in bytes: the given platform's own limit of 4 MiB.
 const BODY_LIMIT: usize = 4 << 20;
-/// A caller must send its body within this time.
+/// Time within which a caller must send the whole body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Part of its time after which a caller beyond its organisation's limit is told to return: as late as it may, since
-/// who is beyond its limit is so for seconds.
+/// Fraction of its deadline after which a caller over its organisation's limit is told to retry: as
+/// late as the caller may, since an organisation stays over its limit for seconds.
 const LIMIT_RETURN: f64 = 0.3;
-/// How long a request waits for a daemon's first table.
+/// How long a request waits for the daemon's first table.
 const TABLE_WAIT: Duration = Duration::from_millis(1_500);
-/// How long a request waits for a daemon's first list of upstreams. Callers are there as soon as the daemon listens, and a
-/// refusal would cost each its only retry; organisations' limits, empty in a new process, fill meanwhile.
+/// How long a request waits for the daemon's first list of upstreams. Callers connect as soon as
+/// the daemon listens, and a refusal would cost each of them its only retry. Meanwhile the limits
+/// of organisations, which start empty in a new process, fill up.
 const LIST_WAIT: Duration = Duration::from_millis(1_500);
-/// The deadline of requests that name none.
+/// Deadline of requests that state none.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
 
-/// The service that answers callers by route.
+/// The HTTP service that answers callers by route.
 pub fn routed_router(state: Arc<TrafficState>) -> Router {
     let calls = tower::service_fn(move |request| {
         let answer = answer(Arc::clone(&state), request);
@@ -76,7 +77,7 @@
     facts: CallerFacts,
     arrived_at: Moment,
 ) -> Result<Box<CarriedRequest>, AnswerKind> {
-    // Without a table nothing is known of routes and keys: that is no reason to call them unknown.
+    // Without a table, routes and keys cannot be checked, so they must not be reported as unknown.
     if !has_table_soon(state).await {
         return Err(AnswerKind::TableStale);
     }
@@ -142,8 +143,9 @@
     }))
 }
 
-/// Waits a little for a first table. A daemon that has just started gets it within a part of a second, while the
-/// callers that were waiting for it to listen are there at once; a refusal would cost each its only retry.
+/// Waits up to [`TABLE_WAIT`] for the first table; returns whether one is current. A new daemon
+/// receives it within a fraction of a second, but callers connect as soon as it listens, and a
+/// refusal would cost each of them its only retry.
 async fn has_table_soon(state: &TrafficState) -> bool {
     let arrival = async {
         loop {
@@ -157,7 +159,7 @@
     state.is_current() || tokio::time::timeout(TABLE_WAIT, arrival).await.is_ok()
 }
 
-/// What an upstream will be given to run, whatever the caller's id of this attempt.
+/// Fingerprint of what an upstream would run, independent of the caller's id of this attempt.
 fn fingerprint_of(entry: &RouteEntry, parts: &Parts, body: &[u8]) -> RequestFingerprint {
     let caller = entry.caller.as_ref();
     RequestFingerprint::of(&RequestContent {
@@ -169,14 +171,14 @@
     })
 }
 
-/// What the table says of a request.
+/// The route and the caller that the table gives for a request.
 pub struct RouteEntry {
     pub route: Arc<RouteRow>,
     pub caller: Option<CallerIdentity>,
 }
 
-/// Finds a request's route and the organisation of its key; also asked again before each send, since the table
-/// may have changed while the request waited.
+/// Finds the route of a request and the organisation of its key. Called again before each send,
+/// since the table may have changed while the request waited.
 pub fn find_entry(
     snapshot: &TableSnapshot,
     parts: &Parts,
@@ -194,7 +196,7 @@
     Ok(RouteEntry { route: Arc::clone(route), caller })
 }
 
-/// The guess of the output is right at the median; the limit bounds it.
+/// The caller's output estimate is correct at the median; the output limit caps it.
 fn sizes_of(facts: &CallerFacts) -> Option<RequestSizes> {
     let prompt = facts.prompt_tokens?;
     let limit = facts.output_limit.unwrap_or(u32::MAX);
@@ -213,7 +215,7 @@
     }
 }
 
-/// A request's part of its organisation's limit.
+/// The share of its organisation's limit that a request holds; released on drop.
 pub struct LimitGuard {
     state: Arc<TrafficState>,
     organisation: OrganisationIndex,
