--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -1,4 +1,4 @@
-//! Carries an admitted request: waits for its place, sends it, and sends it again where the route allows.
+//! Forwards an admitted request: waits for placement, sends it, and retries where the route allows.
 
 use super::attempt::{AttemptFault, OpenAnswer, send};
 use super::dialect::{CallDialect, CallerFacts};
@@ -30,30 +30,31 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A resumable stream without a first event is sent elsewhere after this many times its objective.
+/// A resumable stream without a first event, or a safe request without an answer, is sent to
+/// another upstream after this many times its latency objective.
 const FIRST_EVENT_PATIENCE: u32 = 2;
-/// At least this long, since engines under load make first events late without being lost.
+/// Lower bound of that time: under load engines deliver first events late without having failed.
 const LEAST_PATIENCE: Duration = Duration::from_millis(1_200);
 
-/// Parts of the time left between which callers are told to return: the platform's callers wait for a third of it
-/// at most.
+/// Callers are told to retry after a fraction of the remaining time between these bounds; callers
+/// of the platform wait for at most a third of it.
 const RETURN_LEAST: f64 = 0.2;
 const RETURN_MOST: f64 = 0.33;
 
-/// How far a request has come; told when its caller leaves.
+/// Progress of a request, logged when its caller disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// It waits for a place.
+    /// The request waits for placement.
     Waiting,
-    /// It was sent; no answer has begun.
+    /// The request was sent; no answer has begun.
     Sent,
-    /// Its answer has begun.
+    /// The answer has begun.
     Answering,
-    /// Its end was told.
+    /// The end of the request has been logged.
     Ended,
 }
 
-/// A request on its way.
+/// A request that was admitted and has not ended.
 pub struct CarriedRequest {
     pub stage: RequestStage,
     pub state: Arc<TrafficState>,
@@ -61,45 +62,45 @@
     pub route: Arc<RouteRow>,
     pub caller: Option<CallerIdentity>,
     pub sizes: Option<RequestSizes>,
-    /// Its tenth by size among the recent requests of its route, if that is known.
+    /// Decile of its size among the recent requests of its route, if known.
     pub size_tenth: Option<SizeTenth>,
-    /// When the caller's or the route's time is over, whichever is first.
+    /// The earlier of the caller's deadline and the route's timeout.
     pub deadline: Moment,
-    /// True if the caller named a deadline.
+    /// True if the caller stated a deadline.
     pub has_deadline: bool,
-    /// True if its caller has been here before with it, as far as that can be told.
+    /// True if this appears to be a retry by its caller.
     pub has_returned: bool,
     pub facts: CallerFacts,
-    /// What the request is known by when it comes again.
+    /// Identifies the same request when it is sent again.
     pub fingerprint: RequestFingerprint,
     pub parts: Parts,
     pub body: Bytes,
     pub arrived_at: Moment,
     pub limit: Option<LimitGuard>,
-    /// Counts the request as in progress until it has ended.
+    /// Counts the request as in progress until dropped.
     pub _progress: ProgressGuard,
 }
 
-/// Where a request was sent.
+/// The placement of a request at an upstream.
 pub struct PlacedRequest {
     pub pool: Arc<PoolRuntime>,
     pub guard: RequestGuard,
-    /// The request's number in its pool.
+    /// The request's id in its pool.
     pub number: RequestId,
     pub upstream: UpstreamIndex,
     pub name: UpstreamName,
     pub address: SocketAddr,
     pub sent_at: Moment,
-    /// The place that the upstream reserved.
+    /// Id of the place that the upstream reserved.
     pub place: Option<String>,
-    /// The version that it has in its service's roll-out, if there is one.
+    /// The arm of the service's roll-out that the upstream's version belongs to.
     pub arm: VersionArm,
-    /// The request's part of the share of a version on trial.
+    /// Set if the request counts towards the share of a version on trial.
     pub ticket: Option<TrialTicket>,
 }
 
 impl PlacedRequest {
-    /// Its upstream, as one whose connection broke.
+    /// Describes the upstream for the crash check after a broken connection.
     fn broken_upstream(&self) -> BrokenUpstream {
         BrokenUpstream {
             service: self.pool.service.clone(),
@@ -112,18 +113,18 @@
     }
 }
 
-/// What the sends of one request have come to.
+/// The sends of one request so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SendCount {
-    /// Upstreams that it was sent to.
+    /// Number of upstreams that the request was sent to.
     pub sent: u32,
-    /// True if one of them may have run it.
+    /// True if one of them may have run the request.
     pub may_have_run: bool,
 }
 
 impl Drop for CarriedRequest {
-    /// A caller that leaves ends the request wherever it is; without a line of its own such a request would seem to
-    /// hang for ever to whoever reads the logs.
+    /// A caller that disconnects ends the request at any stage. Without this log line the request
+    /// would seem to hang forever in the logs.
     fn drop(&mut self) {
         if self.stage != RequestStage::Ended {
             let after = self.state.clock.now().since(self.arrived_at).as_millis() as u64;
@@ -135,12 +136,12 @@
 }
 
 impl CarriedRequest {
-    /// What is left of the time.
+    /// Time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.since(self.state.clock.now())
     }
 
-    /// Counts the request's end; `pace` is that of a stream's events.
+    /// Records the end of the request in the metrics; `pace` is the timing of a stream's events.
     pub fn record(&self, outcome: &'static str, pace: Option<&StreamPace>) {
         record_route(&RouteRecord {
             kind: self.route.kind,
@@ -154,14 +155,14 @@
         });
     }
 
-    /// True if a stream's first event came within its objective and no pause was too long.
+    /// True if a stream's first event met its objective and no pause exceeded the route's limit.
     fn is_in_time(&self, pace: &StreamPace) -> bool {
         let first = pace.first_after(self.arrived_at);
         let is_steady = self.route.gap_ms.is_none_or(|gap| pace.longest_pause() <= gap);
         is_steady && first.is_some_and(|first| self.arrived_at + first <= self.objective())
     }
 
-    /// Its size, for the lines that tell what was decided of it and how it ended.
+    /// Size fields for log lines about the decisions on the request and its end.
     pub fn size_fields(&self) -> SizeFields {
         SizeFields::new(&self.facts, self.size_tenth, self.has_returned)
     }
@@ -171,7 +172,7 @@
         self.facts.id.as_deref().unwrap_or_default()
     }
 
-    /// True if the request may go to one more upstream now, which is paid from the budget.
+    /// True if the request may be sent to one more upstream now; spends a unit of the retry budget.
     pub fn may_send_again(&self, service: &ServiceName, count: SendCount) -> bool {
         let is_allowed = !count.may_have_run || self.route.kind.may_repeat();
         is_allowed
@@ -181,11 +182,13 @@
             && self.state.with_repeats(service, |budget| budget.spend())
     }
 
-    /// Waits for a place. Between the word and the send the table is asked again: a route may have moved and a
-    /// key may have been revoked while the request waited. So is the quarantine: there is no other way to an upstream,
-    /// whether for a first send, a second one, or the rest of a stream.
+    /// Waits until the scheduler places the request at an upstream. The table is checked again
+    /// before each send, since a route may have changed and a key may have been revoked while the
+    /// request waited. So is the quarantine: every send passes here, whether it is the first one, a
+    /// retry, or the resumption of a stream.
     ///
-    /// `may_try` if the request may go to a version on trial: one that has failed already goes to what is proven.
+    /// `may_try` allows a version on trial; a request that has already failed goes to the proven
+    /// version.
     pub async fn place(&mut self, may_try: bool) -> Result<PlacedRequest, AnswerKind> {
         let mut news = self.state.rollouts.news();
         loop {
@@ -210,8 +213,8 @@
         self.state.quarantine.check(&self.state, self.id(), self.fingerprint)
     }
 
-    /// Waits for the scheduler's word, and for a place at the upstream that it names. None if a roll-out leaves the pool
-    /// meanwhile.
+    /// Waits for the scheduler's decision, and reserves a place at the upstream that it chooses.
+    /// Returns `None` if a roll-out abandons the pool meanwhile.
     async fn wait_in(
         &self,
         chosen: ChosenPool,
@@ -249,7 +252,7 @@
                 Reservation::Granted { incarnation, .. }
                     if !pool.is_still(upstream, incarnation) =>
                 {
-                    // It was born anew since, or leaves: the place lapses by itself.
+                    // The upstream has restarted or is leaving; the reservation expires by itself.
                     word = guard.requeue(DispatchOutcome::Crowded);
                 }
                 Reservation::Granted { place, .. } => {
@@ -304,8 +307,8 @@
         }
     }
 
-    /// When its first event or its answer is due. A caller that has been here before counts from its first attempt, so
-    /// that it is due already.
+    /// When the first event or the answer is due. The objective of a retry counts from the caller's
+    /// first attempt, so a retry is due on arrival.
     fn objective(&self) -> Moment {
         match self.has_returned {
             true => self.arrived_at,
@@ -313,7 +316,7 @@
         }
     }
 
-    /// How long an upstream may say nothing before the request goes elsewhere, if it may.
+    /// How long an upstream may stay silent before the request is sent elsewhere, if allowed.
     fn patience(&self) -> Duration {
         match self.route.kind {
             RouteKind::ResumableStream | RouteKind::Safe => {
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Sends to a placed upstream, within the time that is left.
+    /// Sends the request to its upstream, within the time left.
     pub async fn try_send(
         &self,
         placed: &PlacedRequest,
@@ -346,7 +349,7 @@
         }
     }
 
-    /// One line for each send, whether first, second or the rest of a stream.
+    /// Logs a send: the first one, a retry, or the resumption of a stream.
     pub fn log_placed(&self, placed: &PlacedRequest, count: SendCount, last_event: Option<u64>) {
         let waited = placed.sent_at.since(self.arrived_at).as_millis() as u64;
         let organisation = self.caller.as_ref().map_or("", |caller| caller.organisation.as_str());
@@ -358,7 +361,7 @@
     }
 }
 
-/// Carries a request to its answer's head, and a stream's events after it.
+/// Forwards a request until an answer begins or it is refused; the events of a stream follow later.
 pub async fn carry(mut request: Box<CarriedRequest>) -> Response<Body> {
     let mut count = SendCount::default();
     loop {
@@ -417,7 +420,7 @@
 }
 
 impl CarriedRequest {
-    /// Counts what came of a send for its service's roll-out, if there is one.
+    /// Counts the result of a send for the service's roll-out, if there is one.
     pub fn note_version(&self, placed: &PlacedRequest, answer: AnswerCount) {
         let group = RequestGroup::of(RouteKey::of(&self.route.route), self.size_tenth);
         let incarnation = placed.pool.incarnation(placed.upstream);
@@ -432,14 +435,14 @@
         }
     }
 
-    /// Counts the request against its organisation's limit from before it is sent: its caller may leave while an
-    /// upstream runs it, and nothing would be heard of that.
+    /// Sets whether the request is charged to its organisation's limit. It is charged before it is
+    /// sent, since the outcome stays unknown if the caller disconnects while an upstream runs it.
     fn count_as_run(&mut self, has_run: bool) {
         self.limit.iter_mut().for_each(|limit| limit.has_run = has_run);
     }
 }
 
-/// Tells the pool how a send failed, and has the upstream looked at where it may have ended.
+/// Reports a failed send to the pool, and checks the upstream if it may have crashed.
 pub fn note_fault(request: &CarriedRequest, placed: &mut PlacedRequest, fault: &AttemptFault) {
     if let AttemptFault::Broken(_) = fault {
         let broken = BrokenRequest { id: request.id().into(), fingerprint: request.fingerprint };
@@ -469,7 +472,7 @@
     }
 }
 
-/// The final refusal. Once a send may have run the request, nothing may say that it did not run.
+/// Refuses the request. Once a send may have run it, the answer must not claim that it did not run.
 fn refuse(request: &mut CarriedRequest, kind: AnswerKind, count: SendCount) -> Response<Body> {
     request.stage = RequestStage::Ended;
     let says_not_run = matches!(kind.row().status, 408 | 421 | 429 | 503);
@@ -488,9 +491,10 @@
 }
 
 impl CarriedRequest {
-    /// When to come back after a refusal for want of capacity: late in the part of its time that the caller may
-    /// spend waiting. It is late in any case, so an early return gains nothing, and a burst is the more likely to
-    /// be over; spread, so that those refused together do not return together.
+    /// When to retry after a refusal for lack of capacity: late within the time that the caller may
+    /// wait. The request misses its objective in any case, so an early retry gains nothing, and a
+    /// burst is more likely to be over later. The time is spread so that requests refused together
+    /// are not retried together.
     fn return_time(&self, kind: AnswerKind) -> Option<Duration> {
         if kind == AnswerKind::Quarantined {
             return self.state.quarantine.held_for(self.fingerprint, self.state.clock.now());
@@ -501,10 +505,10 @@
     }
 }
 
-/// What became of an answer whose head came.
+/// Result of reading an answer after its head.
 enum Answered {
     Response(Response<Body>),
-    /// It was not whole.
+    /// The answer was incomplete or a server error, and another send may follow.
     Again(Box<CarriedRequest>, AttemptFault),
 }
 
@@ -542,12 +546,12 @@
                 request.log_answered(&placed, status.as_u16());
                 return Answered::Response(response);
             }
-            // Already paid from the budget: the next send must not be asked for again.
+            // `may_send_again` has spent a unit of the budget, and `carry` calls it again.
             request.state.with_repeats(&placed.pool.service, |budget| budget.refund());
             return Answered::Again(request, AttemptFault::Lost(format!("status {status}")));
         }
         Ok(Err(detail)) => AttemptFault::Broken(detail),
-        Err(_) => AttemptFault::Lost("the answer was not whole in time".to_owned()),
+        Err(_) => AttemptFault::Lost("the answer was not complete before the deadline".to_owned()),
     };
     note_fault(&request, &mut placed, &fault);
     Answered::Again(request, fault)
