--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -1,4 +1,4 @@
-//! Passes answers on: whole ones once they are whole, streams event by event as they come.
+//! Relays answers to callers: plain ones once complete, streams event by event as they arrive.
 
 use super::attempt::AttemptFault;
 use super::carry::{CarriedRequest, PlacedRequest, RequestStage, SendCount, note_fault};
@@ -17,16 +17,16 @@
 use std::io;
 use std::time::Duration;
 
-/// Largest answer that is held whole, in bytes.
+/// Maximum size of a buffered answer, in bytes.
 const WHOLE_LIMIT: usize = 16 << 20;
-/// A stream that pauses for this many times its longest good pause goes on elsewhere, if it may.
+/// A stream that pauses for this many times the route's `gap_ms` is resumed elsewhere, if allowed.
 const PAUSE_PATIENCE: u32 = 4;
-/// At least this long, for routes that name no pause.
+/// Lower bound of that time, and the time itself for routes without `gap_ms`.
 const LEAST_PAUSE: Duration = Duration::from_millis(1_000);
-/// Gaps are told to the scheduler once in this many events.
+/// Event gaps are reported to the scheduler once per this many events.
 const GAP_STRETCH: u64 = 4;
 
-/// An answer that is not a stream, once it is whole; else what happened.
+/// Buffers an answer that is not a stream; fails if it is incomplete or too large.
 pub async fn whole_response(
     answer: Response<Incoming>,
     connection: ConnectionGuard,
@@ -47,13 +47,13 @@
     response
 }
 
-/// The response of a stream.
+/// Builds the response that relays a stream.
 pub fn stream_response(head: response::Parts, relay: StreamRelay) -> Response<Body> {
     let events = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
         match relay.next().await {
             RelayStep::Events(bytes) => Some((Ok(bytes), Some(relay))),
-            // An error cuts the connection: what ends early must not look complete.
+            // The error aborts the connection, so that a truncated stream does not look complete.
             RelayStep::Cut => Some((Err(io::Error::from(io::ErrorKind::UnexpectedEof)), None)),
             RelayStep::Done => None,
         }
@@ -69,7 +69,8 @@
     Cut,
 }
 
-/// A stream being passed on. Dropped when the caller leaves, which closes the connection to the upstream.
+/// A stream being relayed. Dropped when the caller disconnects, which closes the connection to the
+/// upstream.
 pub struct StreamRelay {
     request: Box<CarriedRequest>,
     placed: PlacedRequest,
@@ -77,13 +78,13 @@
     body: Incoming,
     connection: Option<ConnectionGuard>,
     cutter: EventCutter,
-    /// When the last event came, and how many had come then; for gaps.
+    /// Event count and time at the start of the current gap measurement.
     gap_from: Option<(u64, Moment)>,
     pace: StreamPace,
     is_over: bool,
 }
 
-/// When a stream's events came, as its caller saw them.
+/// Timing of a stream's events as seen by the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamPace {
     first: Option<Moment>,
@@ -92,12 +93,12 @@
 }
 
 impl StreamPace {
-    /// The time from `start` to the first event; none before there was one.
+    /// Time from `start` to the first event; `None` before the first event.
     pub fn first_after(&self, start: Moment) -> Option<Duration> {
         self.first.map(|at| at.since(start))
     }
 
-    /// The longest pause between two events so far.
+    /// Longest pause between two events so far.
     pub fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
@@ -152,17 +153,17 @@
                 Ok(None) => return self.end(),
                 Ok(Some(Err(error))) => AttemptFault::Broken(error.to_string()),
                 Err(_) if self.request.time_left().is_zero() => {
-                    return self.cut("its time is over");
+                    return self.cut("the deadline has passed");
                 }
                 Err(_) => AttemptFault::Lost(format!("no event within {limit:?}")),
             };
             if !self.go_on(fault).await {
-                return self.cut("it cannot go on elsewhere");
+                return self.cut("no other upstream can resume it");
             }
         }
     }
 
-    /// How long the upstream may pause.
+    /// How long the upstream may pause before the stream is resumed elsewhere.
     fn patience(&self) -> Duration {
         if !self.request.route.kind.may_repeat() || self.count.sent >= self.request.route.attempts {
             return Duration::MAX;
@@ -172,7 +173,7 @@
         gap.max(LEAST_PAUSE).max(if self.cutter.events() == 0 { first } else { Duration::ZERO })
     }
 
-    /// The upstream ended the stream well.
+    /// Finishes a stream that the upstream ended normally.
     fn end(&mut self) -> RelayStep {
         self.is_over = true;
         self.connection.take().into_iter().for_each(ConnectionGuard::finish);
@@ -182,7 +183,7 @@
         self.cutter.rest().map_or(RelayStep::Done, RelayStep::Events)
     }
 
-    /// Tells the stream's pace, which says whether its caller was served in time.
+    /// Records and logs the stream's timing, which shows whether the caller was served in time.
     fn log_ended(&mut self) {
         self.request.stage = RequestStage::Ended;
         let (now, quarantine) = (self.request.state.clock.now(), &self.request.state.quarantine);
@@ -210,9 +211,9 @@
         RelayStep::Cut
     }
 
-    /// Has another upstream go on after the last whole event; false if none may or can.
+    /// Resumes the stream elsewhere after its last complete event; false if no upstream may or can.
     async fn go_on(&mut self, fault: AttemptFault) -> bool {
-        // The connection closes first: the upstream stops its work before another one begins.
+        // Closing the connection first makes the upstream stop before another one begins.
         self.connection = None;
         self.count.may_have_run = true;
         info!(self.request.state.log, "stream broken"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
@@ -242,7 +243,7 @@
         false
     }
 
-    /// Tells the scheduler what the events' times say of the upstream.
+    /// Reports the event timing to the scheduler, which learns the upstream's speed from it.
     fn learn(&mut self) {
         let now = self.request.state.clock.now();
         self.pace.note(now);
