--- a/src/traffic/front/mod.rs
+++ b/src/traffic/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' front: HTTP/1.1 and HTTP/2, readiness, and the drain.
+//! The HTTP/1.1 and HTTP/2 server for callers, with readiness and graceful drain.
 
 mod admitted;
 mod request_parts;
@@ -25,29 +25,29 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A caller must send its head within this time; it runs while a kept connection is idle, too, so it is above the
-/// 15 s for which the given platforms' callers may keep one.
+/// Time within which a caller must send the head of a request. The timer also runs on idle
+/// connections, so it exceeds the 15 s for which callers of the given platforms keep them open.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a failed accept, so that a full table of open files does not spin.
+/// Delay after a failed accept, to avoid a busy loop when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often the end of the last request is looked for.
+/// Interval at which the drain checks whether the last request has ended.
 const IDLE_CHECK: Duration = Duration::from_millis(10);
 
-/// A running front.
+/// Handle of a running server.
 pub struct FrontHandle {
-    /// The bound address.
+    /// The address that the server is bound to.
     pub address: SocketAddr,
     drain: watch::Sender<bool>,
     done: watch::Receiver<bool>,
 }
 
 impl FrontHandle {
-    /// Begins the drain; a second call changes nothing.
+    /// Starts the drain; further calls have no effect.
     pub fn drain(&self) {
         self.drain.send_replace(true);
     }
 
-    /// A sender of the drain order, for a signal handler or an operator's call.
+    /// Returns a sender that starts the drain, for signal handlers and the control API.
     pub fn drain_sender(&self) -> watch::Sender<bool> {
         self.drain.clone()
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Starts the front on `listener`.
+/// Serves callers on `listener`.
 pub fn start_front(
     state: Arc<TrafficState>,
     listener: TcpListener,
@@ -82,7 +82,7 @@
     Ok(FrontHandle { address, drain, done })
 }
 
-/// The handle of a daemon that serves no callers: its drain is complete as soon as it is ordered.
+/// Returns the handle of a daemon that serves no callers: its drain completes as soon as it starts.
 pub fn without_front(state: Arc<TrafficState>) -> FrontHandle {
     let (drain, mut ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
@@ -175,7 +175,7 @@
     });
 }
 
-/// The front as a service of its own, without a socket.
+/// The router that serves callers, independent of a socket.
 pub fn front_router(state: Arc<TrafficState>) -> Router {
     let requests = Arc::clone(&state);
     let calls = tower::service_fn(move |request| {
@@ -194,7 +194,8 @@
         .with_state(state)
 }
 
-/// What the balancer and those who read metrics ask, on an address of its own; any path tells readiness.
+/// The router for load balancers and metrics scrapers, served on an address of its own. Every path
+/// except `/metrics` reports readiness.
 pub fn readiness_router(state: Arc<TrafficState>) -> Router {
     let metrics = |State(state): State<Arc<TrafficState>>| async move { render_metrics(&state) };
     Router::new().route("/metrics", get(metrics)).fallback(ready).with_state(state)
