--- a/src/traffic/front/admitted.rs
+++ b/src/traffic/front/admitted.rs
@@ -1,4 +1,5 @@
-//! One request from its head to its answer: checks, limits, a claim where one is needed, and the exchange.
+//! Handles one request from its head to its answer: validation, limits, the idempotency claim, and
+//! the exchange with an upstream.
 
 use super::request_parts::{
     EarlyRefusal, KEY_HEADER, KEY_LIMIT, MODEL_PATHS, PURPOSE_HEADER, RequestShape, bearer_key,
@@ -24,7 +25,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-/// The model services that the caller may use, in the usual list shape.
+/// Lists the model services that the caller may use, in the format of the OpenAI models API.
 pub(super) async fn models(
     State(state): State<Arc<TrafficState>>,
     headers: HeaderMap,
@@ -47,8 +48,8 @@
     axum::Json(serde_json::json!({"object": "list", "data": data})).into_response()
 }
 
-/// Answers one request. A waiting request holds this future until its answer begins, so the request itself is
-/// moved at once into a boxed future of its own, whose room is given back before the wait.
+/// Answers one request. This future lives until the answer begins, so the request is moved into a
+/// separate boxed future, whose memory is released before the wait.
 pub(super) fn handle(
     state: Arc<TrafficState>,
     request: Request<Body>,
@@ -78,7 +79,7 @@
     }
 }
 
-/// A request that passed the checks before its pool.
+/// A request that has passed all checks before it enters its pool.
 struct AdmittedRequest {
     exchange: Box<ExchangeCall>,
     service: Arc<ServiceRow>,
@@ -89,7 +90,7 @@
     claim_key: Option<String>,
 }
 
-/// An organisation's place in progress.
+/// The share of its organisation's limit that a request holds; released on drop.
 struct LimitGuard {
     state: Arc<TrafficState>,
     organisation: OrganisationIndex,
@@ -104,8 +105,9 @@
     }
 }
 
-/// Takes the claim of a request that carries a key. Runs in the request's own task, which a caller that
-/// leaves does not cut off: a claim taken and then forgotten would never be settled. Returns the answer if it must not be dispatched.
+/// Claims the idempotency key of a request that carries one. Runs in the request's own task, which
+/// continues if the caller disconnects: an abandoned claim would never be settled. Returns the
+/// answer if the request must not be dispatched.
 async fn claim(
     state: &Arc<TrafficState>,
     admitted: &mut AdmittedRequest,
@@ -157,7 +159,7 @@
     let upstream = end.upstream.as_ref().map_or("", |name| name.as_str());
     match end.failure {
         Some(kind) if end.state != RequestState::Abandoned => {
-            info!(state.log, "no whole answer"; "request" => request_id, "kind" => kind.row().name, "upstream" => upstream);
+            info!(state.log, "no complete answer"; "request" => request_id, "kind" => kind.row().name, "upstream" => upstream);
         }
         _ => {
             slog::debug!(state.log, "ended"; "request" => request_id, "state" => format!("{:?}", end.state), "upstream" => upstream)
@@ -240,7 +242,7 @@
     Ok(Box::new(AdmittedRequest { exchange, service, tier, caller, limit, claim: None, claim_key }))
 }
 
-/// What an upstream will be given to run, whatever the request's number.
+/// Fingerprint of what an upstream would run, independent of the request's number.
 fn fingerprint_of(
     caller: &CallerIdentity,
     service: &ServiceRow,
