--- a/src/traffic/front/request_parts.rs
+++ b/src/traffic/front/request_parts.rs
@@ -1,4 +1,4 @@
-//! What a request's head and body say, checked; each fault names its place.
+//! Parses and validates the head and the body of a request; each error names the faulty part.
 
 use crate::answer::AnswerKind;
 use crate::policy::prefix_hashes;
@@ -13,24 +13,24 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use std::time::Duration;
 
-/// The caller's deadline, in milliseconds.
+/// Header with the caller's deadline, in milliseconds.
 const DEADLINE_HEADER: &str = "tarragonknot-deadline-ms";
-/// `yes` or `no`: whether the request may be repeated.
+/// Header that states whether the request may be repeated: `yes` or `no`.
 const IDEMPOTENT_HEADER: &str = "tarragonknot-idempotent";
-/// The caller's key for one logical request (IETF draft `idempotency-key-header`).
+/// Header with the caller's key for one logical request (IETF draft `idempotency-key-header`).
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const KEY_LIMIT: usize = 255;
-/// What the request is for; assignments may match it.
+/// Header with the purpose of the request, which assignments may match.
 pub const PURPOSE_HEADER: &str = "tarragonknot-purpose";
-/// Paths of model services.
+/// Request paths of model services.
 pub const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// A caller must send its body within this time.
+/// Time within which a caller must send the whole body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest deadline a caller may ask for.
+/// Maximum deadline that a caller may request.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// A refusal before admission.
+/// A refusal of a request before its admission.
 pub struct EarlyRefusal {
     pub kind: AnswerKind,
     pub detail: String,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What the body says of the request.
+/// Properties of a request that are read from its body.
 pub struct RequestShape {
     pub service: String,
     pub wants_stream: bool,
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// The service is named inside the body, so the largest limit of any model bounds the reading.
+/// Largest body limit of any model service; bounds the read, since only the body names the service.
 pub fn largest_model_body(snapshot: &TableSnapshot) -> usize {
     let models = snapshot.access.services().filter(|row| row.kind == ServiceKind::Model);
     models.map(|row| row.body_limit as usize).max().unwrap_or(0)
@@ -157,7 +157,7 @@
     }
 }
 
-/// The path and query behind the service's route.
+/// The path and query after the service's name.
 pub fn stripped_uri(uri: &Uri, service: &str) -> Result<Uri, EarlyRefusal> {
     let whole = uri.path_and_query().map_or("/", |path| path.as_str());
     let rest = whole.trim_start_matches('/').strip_prefix(service).unwrap_or("/");
@@ -165,7 +165,7 @@
     path.parse().map_err(|error| EarlyRefusal::bad(format!("path {path}: {error}")))
 }
 
-/// The caller's headers without its key, without what belongs to its connection, and without ours.
+/// The caller's end-to-end headers, without its API key and the headers addressed to this daemon.
 pub fn upstream_headers(headers: &HeaderMap, is_model: bool) -> HeaderMap {
     let mut passed = crate::upstream::end_to_end_headers(headers);
     let own = [DEADLINE_HEADER, IDEMPOTENT_HEADER, PURPOSE_HEADER, REQUEST_ID_HEADER, "expect"];
