--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -551,7 +551,7 @@
             return Answered::Again(request, AttemptFault::Lost(format!("status {status}")));
         }
         Ok(Err(detail)) => AttemptFault::Broken(detail),
-        Err(_) => AttemptFault::Lost("the answer was not complete before the deadline".to_owned()),
+        Err(_) => AttemptFault::Lost("incomplete answer at the deadline".to_owned()),
     };
     note_fault(&request, &mut placed, &fault);
     Answered::Again(request, fault)
