--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -18,7 +18,7 @@
 
 pub use dialect::{AnswerFacts, CallDialect, CallerFacts, PlaceWanted, PlaceWord, SendFacts};
 pub use door::routed_router;
-pub use events::EventCutter;
+pub use events::EventSplitter;
 pub use index::RouteIndex;
 
 /// Index shared by all callers of public routes that present no key.
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::AttemptFault;
 use super::carry::{CarriedRequest, PlacedRequest, RequestStage, SendCount, note_fault};
-use super::events::EventCutter;
+use super::events::EventSplitter;
 use crate::policy::{DispatchOutcome, Moment, PoolEvent};
 use crate::rollout::AnswerCount;
 use crate::upstream::{ConnectionGuard, end_to_end_headers};
@@ -77,7 +77,7 @@
     count: SendCount,
     body: Incoming,
     connection: Option<ConnectionGuard>,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     /// Event count and time at the start of the current gap measurement.
     gap_from: Option<(u64, Moment)>,
     pace: StreamPace,
@@ -125,7 +125,7 @@
             count,
             body,
             connection: Some(connection),
-            cutter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             gap_from: None,
             pace: StreamPace::default(),
             is_over: false,
@@ -142,7 +142,7 @@
             let fault = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    match self.cutter.push(&bytes) {
+                    match self.splitter.push(&bytes) {
                         Some(events) => {
                             self.learn();
                             return RelayStep::Events(events);
@@ -170,17 +170,21 @@
         }
         let gap = self.request.route.gap_ms.unwrap_or_default() * PAUSE_PATIENCE;
         let first = self.request.route.objective_ms * 2;
-        gap.max(LEAST_PAUSE).max(if self.cutter.events() == 0 { first } else { Duration::ZERO })
+        gap.max(LEAST_PAUSE).max(if self.splitter.event_count() == 0 {
+            first
+        } else {
+            Duration::ZERO
+        })
     }
 
     /// Finishes a stream that the upstream ended normally.
     fn end(&mut self) -> RelayStep {
         self.is_over = true;
         self.connection.take().into_iter().for_each(ConnectionGuard::finish);
-        let output_tokens = self.cutter.events() as u32;
+        let output_tokens = self.splitter.event_count() as u32;
         self.placed.guard.end(DispatchOutcome::Completed { prompt_tokens: None, output_tokens });
         self.log_ended();
-        self.cutter.rest().map_or(RelayStep::Done, RelayStep::Events)
+        self.splitter.take_remainder().map_or(RelayStep::Done, RelayStep::Events)
     }
 
     /// Records and logs the stream's timing, which shows whether the caller was served in time.
@@ -194,7 +198,7 @@
         let after = now.since(arrived);
         info!(self.request.state.log, "answered"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
             "status" => 200, "after_ms" => after.as_millis() as u64, "first_ms" => first.as_millis() as u64,
-            "pause_ms" => self.pace.longest_pause.as_millis() as u64, "events" => self.cutter.events(), self.request.size_fields());
+            "pause_ms" => self.pace.longest_pause.as_millis() as u64, "events" => self.splitter.event_count(), self.request.size_fields());
     }
 
     fn cut(&mut self, detail: &str) -> RelayStep {
@@ -207,7 +211,7 @@
         self.connection = None;
         self.placed.guard.end(DispatchOutcome::Failed);
         info!(self.request.state.log, "stream cut"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
-            "events" => self.cutter.events(), "detail" => detail, self.request.size_fields());
+            "events" => self.splitter.event_count(), "detail" => detail, self.request.size_fields());
         RelayStep::Cut
     }
 
@@ -217,17 +221,17 @@
         self.connection = None;
         self.count.may_have_run = true;
         info!(self.request.state.log, "stream broken"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
-            "events" => self.cutter.events(), "detail" => fault.to_string());
+            "events" => self.splitter.event_count(), "detail" => fault.to_string());
         note_fault(&self.request, &mut self.placed, &fault);
         while self.request.may_send_again(&self.placed.pool.service.clone(), self.count) {
             let Ok(placed) = self.request.place(false).await else { return false };
             self.placed = placed;
-            let last_event = self.cutter.last_event().or(self.request.facts.last_event);
+            let last_event = self.splitter.last_event_id().or(self.request.facts.last_event);
             self.request.log_placed(&self.placed, self.count, last_event);
             let answer = self.request.try_send(&self.placed, &mut self.count, last_event).await;
             match answer {
                 Ok(answer) if answer.response.status().is_success() => {
-                    self.cutter.drop_half();
+                    self.splitter.discard_partial();
                     self.gap_from = None;
                     self.body = answer.response.into_body();
                     self.connection = Some(answer.connection);
@@ -247,7 +251,7 @@
     fn learn(&mut self) {
         let now = self.request.state.clock.now();
         self.pace.note(now);
-        let events = self.cutter.events();
+        let events = self.splitter.event_count();
         let id = self.placed.number;
         match self.gap_from {
             None => {
--- a/tests/test_routes.rs
+++ b/tests/test_routes.rs
@@ -11,7 +11,7 @@
     OperatorTable, RouteKind, RouteRow, RouteTarget, ServiceKind, ServiceRow, TierRow,
     reference_faults, tier_of_rank,
 };
-use tarragonknot::traffic::{EventCutter, RouteIndex};
+use tarragonknot::traffic::{EventSplitter, RouteIndex};
 
 fn route(name: &str, host: &str, prefix: &str) -> RouteRow {
     RouteRow {
@@ -157,21 +157,21 @@
 /// as they come.
 #[test]
 fn only_whole_events_are_passed_on() {
-    let mut cutter = EventCutter::default();
+    let mut splitter = EventSplitter::default();
 
-    let first = cutter.push(b"id: 1\ndata: a\n\nid: 2\nda");
-    let none = cutter.push(b"ta: b\n");
-    let second = cutter.push(b"\nid: 3\ndata: c");
-    let last = cutter.last_event();
-    cutter.drop_half();
-    let third = cutter.push(b"id: 3\ndata: c\n\n");
+    let first = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
+    let none = splitter.push(b"ta: b\n");
+    let second = splitter.push(b"\nid: 3\ndata: c");
+    let last = splitter.last_event_id();
+    splitter.discard_partial();
+    let third = splitter.push(b"id: 3\ndata: c\n\n");
 
     assert_eq!(first.as_deref(), Some(&b"id: 1\ndata: a\n\n"[..]));
     assert_eq!(none, None);
     assert_eq!(second.as_deref(), Some(&b"id: 2\ndata: b\n\n"[..]));
     assert_eq!(last, Some(2));
     assert_eq!(third.as_deref(), Some(&b"id: 3\ndata: c\n\n"[..]));
-    assert_eq!((cutter.events(), cutter.rest()), (3, None));
+    assert_eq!((splitter.event_count(), splitter.take_remainder()), (3, None));
 }
 
 /// The end of an event may come split anywhere.
@@ -179,12 +179,12 @@
 fn an_event_is_whole_however_it_is_cut() {
     let text = b"id: 7\r\ndata: x\r\n\r\nid: 8\ndata: y\n\n";
     for cut in 1..text.len() {
-        let mut cutter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
 
-        let parts = [cutter.push(&text[..cut]), cutter.push(&text[cut..])];
+        let parts = [splitter.push(&text[..cut]), splitter.push(&text[cut..])];
 
         let bytes: Vec<u8> = parts.into_iter().flatten().flatten().collect();
         assert_eq!(bytes, text, "cut at {cut}");
-        assert_eq!(cutter.last_event(), Some(8));
+        assert_eq!(splitter.last_event_id(), Some(8));
     }
 }
