--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,7 +1,9 @@
 //! Headers of callers and engines.
 
 use crate::policy::LoadReport;
-use crate::traffic::{AnswerFacts, CallDialect, CallerFacts, PlaceWanted, PlaceWord, SendFacts};
+use crate::traffic::{
+    AnswerMetadata, CallDialect, CallerMetadata, PlaceWanted, PlaceWord, SendMetadata,
+};
 use bytes::Bytes;
 use http::header::{AUTHORIZATION, CONTENT_TYPE};
 use http::{HeaderMap, HeaderValue, Request, StatusCode};
@@ -59,21 +61,21 @@
 pub struct HeaderDialect;
 
 impl CallDialect for HeaderDialect {
-    fn read_caller(&self, headers: &HeaderMap) -> CallerFacts {
+    fn read_caller(&self, headers: &HeaderMap) -> CallerMetadata {
         // Two numbers: prompt tokens, and the most output tokens.
         let counts = text(headers, TOKEN_COUNT).and_then(|counts| counts.split_once(','));
-        CallerFacts {
+        CallerMetadata {
             id: text(headers, REQUEST_ID).map(str::to_owned),
             key: bearer(headers).map(str::to_owned),
             deadline: number(headers, DEADLINE).map(Duration::from_millis),
             prompt_tokens: counts.and_then(|(prompt, _)| prompt.trim().parse().ok()),
             output_limit: counts.and_then(|(_, output)| output.trim().parse().ok()),
             output_guess: number(headers, LENGTH_HINT),
-            last_event: number(headers, LAST_EVENT),
+            last_event_id: number(headers, LAST_EVENT),
         }
     }
 
-    fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>) {
+    fn write_upstream_headers(&self, headers: &mut HeaderMap, metadata: &SendMetadata<'_>) {
         headers.remove(AUTHORIZATION);
         SYSTEM_ONLY.iter().for_each(|name| drop(headers.remove(*name)));
         let mut set = |name: &'static str, value: String| {
@@ -81,14 +83,14 @@
                 headers.insert(name, value);
             });
         };
-        set(EXPECT_INSTANCE, facts.incarnation.to_owned());
-        facts.organisation.into_iter().for_each(|name| set(TENANT, name.to_owned()));
-        facts
+        set(EXPECT_INSTANCE, metadata.incarnation.to_owned());
+        metadata.organisation.into_iter().for_each(|name| set(TENANT, name.to_owned()));
+        metadata
             .deadline
             .into_iter()
             .for_each(|left| set(DEADLINE, left.as_millis().max(1).to_string()));
-        facts.last_event.into_iter().for_each(|event| set(LAST_EVENT, event.to_string()));
-        facts.place.into_iter().for_each(|place| set(HOLD, place.to_owned()));
+        metadata.last_event_id.into_iter().for_each(|event| set(LAST_EVENT, event.to_string()));
+        metadata.place.into_iter().for_each(|place| set(HOLD, place.to_owned()));
     }
 
     fn place_call(&self, wanted: &PlaceWanted<'_>) -> Option<Request<Bytes>> {
@@ -114,15 +116,15 @@
         }
     }
 
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMetadata {
         let is_other_incarnation = status == StatusCode::MISDIRECTED_REQUEST;
-        AnswerFacts {
-            echo: text(headers, REQUEST_ID).map(str::to_owned),
+        AnswerMetadata {
+            echoed_id: text(headers, REQUEST_ID).map(str::to_owned),
             is_not_run: is_other_incarnation || headers.contains_key(NOT_EXECUTED),
             is_other_incarnation,
             is_signed: headers.contains_key(SEAL),
             load: text(headers, SERVER_LOAD).and_then(read_load),
-            keeps_idle: text(headers, KEEP_ALIVE).and_then(read_keep_alive),
+            idle_timeout: text(headers, KEEP_ALIVE).and_then(read_keep_alive),
         }
     }
 }
--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -1,6 +1,6 @@
 //! Asks an upstream whether it lives, and whether it is still the same one.
 
-use super::routed::SendFacts;
+use super::routed::SendMetadata;
 use super::state::TrafficState;
 use crate::upstream::{OpenFault, can_connect};
 use bytes::Bytes;
@@ -51,8 +51,8 @@
     let sent = state.connections().send(address, request, Duration::ZERO);
     match tokio::time::timeout(PROBE_TIME, sent).await {
         Ok(Ok((response, _connection))) => {
-            let facts = manner.dialect.read_answer(response.status(), response.headers());
-            match facts.is_other_incarnation {
+            let metadata = manner.dialect.read_answer(response.status(), response.headers());
+            match metadata.is_other_incarnation {
                 true => ProbeOutcome::OtherIncarnation,
                 false => ProbeOutcome::Answered,
             }
@@ -72,14 +72,14 @@
 ) -> Option<Request<Full<Bytes>>> {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_str(&address.to_string()).ok()?);
-    let facts = SendFacts {
+    let metadata = SendMetadata {
         deadline: None,
         incarnation,
         organisation: None,
-        last_event: None,
+        last_event_id: None,
         place: None,
     };
-    state.manner()?.dialect.write_send(&mut headers, &facts);
+    state.manner()?.dialect.write_upstream_headers(&mut headers, &metadata);
     let path = path.unwrap_or(DEFAULT_PATH);
     let mut request = Request::get(path).body(Full::<Bytes>::default()).ok()?;
     *request.headers_mut() = headers;
--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -1,7 +1,7 @@
 //! Sends a request to one upstream and waits for the head of the answer.
 
 use super::carry::CarriedRequest;
-use super::dialect::{AnswerFacts, SendFacts};
+use super::dialect::{AnswerMetadata, SendMetadata};
 use crate::policy::LoadReport;
 use crate::upstream::{ConnectionGuard, OpenFault, end_to_end_headers};
 use http::header::{CONTENT_LENGTH, EXPECT, HOST};
@@ -56,46 +56,46 @@
 /// An answer whose head has been received.
 pub struct OpenAnswer {
     pub response: Response<Incoming>,
-    pub facts: AnswerFacts,
+    pub metadata: AnswerMetadata,
     pub connection: ConnectionGuard,
 }
 
-/// Sends the request. `last_event` is the id of the event after which a stream resumes.
+/// Sends the request. `last_event_id` is the id of the event after which a stream resumes.
 pub async fn send(
     request: &CarriedRequest,
     address: SocketAddr,
     incarnation: &str,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     place: Option<&str>,
 ) -> Result<OpenAnswer, AttemptFault> {
-    let call = make_call(request, incarnation, last_event, place)?;
+    let call = make_call(request, incarnation, last_event_id, place)?;
     let connections = request.state.connections();
     let sent = connections.send(address, call, KEPT_ALIVE).await;
     let (response, connection) = sent.map_err(|fault| match fault {
         OpenFault::NotSent { detail } => AttemptFault::NotSent(detail),
         OpenFault::Lost { detail } => AttemptFault::Broken(detail),
     })?;
-    let facts = request.dialect.read_answer(response.status(), response.headers());
-    let connection = connection.kept_for(facts.keeps_idle);
-    let is_own = facts.echo.is_none() || facts.echo == request.facts.id;
+    let metadata = request.dialect.read_answer(response.status(), response.headers());
+    let connection = connection.kept_for(metadata.idle_timeout);
+    let is_own = metadata.echoed_id.is_none() || metadata.echoed_id == request.metadata.id;
     if !is_own {
         // A late answer to another request: the rest of the connection is unreliable too.
         return Err(AttemptFault::Lost("the answer carries the id of another request".to_owned()));
     }
-    if facts.is_not_run {
-        let is_other = facts.is_other_incarnation;
-        return Err(AttemptFault::NotRun { is_other, load: facts.load });
+    if metadata.is_not_run {
+        let is_other = metadata.is_other_incarnation;
+        return Err(AttemptFault::NotRun { is_other, load: metadata.load });
     }
-    if response.status().is_success() && !facts.is_signed {
+    if response.status().is_success() && !metadata.is_signed {
         return Err(AttemptFault::Lost("the answer is not signed".to_owned()));
     }
-    Ok(OpenAnswer { response, facts, connection })
+    Ok(OpenAnswer { response, metadata, connection })
 }
 
 fn make_call(
     request: &CarriedRequest,
     incarnation: &str,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     place: Option<&str>,
 ) -> Result<Request<Full<bytes::Bytes>>, AttemptFault> {
     let path = request.parts.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -107,14 +107,14 @@
     let headers = call.headers_mut();
     *headers = passed_headers(&request.parts.headers);
     let left = request.has_deadline.then(|| request.time_left());
-    let facts = SendFacts {
+    let metadata = SendMetadata {
         deadline: left,
         incarnation,
         organisation: request.caller.as_ref().map(|caller| caller.organisation.as_str()),
-        last_event,
+        last_event_id,
         place,
     };
-    request.dialect.write_send(headers, &facts);
+    request.dialect.write_upstream_headers(headers, &metadata);
     Ok(call)
 }
 
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -1,7 +1,7 @@
 //! Forwards an admitted request: waits for placement, sends it, and retries where the route allows.
 
 use super::attempt::{AttemptFault, OpenAnswer, send};
-use super::dialect::{CallDialect, CallerFacts};
+use super::dialect::{CallDialect, CallerMetadata};
 use super::door::{LimitGuard, find_entry};
 use super::relay::{StreamPace, StreamRelay, stream_response, whole_response};
 use super::reserve::{NO_PLACE, Reservation, reserve};
@@ -70,7 +70,7 @@
     pub has_deadline: bool,
     /// True if this appears to be a retry by its caller.
     pub has_returned: bool,
-    pub facts: CallerFacts,
+    pub metadata: CallerMetadata,
     /// Identifies the same request when it is sent again.
     pub fingerprint: RequestFingerprint,
     pub parts: Parts,
@@ -164,12 +164,12 @@
 
     /// Size fields for log lines about the decisions on the request and its end.
     pub fn size_fields(&self) -> SizeFields {
-        SizeFields::new(&self.facts, self.size_tenth, self.has_returned)
+        SizeFields::new(&self.metadata, self.size_tenth, self.has_returned)
     }
 
     /// The request's id, for logs.
     pub fn id(&self) -> &str {
-        self.facts.id.as_deref().unwrap_or_default()
+        self.metadata.id.as_deref().unwrap_or_default()
     }
 
     /// True if the request may be sent to one more upstream now; spends a unit of the retry budget.
@@ -193,7 +193,7 @@
         let mut news = self.state.rollouts.news();
         loop {
             self.check_quarantine()?;
-            let entry = find_entry(&self.state.snapshot(), &self.parts, &self.facts)?;
+            let entry = find_entry(&self.state.snapshot(), &self.parts, &self.metadata)?;
             self.route = entry.route;
             self.caller = entry.caller;
             let service = self.route.target(self.state.jitter());
@@ -202,7 +202,7 @@
             let chosen = chosen.ok_or(AnswerKind::UpstreamAbsent)?;
             let Some(placed) = self.wait_in(chosen, &mut news).await? else { continue };
             self.check_quarantine()?;
-            let entry = find_entry(&self.state.snapshot(), &self.parts, &self.facts)?;
+            let entry = find_entry(&self.state.snapshot(), &self.parts, &self.metadata)?;
             if entry.route.allows(&service) && self.state.may_use(&service, placed.arm) {
                 return Ok(placed);
             }
@@ -294,7 +294,7 @@
             weight,
             tier: snapshot.access.route_tier(&self.route, self.caller.as_ref()),
             prompt_bytes: self.body.len(),
-            output_limit: self.facts.output_limit,
+            output_limit: self.metadata.output_limit,
             deadline: self.deadline,
             rank: snapshot.access.route_rank(&self.route),
             objective: Some(self.objective()),
@@ -331,7 +331,7 @@
         &self,
         placed: &PlacedRequest,
         count: &mut SendCount,
-        last_event: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Result<OpenAnswer, AttemptFault> {
         count.sent += 1;
         match &placed.ticket {
@@ -342,7 +342,7 @@
         let patience = if is_last { Duration::MAX } else { self.patience() };
         let limit = self.time_left().min(patience);
         let place = placed.place.as_deref();
-        let sending = send(self, placed.address, placed.name.as_str(), last_event, place);
+        let sending = send(self, placed.address, placed.name.as_str(), last_event_id, place);
         match tokio::time::timeout(limit, sending).await {
             Ok(answer) => answer,
             Err(_) => Err(AttemptFault::Lost(format!("no answer within {limit:?}"))),
@@ -350,12 +350,12 @@
     }
 
     /// Logs a send: the first one, a retry, or the resumption of a stream.
-    pub fn log_placed(&self, placed: &PlacedRequest, count: SendCount, last_event: Option<u64>) {
+    pub fn log_placed(&self, placed: &PlacedRequest, count: SendCount, last_event_id: Option<u64>) {
         let waited = placed.sent_at.since(self.arrived_at).as_millis() as u64;
         let organisation = self.caller.as_ref().map_or("", |caller| caller.organisation.as_str());
         info!(self.state.log, "sent"; "request" => self.id(), "route" => &self.route.route, "organisation" => organisation,
             "service" => placed.pool.service.as_str(), "version" => placed.pool.version.as_ref().map(|version| version.as_str()), "upstream" => placed.name.as_str(), "waited_ms" => waited,
-            "send" => count.sent + 1, "after_event" => last_event, "fingerprint" => self.fingerprint.to_string(), "table" => self.state.snapshot().version,
+            "send" => count.sent + 1, "after_event" => last_event_id, "fingerprint" => self.fingerprint.to_string(), "table" => self.state.snapshot().version,
             "left_ms" => self.time_left().as_millis() as u64, "tokens" => self.limit.as_ref().map_or(0, |limit| limit.cost),
             "slowness" => format!("{:.2}", placed.pool.slowness(placed.upstream)), self.size_fields());
     }
@@ -371,7 +371,7 @@
             Err(kind) => return refuse(&mut request, kind, count),
         };
         request.stage = RequestStage::Sent;
-        request.log_placed(&placed, count, request.facts.last_event);
+        request.log_placed(&placed, count, request.metadata.last_event_id);
         let service = placed.pool.service.clone();
         let name = placed.name.clone();
         if count.sent == 0 {
@@ -379,7 +379,7 @@
             request.state.with_repeats(&service, |budget| budget.earn(daemons));
         }
         request.count_as_run(true);
-        let sent = request.try_send(&placed, &mut count, request.facts.last_event).await;
+        let sent = request.try_send(&placed, &mut count, request.metadata.last_event_id).await;
         if let Err(AttemptFault::NotSent(_) | AttemptFault::NotRun { .. }) = sent {
             request.count_as_run(count.may_have_run);
         }
@@ -519,7 +519,7 @@
     answer: OpenAnswer,
 ) -> Answered {
     let status = answer.response.status();
-    if let Some(report) = answer.facts.load {
+    if let Some(report) = answer.metadata.load {
         placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report });
     }
     if request.route.kind.is_stream() && status.is_success() {
--- a/src/traffic/routed/dialect.rs
+++ b/src/traffic/routed/dialect.rs
@@ -9,7 +9,7 @@
 
 /// Metadata that a caller sends in its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallerFacts {
+pub struct CallerMetadata {
     /// The caller's id of this attempt, which upstreams echo.
     pub id: Option<String>,
     /// The caller's API key.
@@ -23,12 +23,12 @@
     /// The caller's estimate of output tokens: correct at the median, but often far off.
     pub output_guess: Option<u32>,
     /// Id of the last event that the caller received, if it resumes a stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// Metadata that the daemon adds to a request sent to an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct SendFacts<'a> {
+pub struct SendMetadata<'a> {
     /// Time left until the caller's deadline.
     pub deadline: Option<Duration>,
     /// The expected incarnation of the upstream; any other must not run the request.
@@ -36,7 +36,7 @@
     /// The organisation that owns the caller's key.
     pub organisation: Option<&'a str>,
     /// Id of the event after which a stream resumes.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Id of the place that the upstream reserved for the request.
     pub place: Option<&'a str>,
 }
@@ -72,9 +72,9 @@
 
 /// Metadata in the head of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// Id of the request that the upstream answers.
-    pub echo: Option<String>,
+    pub echoed_id: Option<String>,
     /// True if the upstream reports that it did not run the request.
     pub is_not_run: bool,
     /// True if the upstream is not the expected incarnation.
@@ -84,17 +84,17 @@
     /// The load that the upstream reports.
     pub load: Option<LoadReport>,
     /// How long the upstream keeps an idle connection open.
-    pub keeps_idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 /// Reads and writes the headers of one platform.
 pub trait CallDialect: Send + Sync {
     /// Reads a caller's headers.
-    fn read_caller(&self, headers: &HeaderMap) -> CallerFacts;
+    fn read_caller(&self, headers: &HeaderMap) -> CallerMetadata;
     /// Turns a caller's headers into those of the request to an upstream.
-    fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
+    fn write_upstream_headers(&self, headers: &mut HeaderMap, metadata: &SendMetadata<'_>);
     /// Reads the metadata of an answer from its status and headers.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMetadata;
     /// Builds the request that reserves a place; `None` if the platform has no reservations.
     fn place_call(&self, wanted: &PlaceWanted<'_>) -> Option<Request<Bytes>>;
     /// Reads the reply to a reservation request.
--- a/src/traffic/routed/door.rs
+++ b/src/traffic/routed/door.rs
@@ -1,7 +1,7 @@
 //! Admission: reads a caller's request, matches its route and organisation, and applies the limits.
 
 use super::carry::{CarriedRequest, RequestStage, carry};
-use super::dialect::{CallDialect, CallerFacts};
+use super::dialect::{CallDialect, CallerMetadata};
 use super::size_fields::SizeFields;
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{LimitClaim, Moment, OrganisationIndex, RequestSizes, RouteKey};
@@ -51,16 +51,16 @@
     let Some(manner) = state.manner() else { return refusal(&state, AnswerKind::Internal, "") };
     let dialect = Arc::clone(&manner.dialect);
     let arrived_at = state.clock.now();
-    let facts = dialect.read_caller(request.headers());
-    let facts_deadline = facts.deadline;
-    let id: Arc<str> = Arc::from(facts.id.clone().unwrap_or_default());
-    match admit(&state, dialect, request, facts, arrived_at).await {
+    let metadata = dialect.read_caller(request.headers());
+    let caller_deadline = metadata.deadline;
+    let id: Arc<str> = Arc::from(metadata.id.clone().unwrap_or_default());
+    match admit(&state, dialect, request, metadata, arrived_at).await {
         Ok(carried) => carry(carried).await,
         Err(kind) => {
             info!(state.log, "refused"; "request" => &*id, "kind" => kind.row().name, "table" => state.snapshot().version);
             let refusal = RefusalAnswer::new(kind, "", state.jitter());
             let is_limit = kind == AnswerKind::RateLimited;
-            let wait = facts_deadline.filter(|_| is_limit).map(|time| time.mul_f64(LIMIT_RETURN));
+            let wait = caller_deadline.filter(|_| is_limit).map(|time| time.mul_f64(LIMIT_RETURN));
             refusal.returning_within(wait).response(&id)
         }
     }
@@ -74,7 +74,7 @@
     state: &Arc<TrafficState>,
     dialect: Arc<dyn CallDialect>,
     request: Request<Body>,
-    facts: CallerFacts,
+    metadata: CallerMetadata,
     arrived_at: Moment,
 ) -> Result<Box<CarriedRequest>, AnswerKind> {
     // Without a table, routes and keys cannot be checked, so they must not be reported as unknown.
@@ -83,14 +83,14 @@
     }
     state.list_soon(LIST_WAIT).await;
     let (parts, body) = request.into_parts();
-    let entry = find_entry(&state.snapshot(), &parts, &facts)?;
+    let entry = find_entry(&state.snapshot(), &parts, &metadata)?;
     let body = read_body(body).await?;
     let fingerprint = fingerprint_of(&entry, &parts, &body);
     let progress = state.begin();
     let has_returned =
-        facts.deadline.is_some_and(|time| state.has_returned(&entry.route.route, time));
-    let tokens = facts.prompt_tokens.map(|prompt| prompt + facts.output_limit.unwrap_or(0));
-    let sizes = sizes_of(&facts);
+        metadata.deadline.is_some_and(|time| state.has_returned(&entry.route.route, time));
+    let tokens = metadata.prompt_tokens.map(|prompt| prompt + metadata.output_limit.unwrap_or(0));
+    let sizes = sizes_of(&metadata);
     let size_tenth = sizes.and_then(|sizes| state.size_tenth(&entry.route.route, sizes));
     let limit = match &entry.caller {
         Some(caller) => {
@@ -105,10 +105,10 @@
             if admitted.is_err() {
                 let wait = state.limits().refilled_in(caller.index, now);
                 let rate = state.limits().rate(caller.index).unwrap_or_default();
-                info!(state.log, "over the limit"; "request" => facts.id.as_deref().unwrap_or_default(),
+                info!(state.log, "over the limit"; "request" => metadata.id.as_deref().unwrap_or_default(),
                     "organisation" => caller.organisation.as_str(), "tokens" => cost, "refilled_ms" => wait.as_millis() as u64,
                     "rate" => rate as u64, "rank" => rank, "route" => &entry.route.route,
-                    SizeFields::new(&facts, size_tenth, has_returned));
+                    SizeFields::new(&metadata, size_tenth, has_returned));
                 record_size(entry.route.kind, &entry.route.tier, size_tenth, "rate-limited");
             }
             admitted?;
@@ -121,7 +121,7 @@
         }
         None => None,
     };
-    let wait = facts.deadline.unwrap_or(LONGEST_WAIT).min(entry.route.timeout_ms);
+    let wait = metadata.deadline.unwrap_or(LONGEST_WAIT).min(entry.route.timeout_ms);
     Ok(Box::new(CarriedRequest {
         stage: RequestStage::Waiting,
         state: Arc::clone(state),
@@ -132,9 +132,9 @@
         size_tenth,
         fingerprint,
         deadline: arrived_at + wait,
-        has_deadline: facts.deadline.is_some(),
+        has_deadline: metadata.deadline.is_some(),
         has_returned,
-        facts,
+        metadata,
         parts,
         body,
         arrived_at,
@@ -182,7 +182,7 @@
 pub fn find_entry(
     snapshot: &TableSnapshot,
     parts: &Parts,
-    facts: &CallerFacts,
+    metadata: &CallerMetadata,
 ) -> Result<RouteEntry, AnswerKind> {
     let access = &snapshot.access;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -190,17 +190,17 @@
     let route = access.routes().find(host, parts.uri.path()).ok_or(AnswerKind::ServiceUnknown)?;
     let needs_key = !route.is_public && !access.table().organisations.is_empty();
     let caller = match needs_key {
-        true => Some(access.identify(facts.key.as_deref())?.clone()),
-        false => access.identify(facts.key.as_deref()).ok().cloned(),
+        true => Some(access.identify(metadata.key.as_deref())?.clone()),
+        false => access.identify(metadata.key.as_deref()).ok().cloned(),
     };
     Ok(RouteEntry { route: Arc::clone(route), caller })
 }
 
 /// The caller's output estimate is correct at the median; the output limit caps it.
-fn sizes_of(facts: &CallerFacts) -> Option<RequestSizes> {
-    let prompt = facts.prompt_tokens?;
-    let limit = facts.output_limit.unwrap_or(u32::MAX);
-    let output = facts.output_guess.unwrap_or(limit).min(limit);
+fn sizes_of(metadata: &CallerMetadata) -> Option<RequestSizes> {
+    let prompt = metadata.prompt_tokens?;
+    let limit = metadata.output_limit.unwrap_or(u32::MAX);
+    let output = metadata.output_guess.unwrap_or(limit).min(limit);
     Some(RequestSizes { prompt, output })
 }
 
--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -16,7 +16,9 @@
 
 use crate::policy::OrganisationIndex;
 
-pub use dialect::{AnswerFacts, CallDialect, CallerFacts, PlaceWanted, PlaceWord, SendFacts};
+pub use dialect::{
+    AnswerMetadata, CallDialect, CallerMetadata, PlaceWanted, PlaceWord, SendMetadata,
+};
 pub use door::routed_router;
 pub use events::EventSplitter;
 pub use index::RouteIndex;
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -226,9 +226,10 @@
         while self.request.may_send_again(&self.placed.pool.service.clone(), self.count) {
             let Ok(placed) = self.request.place(false).await else { return false };
             self.placed = placed;
-            let last_event = self.splitter.last_event_id().or(self.request.facts.last_event);
-            self.request.log_placed(&self.placed, self.count, last_event);
-            let answer = self.request.try_send(&self.placed, &mut self.count, last_event).await;
+            let last_event_id =
+                self.splitter.last_event_id().or(self.request.metadata.last_event_id);
+            self.request.log_placed(&self.placed, self.count, last_event_id);
+            let answer = self.request.try_send(&self.placed, &mut self.count, last_event_id).await;
             match answer {
                 Ok(answer) if answer.response.status().is_success() => {
                     self.splitter.discard_partial();
--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -53,9 +53,9 @@
     incarnation: &str,
     longest: Duration,
 ) -> Reservation {
-    let facts = &request.facts;
-    let output = facts.output_limit.or(facts.output_guess).unwrap_or(0);
-    let tokens = facts.prompt_tokens.unwrap_or(0).saturating_add(output);
+    let metadata = &request.metadata;
+    let output = metadata.output_limit.or(metadata.output_guess).unwrap_or(0);
+    let tokens = metadata.prompt_tokens.unwrap_or(0).saturating_add(output);
     let wanted = PlaceWanted { incarnation, tokens, held_for: HELD_FOR.min(longest) };
     let Some(call) = request.dialect.place_call(&wanted) else { return NO_PLACE };
     let limit = ANSWER_TIME.min(request.time_left());
@@ -80,8 +80,8 @@
     call.headers_mut().insert(HOST, address.to_string().parse().ok()?);
     let sent = request.state.connections().send(address, call, KEPT_ALIVE).await;
     let (response, connection) = sent.ok()?;
-    let facts = request.dialect.read_answer(response.status(), response.headers());
-    let connection = connection.kept_for(facts.keeps_idle);
+    let metadata = request.dialect.read_answer(response.status(), response.headers());
+    let connection = connection.kept_for(metadata.idle_timeout);
     let status = response.status();
     let body = Limited::new(response.into_body(), ANSWER_LIMIT).collect().await.ok()?.to_bytes();
     connection.finish();
--- a/src/traffic/routed/size_fields.rs
+++ b/src/traffic/routed/size_fields.rs
@@ -1,6 +1,6 @@
 //! Log fields that describe the size of a request.
 
-use super::dialect::CallerFacts;
+use super::dialect::CallerMetadata;
 use crate::policy::SizeTenth;
 use slog::{KV, Record, Result, Serializer};
 
@@ -16,12 +16,12 @@
 
 impl SizeFields {
     /// Collects the fields from the caller's metadata.
-    pub fn new(facts: &CallerFacts, tenth: Option<SizeTenth>, has_returned: bool) -> Self {
+    pub fn new(metadata: &CallerMetadata, tenth: Option<SizeTenth>, has_returned: bool) -> Self {
         SizeFields {
             tenth,
-            prompt: facts.prompt_tokens,
-            output_limit: facts.output_limit,
-            output_guess: facts.output_guess,
+            prompt: metadata.prompt_tokens,
+            output_limit: metadata.output_limit,
+            output_guess: metadata.output_guess,
             has_returned,
         }
     }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tarragonknot::platform::{DocumentReader, HeaderDialect};
 use tarragonknot::table::{LimitUnit, RouteKind, TableReader, tier_of_rank};
-use tarragonknot::traffic::{CallDialect, PlaceWord, SendFacts};
+use tarragonknot::traffic::{CallDialect, PlaceWord, SendMetadata};
 
 fn document() -> Value {
     json!({
@@ -104,15 +104,15 @@
         ("last-event-id", "12"),
     ]);
 
-    let facts = HeaderDialect.read_caller(&headers);
+    let metadata = HeaderDialect.read_caller(&headers);
 
-    assert_eq!((facts.id.as_deref(), facts.key.as_deref()), (Some("9c41"), Some("key-1")));
-    assert_eq!(facts.deadline, Some(Duration::from_secs(10)));
+    assert_eq!((metadata.id.as_deref(), metadata.key.as_deref()), (Some("9c41"), Some("key-1")));
+    assert_eq!(metadata.deadline, Some(Duration::from_secs(10)));
     assert_eq!(
-        (facts.prompt_tokens, facts.output_limit, facts.output_guess),
+        (metadata.prompt_tokens, metadata.output_limit, metadata.output_guess),
         (Some(1_460), Some(80), Some(40))
     );
-    assert_eq!(facts.last_event, Some(12));
+    assert_eq!(metadata.last_event_id, Some(12));
 }
 
 /// Symptom: an engine gives a caller another's memory, or learns a key. Sequence: a caller sets headers that are the
@@ -130,15 +130,15 @@
         ("tarragonknot-model", "m"),
         ("tarragonknot-request-id", "9c41"),
     ]);
-    let facts = SendFacts {
+    let metadata = SendMetadata {
         deadline: Some(Duration::from_micros(1_500_700)),
         incarnation: "i-1",
         organisation: None,
-        last_event: Some(3),
+        last_event_id: Some(3),
         place: None,
     };
 
-    HeaderDialect.write_send(&mut headers, &facts);
+    HeaderDialect.write_upstream_headers(&mut headers, &metadata);
 
     let mut names: Vec<&str> = headers.keys().map(HeaderName::as_str).collect();
     names.sort_unstable();
@@ -157,15 +157,15 @@
 #[test]
 fn a_reserved_place_goes_with_the_request() {
     let mut headers = HeaderMap::new();
-    let facts = SendFacts {
+    let metadata = SendMetadata {
         deadline: None,
         incarnation: "i-1",
         organisation: None,
-        last_event: None,
+        last_event_id: None,
         place: Some("7"),
     };
 
-    HeaderDialect.write_send(&mut headers, &facts);
+    HeaderDialect.write_upstream_headers(&mut headers, &metadata);
 
     assert_eq!(headers["tarragonknot-hold"], "7");
 }
@@ -204,9 +204,9 @@
 ) {
     let status = StatusCode::from_u16(status).expect("a status");
 
-    let facts = HeaderDialect.read_answer(status, &headers(rows));
+    let metadata = HeaderDialect.read_answer(status, &headers(rows));
 
-    assert_eq!((facts.is_not_run, facts.is_other_incarnation), (is_not_run, is_other));
+    assert_eq!((metadata.is_not_run, metadata.is_other_incarnation), (is_not_run, is_other));
 }
 
 #[test]
@@ -214,11 +214,11 @@
     let headers =
         headers(&[("tarragonknot-server-load", "3,1,8"), ("keep-alive", "timeout=5, max=100")]);
 
-    let facts = HeaderDialect.read_answer(StatusCode::OK, &headers);
+    let metadata = HeaderDialect.read_answer(StatusCode::OK, &headers);
 
-    let load = facts.load.expect("a load");
+    let load = metadata.load.expect("a load");
     assert_eq!((load.running, load.queued), (3, 1));
-    assert_eq!(facts.keeps_idle, Some(Duration::from_secs(5)));
+    assert_eq!(metadata.idle_timeout, Some(Duration::from_secs(5)));
 }
 
 /// The platform's names stand in its folder alone: nothing else may come to rely on them.
