--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::LoadReport;
 use crate::traffic::{
-    AnswerMetadata, CallDialect, CallerMetadata, PlaceWanted, PlaceWord, SendMetadata,
+    AnswerMetadata, CallDialect, CallerMetadata, ReservationReply, ReservationRequest, SendMetadata,
 };
 use bytes::Bytes;
 use http::header::{AUTHORIZATION, CONTENT_TYPE};
@@ -90,29 +90,30 @@
             .into_iter()
             .for_each(|left| set(DEADLINE, left.as_millis().max(1).to_string()));
         metadata.last_event_id.into_iter().for_each(|event| set(LAST_EVENT, event.to_string()));
-        metadata.place.into_iter().for_each(|place| set(HOLD, place.to_owned()));
+        metadata.place_id.into_iter().for_each(|place_id| set(HOLD, place_id.to_owned()));
     }
 
-    fn place_call(&self, wanted: &PlaceWanted<'_>) -> Option<Request<Bytes>> {
-        let body = HoldCall { tokens: wanted.tokens, ttl_ms: wanted.held_for.as_millis() as u64 };
+    fn reservation_call(&self, request: &ReservationRequest<'_>) -> Option<Request<Bytes>> {
+        let body =
+            HoldCall { tokens: request.tokens, ttl_ms: request.hold_time.as_millis() as u64 };
         Request::post(HOLD_TAKE)
             .header(CONTENT_TYPE, "application/json")
-            .header(EXPECT_INSTANCE, wanted.incarnation)
+            .header(EXPECT_INSTANCE, request.incarnation)
             .body(serde_json::to_vec(&body).ok()?.into())
             .ok()
     }
 
-    fn read_place(&self, status: StatusCode, body: &[u8]) -> PlaceWord {
+    fn read_reservation(&self, status: StatusCode, body: &[u8]) -> ReservationReply {
         match status {
             StatusCode::OK => match serde_json::from_slice(body) {
                 Ok(HoldAnswer { hold, born }) => {
-                    PlaceWord::Reserved { place: hold_name(&hold), incarnation: born.as_u64() }
+                    ReservationReply::Reserved { id: hold_name(&hold), incarnation: born.as_u64() }
                 }
-                Err(_) => PlaceWord::Unknown,
+                Err(_) => ReservationReply::Unknown,
             },
-            StatusCode::SERVICE_UNAVAILABLE => PlaceWord::Full,
-            StatusCode::MISDIRECTED_REQUEST => PlaceWord::OtherIncarnation,
-            _ => PlaceWord::Unknown,
+            StatusCode::SERVICE_UNAVAILABLE => ReservationReply::Full,
+            StatusCode::MISDIRECTED_REQUEST => ReservationReply::OtherIncarnation,
+            _ => ReservationReply::Unknown,
         }
     }
 
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -25,7 +25,7 @@
 pub use pool_runtime::{PoolRuntime, RequestGuard};
 pub use probe::{ProbeOutcome, probe};
 pub use routed::{
-    AnswerMetadata, CallDialect, CallerMetadata, EventSplitter, PlaceWanted, PlaceWord, RouteIndex,
-    SendMetadata,
+    AnswerMetadata, CallDialect, CallerMetadata, EventSplitter, ReservationReply,
+    ReservationRequest, RouteIndex, SendMetadata,
 };
 pub use state::{PlatformManner, TableSnapshot, TrafficState};
--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -77,7 +77,7 @@
         incarnation,
         organisation: None,
         last_event_id: None,
-        place: None,
+        place_id: None,
     };
     state.manner()?.dialect.write_upstream_headers(&mut headers, &metadata);
     let path = path.unwrap_or(DEFAULT_PATH);
--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -66,9 +66,9 @@
     address: SocketAddr,
     incarnation: &str,
     last_event_id: Option<u64>,
-    place: Option<&str>,
+    place_id: Option<&str>,
 ) -> Result<OpenAnswer, AttemptFault> {
-    let call = make_call(request, incarnation, last_event_id, place)?;
+    let call = make_call(request, incarnation, last_event_id, place_id)?;
     let connections = request.state.connections();
     let sent = connections.send(address, call, KEPT_ALIVE).await;
     let (response, connection) = sent.map_err(|fault| match fault {
@@ -96,7 +96,7 @@
     request: &CarriedRequest,
     incarnation: &str,
     last_event_id: Option<u64>,
-    place: Option<&str>,
+    place_id: Option<&str>,
 ) -> Result<Request<Full<bytes::Bytes>>, AttemptFault> {
     let path = request.parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut call = Request::builder()
@@ -112,7 +112,7 @@
         incarnation,
         organisation: request.caller.as_ref().map(|caller| caller.organisation.as_str()),
         last_event_id,
-        place,
+        place_id,
     };
     request.dialect.write_upstream_headers(headers, &metadata);
     Ok(call)
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -92,7 +92,7 @@
     pub address: SocketAddr,
     pub sent_at: Moment,
     /// Id of the place that the upstream reserved.
-    pub place: Option<String>,
+    pub place_id: Option<String>,
     /// The arm of the service's roll-out that the upstream's version belongs to.
     pub arm: VersionArm,
     /// Set if the request counts towards the share of a version on trial.
@@ -255,7 +255,7 @@
                     // The upstream has restarted or is leaving; the reservation expires by itself.
                     word = guard.requeue(DispatchOutcome::Crowded);
                 }
-                Reservation::Granted { place, .. } => {
+                Reservation::Granted { place_id, .. } => {
                     guard.granted();
                     let sent_at = self.state.clock.now();
                     return Ok(Some(PlacedRequest {
@@ -268,7 +268,7 @@
                         name,
                         address,
                         sent_at,
-                        place,
+                        place_id,
                     }));
                 }
                 Reservation::Full => word = guard.requeue(DispatchOutcome::Crowded),
@@ -341,8 +341,8 @@
         let is_last = count.sent >= self.route.attempts;
         let patience = if is_last { Duration::MAX } else { self.patience() };
         let limit = self.time_left().min(patience);
-        let place = placed.place.as_deref();
-        let sending = send(self, placed.address, placed.name.as_str(), last_event_id, place);
+        let place_id = placed.place_id.as_deref();
+        let sending = send(self, placed.address, placed.name.as_str(), last_event_id, place_id);
         match tokio::time::timeout(limit, sending).await {
             Ok(answer) => answer,
             Err(_) => Err(AttemptFault::Lost(format!("no answer within {limit:?}"))),
--- a/src/traffic/routed/dialect.rs
+++ b/src/traffic/routed/dialect.rs
@@ -38,27 +38,27 @@
     /// Id of the event after which a stream resumes.
     pub last_event_id: Option<u64>,
     /// Id of the place that the upstream reserved for the request.
-    pub place: Option<&'a str>,
+    pub place_id: Option<&'a str>,
 }
 
 /// A request to an upstream to reserve a place.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceWanted<'a> {
+pub struct ReservationRequest<'a> {
     /// The expected incarnation of the upstream.
     pub incarnation: &'a str,
     /// Maximum number of prompt and output tokens together.
     pub tokens: u32,
     /// How long the upstream holds the place for the request to arrive.
-    pub held_for: Duration,
+    pub hold_time: Duration,
 }
 
 /// An upstream's reply to a reservation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlaceWord {
+pub enum ReservationReply {
     /// A place was reserved.
     Reserved {
         /// Id of the place.
-        place: String,
+        id: String,
         /// The upstream's incarnation, if the reply states it.
         incarnation: Option<u64>,
     },
@@ -96,7 +96,7 @@
     /// Reads the metadata of an answer from its status and headers.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMetadata;
     /// Builds the request that reserves a place; `None` if the platform has no reservations.
-    fn place_call(&self, wanted: &PlaceWanted<'_>) -> Option<Request<Bytes>>;
+    fn reservation_call(&self, request: &ReservationRequest<'_>) -> Option<Request<Bytes>>;
     /// Reads the reply to a reservation request.
-    fn read_place(&self, status: StatusCode, body: &[u8]) -> PlaceWord;
+    fn read_reservation(&self, status: StatusCode, body: &[u8]) -> ReservationReply;
 }
--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -17,7 +17,7 @@
 use crate::policy::OrganisationIndex;
 
 pub use dialect::{
-    AnswerMetadata, CallDialect, CallerMetadata, PlaceWanted, PlaceWord, SendMetadata,
+    AnswerMetadata, CallDialect, CallerMetadata, ReservationReply, ReservationRequest, SendMetadata,
 };
 pub use door::routed_router;
 pub use events::EventSplitter;
--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -7,7 +7,7 @@
 //! has been sent there.
 
 use super::carry::CarriedRequest;
-use super::dialect::{PlaceWanted, PlaceWord};
+use super::dialect::{ReservationReply, ReservationRequest};
 use http::Request;
 use http::header::HOST;
 use http_body_util::{BodyExt, Full, Limited};
@@ -31,7 +31,7 @@
     /// The request may be sent, with the id of the place if one was reserved.
     Granted {
         /// Id of the place.
-        place: Option<String>,
+        place_id: Option<String>,
         /// The upstream's incarnation, if the reply states it.
         incarnation: Option<u64>,
     },
@@ -44,7 +44,7 @@
 }
 
 /// Outcome for upstreams that do not reserve places.
-pub const NO_PLACE: Reservation = Reservation::Granted { place: None, incarnation: None };
+pub const NO_PLACE: Reservation = Reservation::Granted { place_id: None, incarnation: None };
 
 /// Reserves a place for a request at the upstream at `address`, for `longest` at most.
 pub async fn reserve(
@@ -56,16 +56,16 @@
     let metadata = &request.metadata;
     let output = metadata.output_limit.or(metadata.output_guess).unwrap_or(0);
     let tokens = metadata.prompt_tokens.unwrap_or(0).saturating_add(output);
-    let wanted = PlaceWanted { incarnation, tokens, held_for: HELD_FOR.min(longest) };
-    let Some(call) = request.dialect.place_call(&wanted) else { return NO_PLACE };
+    let wanted = ReservationRequest { incarnation, tokens, hold_time: HELD_FOR.min(longest) };
+    let Some(call) = request.dialect.reservation_call(&wanted) else { return NO_PLACE };
     let limit = ANSWER_TIME.min(request.time_left());
     match tokio::time::timeout(limit, ask(request, address, call)).await {
-        Ok(Some(PlaceWord::Reserved { place, incarnation })) => {
-            Reservation::Granted { place: Some(place), incarnation }
+        Ok(Some(ReservationReply::Reserved { id, incarnation })) => {
+            Reservation::Granted { place_id: Some(id), incarnation }
         }
-        Ok(Some(PlaceWord::Full)) => Reservation::Full,
-        Ok(Some(PlaceWord::OtherIncarnation)) => Reservation::Gone,
-        Ok(Some(PlaceWord::Unknown)) => NO_PLACE,
+        Ok(Some(ReservationReply::Full)) => Reservation::Full,
+        Ok(Some(ReservationReply::OtherIncarnation)) => Reservation::Gone,
+        Ok(Some(ReservationReply::Unknown)) => NO_PLACE,
         Ok(None) | Err(_) => Reservation::Unreachable,
     }
 }
@@ -75,7 +75,7 @@
     request: &CarriedRequest,
     address: SocketAddr,
     call: Request<bytes::Bytes>,
-) -> Option<PlaceWord> {
+) -> Option<ReservationReply> {
     let mut call = call.map(Full::new);
     call.headers_mut().insert(HOST, address.to_string().parse().ok()?);
     let sent = request.state.connections().send(address, call, KEPT_ALIVE).await;
@@ -85,5 +85,5 @@
     let status = response.status();
     let body = Limited::new(response.into_body(), ANSWER_LIMIT).collect().await.ok()?.to_bytes();
     connection.finish();
-    Some(request.dialect.read_place(status, &body))
+    Some(request.dialect.read_reservation(status, &body))
 }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tarragonknot::platform::{DocumentReader, HeaderDialect};
 use tarragonknot::table::{LimitUnit, RouteKind, TableReader, tier_of_rank};
-use tarragonknot::traffic::{CallDialect, PlaceWord, SendMetadata};
+use tarragonknot::traffic::{CallDialect, ReservationReply, SendMetadata};
 
 fn document() -> Value {
     json!({
@@ -61,12 +61,12 @@
 #[case::no_weight("/routes/1/backends", json!([{"service": "api", "weight": 0}]), "/routes/1/targets: found 0")]
 #[case::no_timeout("/routes/0/timeout_ms", json!(0), "/routes/0/timeout_ms: found 0")]
 fn an_invalid_document_is_refused_with_its_place(
-    #[case] place: &str,
+    #[case] place_id: &str,
     #[case] value: Value,
     #[case] expected: &str,
 ) {
     let mut document = document();
-    *document.pointer_mut(place).expect("a place of the document") = value;
+    *document.pointer_mut(place_id).expect("a place of the document") = value;
 
     let faults = DocumentReader.read(&document.to_string()).expect_err("a fault").to_string();
 
@@ -135,7 +135,7 @@
         incarnation: "i-1",
         organisation: None,
         last_event_id: Some(3),
-        place: None,
+        place_id: None,
     };
 
     HeaderDialect.write_upstream_headers(&mut headers, &metadata);
@@ -162,7 +162,7 @@
         incarnation: "i-1",
         organisation: None,
         last_event_id: None,
-        place: Some("7"),
+        place_id: Some("7"),
     };
 
     HeaderDialect.write_upstream_headers(&mut headers, &metadata);
@@ -171,22 +171,22 @@
 }
 
 #[rstest]
-#[case::text(200, r#"{"hold":"h-1"}"#, PlaceWord::Reserved { place: "h-1".into(), incarnation: None })]
-#[case::number(200, r#"{"hold":17}"#, PlaceWord::Reserved { place: "17".into(), incarnation: None })]
-#[case::born(200, r#"{"hold":"h-2","born":1760000000123}"#, PlaceWord::Reserved { place: "h-2".into(), incarnation: Some(1_760_000_000_123) })]
-#[case::born_of_another_type(200, r#"{"hold":"h-3","born":"soon"}"#, PlaceWord::Reserved { place: "h-3".into(), incarnation: None })]
-#[case::unreadable(200, "nonsense", PlaceWord::Unknown)]
-#[case::full(503, "", PlaceWord::Full)]
-#[case::other_incarnation(421, "", PlaceWord::OtherIncarnation)]
-#[case::not_known(404, "", PlaceWord::Unknown)]
+#[case::text(200, r#"{"hold":"h-1"}"#, ReservationReply::Reserved { id: "h-1".into(), incarnation: None })]
+#[case::number(200, r#"{"hold":17}"#, ReservationReply::Reserved { id: "17".into(), incarnation: None })]
+#[case::born(200, r#"{"hold":"h-2","born":1760000000123}"#, ReservationReply::Reserved { id: "h-2".into(), incarnation: Some(1_760_000_000_123) })]
+#[case::born_of_another_type(200, r#"{"hold":"h-3","born":"soon"}"#, ReservationReply::Reserved { id: "h-3".into(), incarnation: None })]
+#[case::unreadable(200, "nonsense", ReservationReply::Unknown)]
+#[case::full(503, "", ReservationReply::Full)]
+#[case::other_incarnation(421, "", ReservationReply::OtherIncarnation)]
+#[case::not_known(404, "", ReservationReply::Unknown)]
 fn an_engines_word_on_a_place_is_read(
     #[case] status: u16,
     #[case] body: &str,
-    #[case] expected: PlaceWord,
+    #[case] expected: ReservationReply,
 ) {
     let status = StatusCode::from_u16(status).expect("a status");
 
-    let word = HeaderDialect.read_place(status, body.as_bytes());
+    let word = HeaderDialect.read_reservation(status, body.as_bytes());
 
     assert_eq!(word, expected);
 }
