--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -15,38 +15,38 @@
 /// Longest idle time after which a connection is reused. Longer than the gap between requests to
 /// one upstream, since opening connections loads upstreams; shorter than the time after which a
 /// network device in between may drop an idle connection without notice.
-const KEPT_ALIVE: Duration = Duration::from_secs(10);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 
 /// Why a send failed before an answer began.
 #[derive(Debug)]
-pub enum AttemptFault {
+pub enum SendError {
     /// No byte was sent.
     NotSent(String),
     /// The upstream reports that it did not run the request.
     NotRun {
         /// True if the upstream is not the expected incarnation.
-        is_other: bool,
+        is_other_incarnation: bool,
         /// The load that the upstream reports.
         load: Option<LoadReport>,
     },
     /// The connection closed before the answer was complete. The request may have run, and the
     /// upstream may have terminated.
-    Broken(String),
+    ConnectionBroken(String),
     /// No usable answer came, although the connection stayed open. The request may have run.
-    Lost(String),
+    NoUsableAnswer(String),
 }
 
-impl fmt::Display for AttemptFault {
+impl fmt::Display for SendError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AttemptFault::NotSent(detail) => write!(formatter, "nothing was sent: {detail}"),
-            AttemptFault::NotRun { is_other: true, .. } => {
+            SendError::NotSent(detail) => write!(formatter, "nothing was sent: {detail}"),
+            SendError::NotRun { is_other_incarnation: true, .. } => {
                 formatter.write_str("the upstream is another incarnation")
             }
-            AttemptFault::NotRun { is_other: false, .. } => {
+            SendError::NotRun { is_other_incarnation: false, .. } => {
                 formatter.write_str("the upstream did not run the request")
             }
-            AttemptFault::Broken(detail) | AttemptFault::Lost(detail) => {
+            SendError::ConnectionBroken(detail) | SendError::NoUsableAnswer(detail) => {
                 write!(formatter, "the request may have run: {detail}")
             }
         }
@@ -67,65 +67,67 @@
     incarnation: &str,
     last_event_id: Option<u64>,
     place_id: Option<&str>,
-) -> Result<OpenAnswer, AttemptFault> {
-    let call = make_call(request, incarnation, last_event_id, place_id)?;
+) -> Result<OpenAnswer, SendError> {
+    let upstream_request = build_upstream_request(request, incarnation, last_event_id, place_id)?;
     let connections = request.state.connections();
-    let sent = connections.send(address, call, KEPT_ALIVE).await;
-    let (response, connection) = sent.map_err(|fault| match fault {
-        OpenFault::NotSent { detail } => AttemptFault::NotSent(detail),
-        OpenFault::Lost { detail } => AttemptFault::Broken(detail),
+    let opened = connections.send(address, upstream_request, MAX_IDLE_TIME).await;
+    let (response, connection) = opened.map_err(|fault| match fault {
+        OpenFault::NotSent { detail } => SendError::NotSent(detail),
+        OpenFault::Lost { detail } => SendError::ConnectionBroken(detail),
     })?;
     let metadata = request.dialect.read_answer(response.status(), response.headers());
     let connection = connection.kept_for(metadata.idle_timeout);
-    let is_own = metadata.echoed_id.is_none() || metadata.echoed_id == request.metadata.id;
-    if !is_own {
+    let is_matching = metadata.echoed_id.is_none() || metadata.echoed_id == request.metadata.id;
+    if !is_matching {
         // A late answer to another request: the rest of the connection is unreliable too.
-        return Err(AttemptFault::Lost("the answer carries the id of another request".to_owned()));
+        return Err(SendError::NoUsableAnswer(
+            "the answer carries the id of another request".to_owned(),
+        ));
     }
     if metadata.is_not_run {
-        let is_other = metadata.is_other_incarnation;
-        return Err(AttemptFault::NotRun { is_other, load: metadata.load });
+        let is_other_incarnation = metadata.is_other_incarnation;
+        return Err(SendError::NotRun { is_other_incarnation, load: metadata.load });
     }
     if response.status().is_success() && !metadata.is_signed {
-        return Err(AttemptFault::Lost("the answer is not signed".to_owned()));
+        return Err(SendError::NoUsableAnswer("the answer is not signed".to_owned()));
     }
     Ok(OpenAnswer { response, metadata, connection })
 }
 
-fn make_call(
+fn build_upstream_request(
     request: &CarriedRequest,
     incarnation: &str,
     last_event_id: Option<u64>,
     place_id: Option<&str>,
-) -> Result<Request<Full<bytes::Bytes>>, AttemptFault> {
+) -> Result<Request<Full<bytes::Bytes>>, SendError> {
     let path = request.parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let mut call = Request::builder()
+    let mut upstream_request = Request::builder()
         .method(request.parts.method.clone())
         .uri(path)
         .body(Full::new(request.body.clone()))
-        .map_err(|error| AttemptFault::NotSent(error.to_string()))?;
-    let headers = call.headers_mut();
-    *headers = passed_headers(&request.parts.headers);
-    let left = request.has_deadline.then(|| request.time_left());
+        .map_err(|error| SendError::NotSent(error.to_string()))?;
+    let headers = upstream_request.headers_mut();
+    *headers = forwarded_headers(&request.parts.headers);
+    let time_left = request.has_deadline.then(|| request.time_left());
     let metadata = SendMetadata {
-        deadline: left,
+        deadline: time_left,
         incarnation,
         organisation: request.caller.as_ref().map(|caller| caller.organisation.as_str()),
         last_event_id,
         place_id,
     };
     request.dialect.write_upstream_headers(headers, &metadata);
-    Ok(call)
+    Ok(upstream_request)
 }
 
 /// The caller's end-to-end headers. `Content-Length` and `Expect` are dropped: the body is buffered
 /// and sent whole, with a newly computed length.
-fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = end_to_end_headers(headers);
-    passed.remove(CONTENT_LENGTH);
-    passed.remove(EXPECT);
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end_headers(headers);
+    forwarded.remove(CONTENT_LENGTH);
+    forwarded.remove(EXPECT);
     if let Some(host) = headers.get(HOST) {
-        passed.insert(HOST, host.clone());
+        forwarded.insert(HOST, host.clone());
     }
-    passed
+    forwarded
 }
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -1,6 +1,6 @@
 //! Forwards an admitted request: waits for placement, sends it, and retries where the route allows.
 
-use super::attempt::{AttemptFault, OpenAnswer, send};
+use super::attempt::{OpenAnswer, SendError, send};
 use super::dialect::{CallDialect, CallerMetadata};
 use super::door::{LimitGuard, find_entry};
 use super::relay::{StreamPace, StreamRelay, stream_response, whole_response};
@@ -332,7 +332,7 @@
         placed: &PlacedRequest,
         count: &mut SendCount,
         last_event_id: Option<u64>,
-    ) -> Result<OpenAnswer, AttemptFault> {
+    ) -> Result<OpenAnswer, SendError> {
         count.sent += 1;
         match &placed.ticket {
             Some(ticket) => ticket.sent(),
@@ -345,7 +345,7 @@
         let sending = send(self, placed.address, placed.name.as_str(), last_event_id, place_id);
         match tokio::time::timeout(limit, sending).await {
             Ok(answer) => answer,
-            Err(_) => Err(AttemptFault::Lost(format!("no answer within {limit:?}"))),
+            Err(_) => Err(SendError::NoUsableAnswer(format!("no answer within {limit:?}"))),
         }
     }
 
@@ -380,18 +380,18 @@
         }
         request.count_as_run(true);
         let sent = request.try_send(&placed, &mut count, request.metadata.last_event_id).await;
-        if let Err(AttemptFault::NotSent(_) | AttemptFault::NotRun { .. }) = sent {
+        if let Err(SendError::NotSent(_) | SendError::NotRun { .. }) = sent {
             request.count_as_run(count.may_have_run);
         }
-        let fault = match sent {
+        let error = match sent {
             Ok(answer) => match answer_caller(request, placed, count, answer).await {
                 Answered::Response(response) => return response,
-                Answered::Again(again, fault) => {
+                Answered::Again(again, error) => {
                     request = again;
-                    fault
+                    error
                 }
             },
-            Err(AttemptFault::NotSent(detail)) => {
+            Err(SendError::NotSent(detail)) => {
                 count.sent -= 1;
                 info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
                 placed.pool.tell(PoolEvent::Word {
@@ -404,16 +404,16 @@
                 }
                 continue;
             }
-            Err(fault) => {
-                note_fault(&request, &mut placed, &fault);
-                fault
+            Err(error) => {
+                report_send_error(&request, &mut placed, &error);
+                error
             }
         };
-        request.note_run(&mut count, &fault);
+        request.note_run(&mut count, &error);
         info!(request.state.log, "no answer"; "request" => request.id(), "upstream" => name.as_str(),
-            "fault" => fault.to_string(), "sent" => count.sent);
+            "fault" => error.to_string(), "sent" => count.sent);
         if !request.may_send_again(&service, count) {
-            let kind = fault_kind(&request, &fault);
+            let kind = refusal_kind(&request, &error);
             return refuse(&mut request, kind, count);
         }
     }
@@ -429,8 +429,8 @@
         self.state.rollouts.note_answer(service, placed.arm, group, upstream, answer);
     }
 
-    fn note_run(&mut self, count: &mut SendCount, fault: &AttemptFault) {
-        if matches!(fault, AttemptFault::Broken(_) | AttemptFault::Lost(_)) {
+    fn note_run(&mut self, count: &mut SendCount, error: &SendError) {
+        if matches!(error, SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_)) {
             count.may_have_run = true;
         }
     }
@@ -443,32 +443,34 @@
 }
 
 /// Reports a failed send to the pool, and checks the upstream if it may have crashed.
-pub fn note_fault(request: &CarriedRequest, placed: &mut PlacedRequest, fault: &AttemptFault) {
-    if let AttemptFault::Broken(_) = fault {
+pub fn report_send_error(request: &CarriedRequest, placed: &mut PlacedRequest, error: &SendError) {
+    if let SendError::ConnectionBroken(_) = error {
         let broken = BrokenRequest { id: request.id().into(), fingerprint: request.fingerprint };
         check_upstream(&request.state, placed.broken_upstream(), broken);
     }
-    if let AttemptFault::NotRun { load: Some(report), .. } = fault {
+    if let SendError::NotRun { load: Some(report), .. } = error {
         placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report: *report });
     }
-    if let AttemptFault::NotRun { is_other: true, .. } = fault {
+    if let SendError::NotRun { is_other_incarnation: true, .. } = error {
         let word = UpstreamWord::Leaving;
         placed.pool.tell(PoolEvent::Word { upstream: placed.upstream, word });
     }
-    if let AttemptFault::Broken(_) | AttemptFault::Lost(_) = fault {
+    if let SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) = error {
         request.note_version(placed, AnswerCount::Failed);
     }
     placed.guard.end(DispatchOutcome::Failed);
 }
 
-fn fault_kind(request: &CarriedRequest, fault: &AttemptFault) -> AnswerKind {
-    match fault {
-        AttemptFault::NotSent(_) => AnswerKind::UpstreamUnreachable,
-        AttemptFault::NotRun { .. } => AnswerKind::UpstreamRefused,
-        AttemptFault::Broken(_) | AttemptFault::Lost(_) if request.time_left().is_zero() => {
+fn refusal_kind(request: &CarriedRequest, error: &SendError) -> AnswerKind {
+    match error {
+        SendError::NotSent(_) => AnswerKind::UpstreamUnreachable,
+        SendError::NotRun { .. } => AnswerKind::UpstreamRefused,
+        SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_)
+            if request.time_left().is_zero() =>
+        {
             AnswerKind::DeadlineRunning
         }
-        AttemptFault::Broken(_) | AttemptFault::Lost(_) => AnswerKind::UpstreamLost,
+        SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) => AnswerKind::UpstreamLost,
     }
 }
 
@@ -509,7 +511,7 @@
 enum Answered {
     Response(Response<Body>),
     /// The answer was incomplete or a server error, and another send may follow.
-    Again(Box<CarriedRequest>, AttemptFault),
+    Again(Box<CarriedRequest>, SendError),
 }
 
 async fn answer_caller(
@@ -530,7 +532,7 @@
     }
     let limit = request.time_left();
     let whole = whole_response(answer.response, answer.connection);
-    let fault = match tokio::time::timeout(limit, whole).await {
+    let error = match tokio::time::timeout(limit, whole).await {
         Ok(Ok(response)) => {
             let is_failure = status.is_server_error();
             let outcome = match is_failure {
@@ -548,13 +550,13 @@
             }
             // `may_send_again` has spent a unit of the budget, and `carry` calls it again.
             request.state.with_repeats(&placed.pool.service, |budget| budget.refund());
-            return Answered::Again(request, AttemptFault::Lost(format!("status {status}")));
+            return Answered::Again(request, SendError::NoUsableAnswer(format!("status {status}")));
         }
-        Ok(Err(detail)) => AttemptFault::Broken(detail),
-        Err(_) => AttemptFault::Lost("incomplete answer at the deadline".to_owned()),
+        Ok(Err(detail)) => SendError::ConnectionBroken(detail),
+        Err(_) => SendError::NoUsableAnswer("incomplete answer at the deadline".to_owned()),
     };
-    note_fault(&request, &mut placed, &fault);
-    Answered::Again(request, fault)
+    report_send_error(&request, &mut placed, &error);
+    Answered::Again(request, error)
 }
 
 impl CarriedRequest {
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -1,7 +1,7 @@
 //! Relays answers to callers: plain ones once complete, streams event by event as they arrive.
 
-use super::attempt::AttemptFault;
-use super::carry::{CarriedRequest, PlacedRequest, RequestStage, SendCount, note_fault};
+use super::attempt::SendError;
+use super::carry::{CarriedRequest, PlacedRequest, RequestStage, SendCount, report_send_error};
 use super::events::EventSplitter;
 use crate::policy::{DispatchOutcome, Moment, PoolEvent};
 use crate::rollout::AnswerCount;
@@ -139,7 +139,7 @@
         loop {
             let limit = self.request.time_left().min(self.patience());
             let frame = tokio::time::timeout(limit, self.body.frame()).await;
-            let fault = match frame {
+            let error = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
                     match self.splitter.push(&bytes) {
@@ -151,13 +151,13 @@
                     }
                 }
                 Ok(None) => return self.end(),
-                Ok(Some(Err(error))) => AttemptFault::Broken(error.to_string()),
+                Ok(Some(Err(error))) => SendError::ConnectionBroken(error.to_string()),
                 Err(_) if self.request.time_left().is_zero() => {
                     return self.cut("the deadline has passed");
                 }
-                Err(_) => AttemptFault::Lost(format!("no event within {limit:?}")),
+                Err(_) => SendError::NoUsableAnswer(format!("no event within {limit:?}")),
             };
-            if !self.go_on(fault).await {
+            if !self.go_on(error).await {
                 return self.cut("no other upstream can resume it");
             }
         }
@@ -216,13 +216,13 @@
     }
 
     /// Resumes the stream elsewhere after its last complete event; false if no upstream may or can.
-    async fn go_on(&mut self, fault: AttemptFault) -> bool {
+    async fn go_on(&mut self, error: SendError) -> bool {
         // Closing the connection first makes the upstream stop before another one begins.
         self.connection = None;
         self.count.may_have_run = true;
         info!(self.request.state.log, "stream broken"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
-            "events" => self.splitter.event_count(), "detail" => fault.to_string());
-        note_fault(&self.request, &mut self.placed, &fault);
+            "events" => self.splitter.event_count(), "detail" => error.to_string());
+        report_send_error(&self.request, &mut self.placed, &error);
         while self.request.may_send_again(&self.placed.pool.service.clone(), self.count) {
             let Ok(placed) = self.request.place(false).await else { return false };
             self.placed = placed;
@@ -242,7 +242,7 @@
                     self.request.note_version(&self.placed, AnswerCount::Failed);
                     self.placed.guard.end(DispatchOutcome::Failed);
                 }
-                Err(fault) => note_fault(&self.request, &mut self.placed, &fault),
+                Err(error) => report_send_error(&self.request, &mut self.placed, &error),
             }
         }
         false
