--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -4,7 +4,7 @@
 use super::dialect::{CallDialect, CallerMetadata};
 use super::door::{LimitGuard, find_entry};
 use super::relay::{StreamPace, StreamRelay, stream_response, whole_response};
-use super::reserve::{NO_PLACE, Reservation, reserve};
+use super::reserve::{NOT_RESERVED, ReservationOutcome, reserve};
 use super::size_fields::SizeFields;
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{
@@ -245,17 +245,17 @@
                 Err(_) => return Err(AnswerKind::DeadlineWaiting),
             };
             let reservation = match pool.reservation() {
-                Some(longest) => reserve(self, address, name.as_str(), longest).await,
-                None => NO_PLACE,
+                Some(max_hold) => reserve(self, address, name.as_str(), max_hold).await,
+                None => NOT_RESERVED,
             };
             match reservation {
-                Reservation::Granted { incarnation, .. }
+                ReservationOutcome::Granted { incarnation, .. }
                     if !pool.is_still(upstream, incarnation) =>
                 {
                     // The upstream has restarted or is leaving; the reservation expires by itself.
                     word = guard.requeue(DispatchOutcome::Crowded);
                 }
-                Reservation::Granted { place_id, .. } => {
+                ReservationOutcome::Granted { place_id, .. } => {
                     guard.granted();
                     let sent_at = self.state.clock.now();
                     return Ok(Some(PlacedRequest {
@@ -271,12 +271,12 @@
                         place_id,
                     }));
                 }
-                Reservation::Full => word = guard.requeue(DispatchOutcome::Crowded),
-                Reservation::Gone => {
+                ReservationOutcome::Full => word = guard.requeue(DispatchOutcome::Crowded),
+                ReservationOutcome::Gone => {
                     pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Leaving });
                     word = guard.requeue(DispatchOutcome::Crowded);
                 }
-                Reservation::Unreachable => {
+                ReservationOutcome::Unreachable => {
                     info!(self.state.log, "no word on a place"; "request" => self.id(), "upstream" => name.as_str());
                     word = guard.requeue(DispatchOutcome::NotSent);
                 }
--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -17,17 +17,17 @@
 /// An upstream that does not answer within this time counts as unreachable. Far above the
 /// round-trip time (at most 10 ms on the given platform) and below the shortest latency objective
 /// of a route.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest idle time after which a connection is reused.
-const KEPT_ALIVE: Duration = Duration::from_secs(10);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 /// Maximum lifetime of a reservation; short, since the request follows immediately.
-const HELD_FOR: Duration = Duration::from_millis(1_000);
+const HOLD_TIME: Duration = Duration::from_millis(1_000);
 /// Maximum size of a reply, in bytes.
-const ANSWER_LIMIT: usize = 4 << 10;
+const REPLY_LIMIT_BYTES: usize = 4 << 10;
 
 /// Outcome of a reservation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reservation {
+pub enum ReservationOutcome {
     /// The request may be sent, with the id of the place if one was reserved.
     Granted {
         /// Id of the place.
@@ -44,46 +44,48 @@
 }
 
 /// Outcome for upstreams that do not reserve places.
-pub const NO_PLACE: Reservation = Reservation::Granted { place_id: None, incarnation: None };
+pub const NOT_RESERVED: ReservationOutcome =
+    ReservationOutcome::Granted { place_id: None, incarnation: None };
 
-/// Reserves a place for a request at the upstream at `address`, for `longest` at most.
+/// Reserves a place for a request at the upstream at `address`, for `max_hold` at most.
 pub async fn reserve(
     request: &CarriedRequest,
     address: SocketAddr,
     incarnation: &str,
-    longest: Duration,
-) -> Reservation {
+    max_hold: Duration,
+) -> ReservationOutcome {
     let metadata = &request.metadata;
     let output = metadata.output_limit.or(metadata.output_guess).unwrap_or(0);
     let tokens = metadata.prompt_tokens.unwrap_or(0).saturating_add(output);
-    let wanted = ReservationRequest { incarnation, tokens, hold_time: HELD_FOR.min(longest) };
-    let Some(call) = request.dialect.reservation_call(&wanted) else { return NO_PLACE };
-    let limit = ANSWER_TIME.min(request.time_left());
-    match tokio::time::timeout(limit, ask(request, address, call)).await {
+    let wanted = ReservationRequest { incarnation, tokens, hold_time: HOLD_TIME.min(max_hold) };
+    let Some(call) = request.dialect.reservation_call(&wanted) else { return NOT_RESERVED };
+    let limit = REPLY_TIMEOUT.min(request.time_left());
+    match tokio::time::timeout(limit, request_place(request, address, call)).await {
         Ok(Some(ReservationReply::Reserved { id, incarnation })) => {
-            Reservation::Granted { place_id: Some(id), incarnation }
+            ReservationOutcome::Granted { place_id: Some(id), incarnation }
         }
-        Ok(Some(ReservationReply::Full)) => Reservation::Full,
-        Ok(Some(ReservationReply::OtherIncarnation)) => Reservation::Gone,
-        Ok(Some(ReservationReply::Unknown)) => NO_PLACE,
-        Ok(None) | Err(_) => Reservation::Unreachable,
+        Ok(Some(ReservationReply::Full)) => ReservationOutcome::Full,
+        Ok(Some(ReservationReply::OtherIncarnation)) => ReservationOutcome::Gone,
+        Ok(Some(ReservationReply::Unknown)) => NOT_RESERVED,
+        Ok(None) | Err(_) => ReservationOutcome::Unreachable,
     }
 }
 
 /// Sends the reservation request; `None` if no readable reply came.
-async fn ask(
+async fn request_place(
     request: &CarriedRequest,
     address: SocketAddr,
     call: Request<bytes::Bytes>,
 ) -> Option<ReservationReply> {
     let mut call = call.map(Full::new);
     call.headers_mut().insert(HOST, address.to_string().parse().ok()?);
-    let sent = request.state.connections().send(address, call, KEPT_ALIVE).await;
+    let sent = request.state.connections().send(address, call, MAX_IDLE_TIME).await;
     let (response, connection) = sent.ok()?;
     let metadata = request.dialect.read_answer(response.status(), response.headers());
     let connection = connection.kept_for(metadata.idle_timeout);
     let status = response.status();
-    let body = Limited::new(response.into_body(), ANSWER_LIMIT).collect().await.ok()?.to_bytes();
+    let body =
+        Limited::new(response.into_body(), REPLY_LIMIT_BYTES).collect().await.ok()?.to_bytes();
     connection.finish();
     Some(request.dialect.read_reservation(status, &body))
 }
