--- a/src/traffic/routed/door.rs
+++ b/src/traffic/routed/admission.rs
@@ -23,31 +23,31 @@
 use std::time::Duration;
 
 /// Maximum size of a request body, in bytes: the given platform's own limit of 4 MiB.
-const BODY_LIMIT: usize = 4 << 20;
+const BODY_LIMIT_BYTES: usize = 4 << 20;
 /// Time within which a caller must send the whole body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Fraction of its deadline after which a caller over its organisation's limit is told to retry: as
 /// late as the caller may, since an organisation stays over its limit for seconds.
-const LIMIT_RETURN: f64 = 0.3;
+const LIMIT_RETRY_FRACTION: f64 = 0.3;
 /// How long a request waits for the daemon's first table.
-const TABLE_WAIT: Duration = Duration::from_millis(1_500);
+const FIRST_TABLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a request waits for the daemon's first list of upstreams. Callers connect as soon as
 /// the daemon listens, and a refusal would cost each of them its only retry. Meanwhile the limits
 /// of organisations, which start empty in a new process, fill up.
-const LIST_WAIT: Duration = Duration::from_millis(1_500);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Deadline of requests that state none.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// The HTTP service that answers callers by route.
 pub fn routed_router(state: Arc<TrafficState>) -> Router {
-    let calls = tower::service_fn(move |request| {
-        let answer = answer(Arc::clone(&state), request);
+    let service = tower::service_fn(move |request| {
+        let answer = answer_request(Arc::clone(&state), request);
         async move { Ok::<_, Infallible>(answer.await) }
     });
-    Router::new().fallback_service(calls)
+    Router::new().fallback_service(service)
 }
 
-async fn answer(state: Arc<TrafficState>, request: Request<Body>) -> Response<Body> {
+async fn answer_request(state: Arc<TrafficState>, request: Request<Body>) -> Response<Body> {
     let Some(manner) = state.manner() else { return refusal(&state, AnswerKind::Internal, "") };
     let dialect = Arc::clone(&manner.dialect);
     let arrived_at = state.clock.now();
@@ -59,8 +59,10 @@
         Err(kind) => {
             info!(state.log, "refused"; "request" => &*id, "kind" => kind.row().name, "table" => state.snapshot().version);
             let refusal = RefusalAnswer::new(kind, "", state.jitter());
-            let is_limit = kind == AnswerKind::RateLimited;
-            let wait = caller_deadline.filter(|_| is_limit).map(|time| time.mul_f64(LIMIT_RETURN));
+            let is_over_limit = kind == AnswerKind::RateLimited;
+            let wait = caller_deadline
+                .filter(|_| is_over_limit)
+                .map(|time| time.mul_f64(LIMIT_RETRY_FRACTION));
             refusal.returning_within(wait).response(&id)
         }
     }
@@ -78,28 +80,28 @@
     arrived_at: Moment,
 ) -> Result<Box<CarriedRequest>, AnswerKind> {
     // Without a table, routes and keys cannot be checked, so they must not be reported as unknown.
-    if !has_table_soon(state).await {
+    if !wait_for_table(state).await {
         return Err(AnswerKind::TableStale);
     }
-    state.list_soon(LIST_WAIT).await;
+    state.list_soon(FIRST_LIST_TIMEOUT).await;
     let (parts, body) = request.into_parts();
-    let entry = find_entry(&state.snapshot(), &parts, &metadata)?;
+    let matched = match_route(&state.snapshot(), &parts, &metadata)?;
     let body = read_body(body).await?;
-    let fingerprint = fingerprint_of(&entry, &parts, &body);
+    let fingerprint = request_fingerprint(&matched, &parts, &body);
     let progress = state.begin();
     let has_returned =
-        metadata.deadline.is_some_and(|time| state.has_returned(&entry.route.route, time));
+        metadata.deadline.is_some_and(|time| state.has_returned(&matched.route.route, time));
     let tokens = metadata.prompt_tokens.map(|prompt| prompt + metadata.output_limit.unwrap_or(0));
-    let sizes = sizes_of(&metadata);
-    let size_tenth = sizes.and_then(|sizes| state.size_tenth(&entry.route.route, sizes));
-    let limit = match &entry.caller {
+    let sizes = request_sizes(&metadata);
+    let size_tenth = sizes.and_then(|sizes| state.size_tenth(&matched.route.route, sizes));
+    let limit = match &matched.caller {
         Some(caller) => {
             let snapshot = state.snapshot();
             let cost = snapshot.access.counted(caller, tokens);
-            let rank = snapshot.access.route_rank(&entry.route);
+            let rank = snapshot.access.route_rank(&matched.route);
             let now = state.clock.now();
-            let usual_cost = state.usual_cost(&entry.route.route, cost);
-            let kind = RouteKey::of(&entry.route.route);
+            let usual_cost = state.usual_cost(&matched.route.route, cost);
+            let kind = RouteKey::of(&matched.route.route);
             let claim = LimitClaim { kind, cost, usual_cost, rank, has_returned };
             let admitted = state.limits().admit_claim(caller.index, claim, now);
             if admitted.is_err() {
@@ -107,27 +109,27 @@
                 let rate = state.limits().rate(caller.index).unwrap_or_default();
                 info!(state.log, "over the limit"; "request" => metadata.id.as_deref().unwrap_or_default(),
                     "organisation" => caller.organisation.as_str(), "tokens" => cost, "refilled_ms" => wait.as_millis() as u64,
-                    "rate" => rate as u64, "rank" => rank, "route" => &entry.route.route,
+                    "rate" => rate as u64, "rank" => rank, "route" => &matched.route.route,
                     SizeFields::new(&metadata, size_tenth, has_returned));
-                record_size(entry.route.kind, &entry.route.tier, size_tenth, "rate-limited");
+                record_size(matched.route.kind, &matched.route.tier, size_tenth, "rate-limited");
             }
             admitted?;
             Some(LimitGuard {
                 state: Arc::clone(state),
                 organisation: caller.index,
                 cost,
-                has_run: false,
+                is_charged: false,
             })
         }
         None => None,
     };
-    let wait = metadata.deadline.unwrap_or(LONGEST_WAIT).min(entry.route.timeout_ms);
+    let wait = metadata.deadline.unwrap_or(DEFAULT_DEADLINE).min(matched.route.timeout_ms);
     Ok(Box::new(CarriedRequest {
         stage: RequestStage::Waiting,
         state: Arc::clone(state),
         dialect,
-        route: entry.route,
-        caller: entry.caller,
+        route: matched.route,
+        caller: matched.caller,
         sizes,
         size_tenth,
         fingerprint,
@@ -143,47 +145,47 @@
     }))
 }
 
-/// Waits up to [`TABLE_WAIT`] for the first table; returns whether one is current. A new daemon
-/// receives it within a fraction of a second, but callers connect as soon as it listens, and a
-/// refusal would cost each of them its only retry.
-async fn has_table_soon(state: &TrafficState) -> bool {
-    let arrival = async {
+/// Waits up to [`FIRST_TABLE_TIMEOUT`] for the first table; returns whether one is current. A new
+/// daemon receives it within a fraction of a second, but callers connect as soon as it listens, and
+/// a refusal would cost each of them its only retry.
+async fn wait_for_table(state: &TrafficState) -> bool {
+    let table_arrival = async {
         loop {
-            let news = state.table_news.notified();
+            let table_change = state.table_news.notified();
             if state.is_current() {
                 return;
             }
-            news.await;
+            table_change.await;
         }
     };
-    state.is_current() || tokio::time::timeout(TABLE_WAIT, arrival).await.is_ok()
+    state.is_current() || tokio::time::timeout(FIRST_TABLE_TIMEOUT, table_arrival).await.is_ok()
 }
 
 /// Fingerprint of what an upstream would run, independent of the caller's id of this attempt.
-fn fingerprint_of(entry: &RouteEntry, parts: &Parts, body: &[u8]) -> RequestFingerprint {
-    let caller = entry.caller.as_ref();
+fn request_fingerprint(matched: &RouteMatch, parts: &Parts, body: &[u8]) -> RequestFingerprint {
+    let caller = matched.caller.as_ref();
     RequestFingerprint::of(&RequestContent {
         organisation: caller.map_or("", |caller| caller.organisation.as_str()),
         method: parts.method.as_str(),
-        host: &entry.route.host,
+        host: &matched.route.host,
         path: parts.uri.path_and_query().map_or("/", |path| path.as_str()),
         body,
     })
 }
 
 /// The route and the caller that the table gives for a request.
-pub struct RouteEntry {
+pub struct RouteMatch {
     pub route: Arc<RouteRow>,
     pub caller: Option<CallerIdentity>,
 }
 
 /// Finds the route of a request and the organisation of its key. Called again before each send,
 /// since the table may have changed while the request waited.
-pub fn find_entry(
+pub fn match_route(
     snapshot: &TableSnapshot,
     parts: &Parts,
     metadata: &CallerMetadata,
-) -> Result<RouteEntry, AnswerKind> {
+) -> Result<RouteMatch, AnswerKind> {
     let access = &snapshot.access;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
@@ -193,11 +195,11 @@
         true => Some(access.identify(metadata.key.as_deref())?.clone()),
         false => access.identify(metadata.key.as_deref()).ok().cloned(),
     };
-    Ok(RouteEntry { route: Arc::clone(route), caller })
+    Ok(RouteMatch { route: Arc::clone(route), caller })
 }
 
 /// The caller's output estimate is correct at the median; the output limit caps it.
-fn sizes_of(metadata: &CallerMetadata) -> Option<RequestSizes> {
+fn request_sizes(metadata: &CallerMetadata) -> Option<RequestSizes> {
     let prompt = metadata.prompt_tokens?;
     let limit = metadata.output_limit.unwrap_or(u32::MAX);
     let output = metadata.output_guess.unwrap_or(limit).min(limit);
@@ -205,7 +207,8 @@
 }
 
 async fn read_body(body: Body) -> Result<Bytes, AnswerKind> {
-    let collected = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, BODY_LIMIT).collect());
+    let collected =
+        tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, BODY_LIMIT_BYTES).collect());
     match collected.await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
@@ -220,12 +223,12 @@
     state: Arc<TrafficState>,
     organisation: OrganisationIndex,
     pub cost: u32,
-    pub has_run: bool,
+    pub is_charged: bool,
 }
 
 impl Drop for LimitGuard {
     fn drop(&mut self) {
-        let unused = if self.has_run { 0 } else { self.cost };
+        let unused = if self.is_charged { 0 } else { self.cost };
         self.state.limits().release(self.organisation, unused);
     }
 }
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -1,8 +1,8 @@
 //! Forwards an admitted request: waits for placement, sends it, and retries where the route allows.
 
+use super::admission::{LimitGuard, match_route};
 use super::attempt::{OpenAnswer, SendError, send};
 use super::dialect::{CallDialect, CallerMetadata};
-use super::door::{LimitGuard, find_entry};
 use super::relay::{StreamPace, StreamRelay, stream_response, whole_response};
 use super::reserve::{NOT_RESERVED, ReservationOutcome, reserve};
 use super::size_fields::SizeFields;
@@ -193,17 +193,17 @@
         let mut news = self.state.rollouts.news();
         loop {
             self.check_quarantine()?;
-            let entry = find_entry(&self.state.snapshot(), &self.parts, &self.metadata)?;
-            self.route = entry.route;
-            self.caller = entry.caller;
+            let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
+            self.route = matched.route;
+            self.caller = matched.caller;
             let service = self.route.target(self.state.jitter());
             let service = service.ok_or(AnswerKind::ServiceUnknown)?.clone();
             let chosen = self.state.choose_pool(&service, may_try);
             let chosen = chosen.ok_or(AnswerKind::UpstreamAbsent)?;
             let Some(placed) = self.wait_in(chosen, &mut news).await? else { continue };
             self.check_quarantine()?;
-            let entry = find_entry(&self.state.snapshot(), &self.parts, &self.metadata)?;
-            if entry.route.allows(&service) && self.state.may_use(&service, placed.arm) {
+            let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
+            if matched.route.allows(&service) && self.state.may_use(&service, placed.arm) {
                 return Ok(placed);
             }
         }
@@ -438,7 +438,7 @@
     /// Sets whether the request is charged to its organisation's limit. It is charged before it is
     /// sent, since the outcome stays unknown if the caller disconnects while an upstream runs it.
     fn count_as_run(&mut self, has_run: bool) {
-        self.limit.iter_mut().for_each(|limit| limit.has_run = has_run);
+        self.limit.iter_mut().for_each(|limit| limit.is_charged = has_run);
     }
 }
 
--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -1,13 +1,13 @@
 //! Request routing: forwards platform callers' requests to upstreams according to the route table.
 //!
-//! [`door`] reads and admits a request, [`carry`] has it placed and sends it, and [`relay`] passes
-//! the events of a streaming answer on. A [`CallDialect`] reads and writes the platform's headers;
-//! nothing in this module depends on header names.
+//! [`admission`] reads and admits a request, [`carry`] has it placed and sends it, and [`relay`]
+//! passes the events of a streaming answer on. A [`CallDialect`] reads and writes the platform's
+//! headers; nothing in this module depends on header names.
 
+mod admission;
 mod attempt;
 mod carry;
 mod dialect;
-mod door;
 mod events;
 mod index;
 mod relay;
@@ -16,10 +16,10 @@
 
 use crate::policy::OrganisationIndex;
 
+pub use admission::routed_router;
 pub use dialect::{
     AnswerMetadata, CallDialect, CallerMetadata, ReservationReply, ReservationRequest, SendMetadata,
 };
-pub use door::routed_router;
 pub use events::EventSplitter;
 pub use index::RouteIndex;
 
