--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: reads a caller's request, matches its route and organisation, and applies the limits.
 
-use super::carry::{CarriedRequest, RequestStage, carry};
 use super::dialect::{CallDialect, CallerMetadata};
+use super::forward::{RequestStage, RoutedRequest, forward};
 use super::size_fields::SizeFields;
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{LimitClaim, Moment, OrganisationIndex, RequestSizes, RouteKey};
@@ -55,7 +55,7 @@
     let caller_deadline = metadata.deadline;
     let id: Arc<str> = Arc::from(metadata.id.clone().unwrap_or_default());
     match admit(&state, dialect, request, metadata, arrived_at).await {
-        Ok(carried) => carry(carried).await,
+        Ok(admitted) => forward(admitted).await,
         Err(kind) => {
             info!(state.log, "refused"; "request" => &*id, "kind" => kind.row().name, "table" => state.snapshot().version);
             let refusal = RefusalAnswer::new(kind, "", state.jitter());
@@ -78,7 +78,7 @@
     request: Request<Body>,
     metadata: CallerMetadata,
     arrived_at: Moment,
-) -> Result<Box<CarriedRequest>, AnswerKind> {
+) -> Result<Box<RoutedRequest>, AnswerKind> {
     // Without a table, routes and keys cannot be checked, so they must not be reported as unknown.
     if !wait_for_table(state).await {
         return Err(AnswerKind::TableStale);
@@ -124,7 +124,7 @@
         None => None,
     };
     let wait = metadata.deadline.unwrap_or(DEFAULT_DEADLINE).min(matched.route.timeout_ms);
-    Ok(Box::new(CarriedRequest {
+    Ok(Box::new(RoutedRequest {
         stage: RequestStage::Waiting,
         state: Arc::clone(state),
         dialect,
--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -1,7 +1,7 @@
 //! Sends a request to one upstream and waits for the head of the answer.
 
-use super::carry::CarriedRequest;
 use super::dialect::{AnswerMetadata, SendMetadata};
+use super::forward::RoutedRequest;
 use crate::policy::LoadReport;
 use crate::upstream::{ConnectionGuard, OpenFault, end_to_end_headers};
 use http::header::{CONTENT_LENGTH, EXPECT, HOST};
@@ -62,7 +62,7 @@
 
 /// Sends the request. `last_event_id` is the id of the event after which a stream resumes.
 pub async fn send(
-    request: &CarriedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     incarnation: &str,
     last_event_id: Option<u64>,
@@ -95,7 +95,7 @@
 }
 
 fn build_upstream_request(
-    request: &CarriedRequest,
+    request: &RoutedRequest,
     incarnation: &str,
     last_event_id: Option<u64>,
     place_id: Option<&str>,
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/forward.rs
@@ -32,14 +32,14 @@
 
 /// A resumable stream without a first event, or a safe request without an answer, is sent to
 /// another upstream after this many times its latency objective.
-const FIRST_EVENT_PATIENCE: u32 = 2;
+const ANSWER_TIMEOUT_FACTOR: u32 = 2;
 /// Lower bound of that time: under load engines deliver first events late without having failed.
-const LEAST_PATIENCE: Duration = Duration::from_millis(1_200);
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Callers are told to retry after a fraction of the remaining time between these bounds; callers
 /// of the platform wait for at most a third of it.
-const RETURN_LEAST: f64 = 0.2;
-const RETURN_MOST: f64 = 0.33;
+const MIN_RETRY_FRACTION: f64 = 0.2;
+const MAX_RETRY_FRACTION: f64 = 0.33;
 
 /// Progress of a request, logged when its caller disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 }
 
 /// A request that was admitted and has not ended.
-pub struct CarriedRequest {
+pub struct RoutedRequest {
     pub stage: RequestStage,
     pub state: Arc<TrafficState>,
     pub dialect: Arc<dyn CallDialect>,
@@ -115,14 +115,14 @@
 
 /// The sends of one request so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SendCount {
+pub struct SendHistory {
     /// Number of upstreams that the request was sent to.
     pub sent: u32,
     /// True if one of them may have run the request.
     pub may_have_run: bool,
 }
 
-impl Drop for CarriedRequest {
+impl Drop for RoutedRequest {
     /// A caller that disconnects ends the request at any stage. Without this log line the request
     /// would seem to hang forever in the logs.
     fn drop(&mut self) {
@@ -135,7 +135,7 @@
     }
 }
 
-impl CarriedRequest {
+impl RoutedRequest {
     /// Time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.since(self.state.clock.now())
@@ -173,11 +173,11 @@
     }
 
     /// True if the request may be sent to one more upstream now; spends a unit of the retry budget.
-    pub fn may_send_again(&self, service: &ServiceName, count: SendCount) -> bool {
-        let is_allowed = !count.may_have_run || self.route.kind.may_repeat();
+    pub fn may_send_again(&self, service: &ServiceName, history: SendHistory) -> bool {
+        let is_allowed = !history.may_have_run || self.route.kind.may_repeat();
         is_allowed
             && self.state.quarantine.held_for(self.fingerprint, self.state.clock.now()).is_none()
-            && count.sent < self.route.attempts
+            && history.sent < self.route.attempts
             && !self.time_left().is_zero()
             && self.state.with_repeats(service, |budget| budget.spend())
     }
@@ -187,10 +187,10 @@
     /// request waited. So is the quarantine: every send passes here, whether it is the first one, a
     /// retry, or the resumption of a stream.
     ///
-    /// `may_try` allows a version on trial; a request that has already failed goes to the proven
-    /// version.
-    pub async fn place(&mut self, may_try: bool) -> Result<PlacedRequest, AnswerKind> {
-        let mut news = self.state.rollouts.news();
+    /// `may_use_trial` allows a version on trial; a request that has already failed goes to the
+    /// proven version.
+    pub async fn place(&mut self, may_use_trial: bool) -> Result<PlacedRequest, AnswerKind> {
+        let mut changes = self.state.rollouts.news();
         loop {
             self.check_quarantine()?;
             let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
@@ -198,9 +198,9 @@
             self.caller = matched.caller;
             let service = self.route.target(self.state.jitter());
             let service = service.ok_or(AnswerKind::ServiceUnknown)?.clone();
-            let chosen = self.state.choose_pool(&service, may_try);
+            let chosen = self.state.choose_pool(&service, may_use_trial);
             let chosen = chosen.ok_or(AnswerKind::UpstreamAbsent)?;
-            let Some(placed) = self.wait_in(chosen, &mut news).await? else { continue };
+            let Some(placed) = self.wait_in_pool(chosen, &mut changes).await? else { continue };
             self.check_quarantine()?;
             let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
             if matched.route.allows(&service) && self.state.may_use(&service, placed.arm) {
@@ -215,20 +215,20 @@
 
     /// Waits for the scheduler's decision, and reserves a place at the upstream that it chooses.
     /// Returns `None` if a roll-out abandons the pool meanwhile.
-    async fn wait_in(
+    async fn wait_in_pool(
         &self,
         chosen: ChosenPool,
-        news: &mut watch::Receiver<()>,
+        changes: &mut watch::Receiver<()>,
     ) -> Result<Option<PlacedRequest>, AnswerKind> {
         let ChosenPool { pool, arm, ticket } = chosen;
         let number = RequestId(self.state.new_request_id().0);
-        let (mut guard, mut word) = pool.arrive(self.arrived(number));
+        let (mut guard, mut decision) = pool.arrive(self.arrived_request(number));
         loop {
             let limit = self.time_left();
             let waited = tokio::select! {
                 biased;
-                waited = tokio::time::timeout(limit, &mut word) => waited,
-                Ok(()) = news.changed() => {
+                waited = tokio::time::timeout(limit, &mut decision) => waited,
+                Ok(()) = changes.changed() => {
                     if self.state.may_use(&pool.service, arm) {
                         continue;
                     }
@@ -253,7 +253,7 @@
                     if !pool.is_still(upstream, incarnation) =>
                 {
                     // The upstream has restarted or is leaving; the reservation expires by itself.
-                    word = guard.requeue(DispatchOutcome::Crowded);
+                    decision = guard.requeue(DispatchOutcome::Crowded);
                 }
                 ReservationOutcome::Granted { place_id, .. } => {
                     guard.granted();
@@ -271,20 +271,20 @@
                         place_id,
                     }));
                 }
-                ReservationOutcome::Full => word = guard.requeue(DispatchOutcome::Crowded),
+                ReservationOutcome::Full => decision = guard.requeue(DispatchOutcome::Crowded),
                 ReservationOutcome::Gone => {
                     pool.tell(PoolEvent::Word { upstream, word: UpstreamWord::Leaving });
-                    word = guard.requeue(DispatchOutcome::Crowded);
+                    decision = guard.requeue(DispatchOutcome::Crowded);
                 }
                 ReservationOutcome::Unreachable => {
                     info!(self.state.log, "no word on a place"; "request" => self.id(), "upstream" => name.as_str());
-                    word = guard.requeue(DispatchOutcome::NotSent);
+                    decision = guard.requeue(DispatchOutcome::NotSent);
                 }
             }
         }
     }
 
-    fn arrived(&self, id: RequestId) -> ArrivedRequest {
+    fn arrived_request(&self, id: RequestId) -> ArrivedRequest {
         let snapshot = self.state.snapshot();
         let organisation = self.caller.as_ref().map(|caller| (caller.index, caller.weight));
         let (organisation, weight) = organisation.unwrap_or((super::NO_ORGANISATION, 1));
@@ -317,10 +317,10 @@
     }
 
     /// How long an upstream may stay silent before the request is sent elsewhere, if allowed.
-    fn patience(&self) -> Duration {
+    fn answer_timeout(&self) -> Duration {
         match self.route.kind {
             RouteKind::ResumableStream | RouteKind::Safe => {
-                (self.route.objective_ms * FIRST_EVENT_PATIENCE).max(LEAST_PATIENCE)
+                (self.route.objective_ms * ANSWER_TIMEOUT_FACTOR).max(MIN_ANSWER_TIMEOUT)
             }
             RouteKind::Unsafe | RouteKind::Stream => Duration::MAX,
         }
@@ -330,17 +330,17 @@
     pub async fn try_send(
         &self,
         placed: &PlacedRequest,
-        count: &mut SendCount,
+        history: &mut SendHistory,
         last_event_id: Option<u64>,
     ) -> Result<OpenAnswer, SendError> {
-        count.sent += 1;
+        history.sent += 1;
         match &placed.ticket {
             Some(ticket) => ticket.sent(),
             None => self.state.rollouts.note_sent_to_old(&placed.pool.service),
         }
-        let is_last = count.sent >= self.route.attempts;
-        let patience = if is_last { Duration::MAX } else { self.patience() };
-        let limit = self.time_left().min(patience);
+        let is_last_send = history.sent >= self.route.attempts;
+        let timeout = if is_last_send { Duration::MAX } else { self.answer_timeout() };
+        let limit = self.time_left().min(timeout);
         let place_id = placed.place_id.as_deref();
         let sending = send(self, placed.address, placed.name.as_str(), last_event_id, place_id);
         match tokio::time::timeout(limit, sending).await {
@@ -350,49 +350,54 @@
     }
 
     /// Logs a send: the first one, a retry, or the resumption of a stream.
-    pub fn log_placed(&self, placed: &PlacedRequest, count: SendCount, last_event_id: Option<u64>) {
+    pub fn log_send(
+        &self,
+        placed: &PlacedRequest,
+        history: SendHistory,
+        last_event_id: Option<u64>,
+    ) {
         let waited = placed.sent_at.since(self.arrived_at).as_millis() as u64;
         let organisation = self.caller.as_ref().map_or("", |caller| caller.organisation.as_str());
         info!(self.state.log, "sent"; "request" => self.id(), "route" => &self.route.route, "organisation" => organisation,
             "service" => placed.pool.service.as_str(), "version" => placed.pool.version.as_ref().map(|version| version.as_str()), "upstream" => placed.name.as_str(), "waited_ms" => waited,
-            "send" => count.sent + 1, "after_event" => last_event_id, "fingerprint" => self.fingerprint.to_string(), "table" => self.state.snapshot().version,
+            "send" => history.sent + 1, "after_event" => last_event_id, "fingerprint" => self.fingerprint.to_string(), "table" => self.state.snapshot().version,
             "left_ms" => self.time_left().as_millis() as u64, "tokens" => self.limit.as_ref().map_or(0, |limit| limit.cost),
             "slowness" => format!("{:.2}", placed.pool.slowness(placed.upstream)), self.size_fields());
     }
 }
 
 /// Forwards a request until an answer begins or it is refused; the events of a stream follow later.
-pub async fn carry(mut request: Box<CarriedRequest>) -> Response<Body> {
-    let mut count = SendCount::default();
+pub async fn forward(mut request: Box<RoutedRequest>) -> Response<Body> {
+    let mut history = SendHistory::default();
     loop {
         request.stage = RequestStage::Waiting;
-        let mut placed = match request.place(count.sent == 0).await {
+        let mut placed = match request.place(history.sent == 0).await {
             Ok(placed) => placed,
-            Err(kind) => return refuse(&mut request, kind, count),
+            Err(kind) => return refuse(&mut request, kind, history),
         };
         request.stage = RequestStage::Sent;
-        request.log_placed(&placed, count, request.metadata.last_event_id);
+        request.log_send(&placed, history, request.metadata.last_event_id);
         let service = placed.pool.service.clone();
         let name = placed.name.clone();
-        if count.sent == 0 {
+        if history.sent == 0 {
             let daemons = request.state.fleet.daemons();
             request.state.with_repeats(&service, |budget| budget.earn(daemons));
         }
-        request.count_as_run(true);
-        let sent = request.try_send(&placed, &mut count, request.metadata.last_event_id).await;
+        request.set_charged(true);
+        let sent = request.try_send(&placed, &mut history, request.metadata.last_event_id).await;
         if let Err(SendError::NotSent(_) | SendError::NotRun { .. }) = sent {
-            request.count_as_run(count.may_have_run);
+            request.set_charged(history.may_have_run);
         }
         let error = match sent {
-            Ok(answer) => match answer_caller(request, placed, count, answer).await {
-                Answered::Response(response) => return response,
-                Answered::Again(again, error) => {
-                    request = again;
+            Ok(answer) => match relay_answer(request, placed, history, answer).await {
+                AnswerOutcome::Response(response) => return response,
+                AnswerOutcome::Retry(returned, error) => {
+                    request = returned;
                     error
                 }
             },
             Err(SendError::NotSent(detail)) => {
-                count.sent -= 1;
+                history.sent -= 1;
                 info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
                 placed.pool.tell(PoolEvent::Word {
                     upstream: placed.upstream,
@@ -400,7 +405,7 @@
                 });
                 placed.guard.end(DispatchOutcome::Failed);
                 if request.time_left().is_zero() {
-                    return refuse(&mut request, AnswerKind::UpstreamUnreachable, count);
+                    return refuse(&mut request, AnswerKind::UpstreamUnreachable, history);
                 }
                 continue;
             }
@@ -409,19 +414,19 @@
                 error
             }
         };
-        request.note_run(&mut count, &error);
+        request.record_possible_run(&mut history, &error);
         info!(request.state.log, "no answer"; "request" => request.id(), "upstream" => name.as_str(),
-            "fault" => error.to_string(), "sent" => count.sent);
-        if !request.may_send_again(&service, count) {
+            "fault" => error.to_string(), "sent" => history.sent);
+        if !request.may_send_again(&service, history) {
             let kind = refusal_kind(&request, &error);
-            return refuse(&mut request, kind, count);
+            return refuse(&mut request, kind, history);
         }
     }
 }
 
-impl CarriedRequest {
+impl RoutedRequest {
     /// Counts the result of a send for the service's roll-out, if there is one.
-    pub fn note_version(&self, placed: &PlacedRequest, answer: AnswerCount) {
+    pub fn record_version_answer(&self, placed: &PlacedRequest, answer: AnswerCount) {
         let group = RequestGroup::of(RouteKey::of(&self.route.route), self.size_tenth);
         let incarnation = placed.pool.incarnation(placed.upstream);
         let service = &placed.pool.service;
@@ -429,21 +434,21 @@
         self.state.rollouts.note_answer(service, placed.arm, group, upstream, answer);
     }
 
-    fn note_run(&mut self, count: &mut SendCount, error: &SendError) {
+    fn record_possible_run(&mut self, history: &mut SendHistory, error: &SendError) {
         if matches!(error, SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_)) {
-            count.may_have_run = true;
+            history.may_have_run = true;
         }
     }
 
     /// Sets whether the request is charged to its organisation's limit. It is charged before it is
     /// sent, since the outcome stays unknown if the caller disconnects while an upstream runs it.
-    fn count_as_run(&mut self, has_run: bool) {
-        self.limit.iter_mut().for_each(|limit| limit.is_charged = has_run);
+    fn set_charged(&mut self, is_charged: bool) {
+        self.limit.iter_mut().for_each(|limit| limit.is_charged = is_charged);
     }
 }
 
 /// Reports a failed send to the pool, and checks the upstream if it may have crashed.
-pub fn report_send_error(request: &CarriedRequest, placed: &mut PlacedRequest, error: &SendError) {
+pub fn report_send_error(request: &RoutedRequest, placed: &mut PlacedRequest, error: &SendError) {
     if let SendError::ConnectionBroken(_) = error {
         let broken = BrokenRequest { id: request.id().into(), fingerprint: request.fingerprint };
         check_upstream(&request.state, placed.broken_upstream(), broken);
@@ -456,12 +461,12 @@
         placed.pool.tell(PoolEvent::Word { upstream: placed.upstream, word });
     }
     if let SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) = error {
-        request.note_version(placed, AnswerCount::Failed);
+        request.record_version_answer(placed, AnswerCount::Failed);
     }
     placed.guard.end(DispatchOutcome::Failed);
 }
 
-fn refusal_kind(request: &CarriedRequest, error: &SendError) -> AnswerKind {
+fn refusal_kind(request: &RoutedRequest, error: &SendError) -> AnswerKind {
     match error {
         SendError::NotSent(_) => AnswerKind::UpstreamUnreachable,
         SendError::NotRun { .. } => AnswerKind::UpstreamRefused,
@@ -475,10 +480,10 @@
 }
 
 /// Refuses the request. Once a send may have run it, the answer must not claim that it did not run.
-fn refuse(request: &mut CarriedRequest, kind: AnswerKind, count: SendCount) -> Response<Body> {
+fn refuse(request: &mut RoutedRequest, kind: AnswerKind, history: SendHistory) -> Response<Body> {
     request.stage = RequestStage::Ended;
-    let says_not_run = matches!(kind.row().status, 408 | 421 | 429 | 503);
-    let kind = match count.may_have_run && says_not_run {
+    let claims_not_run = matches!(kind.row().status, 408 | 421 | 429 | 503);
+    let kind = match history.may_have_run && claims_not_run {
         true if request.time_left().is_zero() => AnswerKind::DeadlineRunning,
         true => AnswerKind::UpstreamLost,
         false => kind,
@@ -486,40 +491,41 @@
     let waited = request.state.clock.now().since(request.arrived_at).as_millis() as u64;
     request.record(kind.row().name, None);
     info!(request.state.log, "refused"; "request" => request.id(), "kind" => kind.row().name,
-        "route" => &request.route.route, "sent" => count.sent, "may_have_run" => count.may_have_run, "after_ms" => waited, request.size_fields());
+        "route" => &request.route.route, "sent" => history.sent, "may_have_run" => history.may_have_run, "after_ms" => waited, request.size_fields());
     RefusalAnswer::new(kind, "", request.state.jitter())
-        .returning_within(request.return_time(kind))
+        .returning_within(request.retry_delay(kind))
         .response(request.id())
 }
 
-impl CarriedRequest {
+impl RoutedRequest {
     /// When to retry after a refusal for lack of capacity: late within the time that the caller may
     /// wait. The request misses its objective in any case, so an early retry gains nothing, and a
     /// burst is more likely to be over later. The time is spread so that requests refused together
     /// are not retried together.
-    fn return_time(&self, kind: AnswerKind) -> Option<Duration> {
+    fn retry_delay(&self, kind: AnswerKind) -> Option<Duration> {
         if kind == AnswerKind::Quarantined {
             return self.state.quarantine.held_for(self.fingerprint, self.state.clock.now());
         }
         let is_overload = kind.row().shed || kind == AnswerKind::UpstreamRefused;
-        let spread = RETURN_LEAST + (RETURN_MOST - RETURN_LEAST) * self.state.jitter();
+        let spread =
+            MIN_RETRY_FRACTION + (MAX_RETRY_FRACTION - MIN_RETRY_FRACTION) * self.state.jitter();
         is_overload.then(|| self.time_left().mul_f64(spread))
     }
 }
 
 /// Result of reading an answer after its head.
-enum Answered {
+enum AnswerOutcome {
     Response(Response<Body>),
     /// The answer was incomplete or a server error, and another send may follow.
-    Again(Box<CarriedRequest>, SendError),
+    Retry(Box<RoutedRequest>, SendError),
 }
 
-async fn answer_caller(
-    mut request: Box<CarriedRequest>,
+async fn relay_answer(
+    mut request: Box<RoutedRequest>,
     mut placed: PlacedRequest,
-    count: SendCount,
+    history: SendHistory,
     answer: OpenAnswer,
-) -> Answered {
+) -> AnswerOutcome {
     let status = answer.response.status();
     if let Some(report) = answer.metadata.load {
         placed.pool.tell(PoolEvent::Reported { upstream: placed.upstream, report });
@@ -527,8 +533,8 @@
     if request.route.kind.is_stream() && status.is_success() {
         request.stage = RequestStage::Answering;
         let (head, body) = answer.response.into_parts();
-        let relay = StreamRelay::new(request, placed, count, body, answer.connection);
-        return Answered::Response(stream_response(head, relay));
+        let relay = StreamRelay::new(request, placed, history, body, answer.connection);
+        return AnswerOutcome::Response(stream_response(head, relay));
     }
     let limit = request.time_left();
     let whole = whole_response(answer.response, answer.connection);
@@ -541,25 +547,28 @@
             };
             let after = request.state.clock.now().since(placed.sent_at);
             let answer = if is_failure { AnswerCount::Failed } else { AnswerCount::served(after) };
-            request.note_version(&placed, answer);
+            request.record_version_answer(&placed, answer);
             placed.guard.end(outcome);
-            let ran = SendCount { may_have_run: true, ..count };
-            if !is_failure || !request.may_send_again(&placed.pool.service, ran) {
+            let updated = SendHistory { may_have_run: true, ..history };
+            if !is_failure || !request.may_send_again(&placed.pool.service, updated) {
                 request.log_answered(&placed, status.as_u16());
-                return Answered::Response(response);
+                return AnswerOutcome::Response(response);
             }
-            // `may_send_again` has spent a unit of the budget, and `carry` calls it again.
+            // `may_send_again` has spent a unit of the budget, and `forward` calls it again.
             request.state.with_repeats(&placed.pool.service, |budget| budget.refund());
-            return Answered::Again(request, SendError::NoUsableAnswer(format!("status {status}")));
+            return AnswerOutcome::Retry(
+                request,
+                SendError::NoUsableAnswer(format!("status {status}")),
+            );
         }
         Ok(Err(detail)) => SendError::ConnectionBroken(detail),
         Err(_) => SendError::NoUsableAnswer("incomplete answer at the deadline".to_owned()),
     };
     report_send_error(&request, &mut placed, &error);
-    Answered::Again(request, error)
+    AnswerOutcome::Retry(request, error)
 }
 
-impl CarriedRequest {
+impl RoutedRequest {
     pub fn log_answered(&mut self, placed: &PlacedRequest, status: u16) {
         self.stage = RequestStage::Ended;
         self.state.quarantine.note_answer(self.fingerprint, self.state.clock.now());
--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -1,14 +1,14 @@
 //! Request routing: forwards platform callers' requests to upstreams according to the route table.
 //!
-//! [`admission`] reads and admits a request, [`carry`] has it placed and sends it, and [`relay`]
+//! [`admission`] reads and admits a request, [`forward`] has it placed and sends it, and [`relay`]
 //! passes the events of a streaming answer on. A [`CallDialect`] reads and writes the platform's
 //! headers; nothing in this module depends on header names.
 
 mod admission;
 mod attempt;
-mod carry;
 mod dialect;
 mod events;
+mod forward;
 mod index;
 mod relay;
 mod reserve;
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -1,8 +1,8 @@
 //! Relays answers to callers: plain ones once complete, streams event by event as they arrive.
 
 use super::attempt::SendError;
-use super::carry::{CarriedRequest, PlacedRequest, RequestStage, SendCount, report_send_error};
 use super::events::EventSplitter;
+use super::forward::{PlacedRequest, RequestStage, RoutedRequest, SendHistory, report_send_error};
 use crate::policy::{DispatchOutcome, Moment, PoolEvent};
 use crate::rollout::AnswerCount;
 use crate::upstream::{ConnectionGuard, end_to_end_headers};
@@ -72,9 +72,9 @@
 /// A stream being relayed. Dropped when the caller disconnects, which closes the connection to the
 /// upstream.
 pub struct StreamRelay {
-    request: Box<CarriedRequest>,
+    request: Box<RoutedRequest>,
     placed: PlacedRequest,
-    count: SendCount,
+    history: SendHistory,
     body: Incoming,
     connection: Option<ConnectionGuard>,
     splitter: EventSplitter,
@@ -113,16 +113,16 @@
 
 impl StreamRelay {
     pub fn new(
-        request: Box<CarriedRequest>,
+        request: Box<RoutedRequest>,
         placed: PlacedRequest,
-        count: SendCount,
+        history: SendHistory,
         body: Incoming,
         connection: ConnectionGuard,
     ) -> Self {
         StreamRelay {
             request,
             placed,
-            count,
+            history,
             body,
             connection: Some(connection),
             splitter: EventSplitter::default(),
@@ -165,7 +165,8 @@
 
     /// How long the upstream may pause before the stream is resumed elsewhere.
     fn patience(&self) -> Duration {
-        if !self.request.route.kind.may_repeat() || self.count.sent >= self.request.route.attempts {
+        if !self.request.route.kind.may_repeat() || self.history.sent >= self.request.route.attempts
+        {
             return Duration::MAX;
         }
         let gap = self.request.route.gap_ms.unwrap_or_default() * PAUSE_PATIENCE;
@@ -206,7 +207,7 @@
         self.request.stage = RequestStage::Ended;
         self.request.record("cut", Some(&self.pace));
         if self.connection.is_some() {
-            self.request.note_version(&self.placed, AnswerCount::Failed);
+            self.request.record_version_answer(&self.placed, AnswerCount::Failed);
         }
         self.connection = None;
         self.placed.guard.end(DispatchOutcome::Failed);
@@ -219,17 +220,18 @@
     async fn go_on(&mut self, error: SendError) -> bool {
         // Closing the connection first makes the upstream stop before another one begins.
         self.connection = None;
-        self.count.may_have_run = true;
+        self.history.may_have_run = true;
         info!(self.request.state.log, "stream broken"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
             "events" => self.splitter.event_count(), "detail" => error.to_string());
         report_send_error(&self.request, &mut self.placed, &error);
-        while self.request.may_send_again(&self.placed.pool.service.clone(), self.count) {
+        while self.request.may_send_again(&self.placed.pool.service.clone(), self.history) {
             let Ok(placed) = self.request.place(false).await else { return false };
             self.placed = placed;
             let last_event_id =
                 self.splitter.last_event_id().or(self.request.metadata.last_event_id);
-            self.request.log_placed(&self.placed, self.count, last_event_id);
-            let answer = self.request.try_send(&self.placed, &mut self.count, last_event_id).await;
+            self.request.log_send(&self.placed, self.history, last_event_id);
+            let answer =
+                self.request.try_send(&self.placed, &mut self.history, last_event_id).await;
             match answer {
                 Ok(answer) if answer.response.status().is_success() => {
                     self.splitter.discard_partial();
@@ -239,7 +241,7 @@
                     return true;
                 }
                 Ok(_) => {
-                    self.request.note_version(&self.placed, AnswerCount::Failed);
+                    self.request.record_version_answer(&self.placed, AnswerCount::Failed);
                     self.placed.guard.end(DispatchOutcome::Failed);
                 }
                 Err(error) => report_send_error(&self.request, &mut self.placed, &error),
@@ -258,7 +260,7 @@
             None => {
                 self.gap_from = Some((events, now));
                 let after = now.since(self.placed.sent_at);
-                self.request.note_version(&self.placed, AnswerCount::served(after));
+                self.request.record_version_answer(&self.placed, AnswerCount::served(after));
                 self.placed.pool.tell(PoolEvent::FirstToken { id, after });
             }
             Some((from, at)) if events >= from + GAP_STRETCH => {
--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -6,8 +6,8 @@
 //! reservation also detects an unresponsive engine before the request, which may be sent only once,
 //! has been sent there.
 
-use super::carry::CarriedRequest;
 use super::dialect::{ReservationReply, ReservationRequest};
+use super::forward::RoutedRequest;
 use http::Request;
 use http::header::HOST;
 use http_body_util::{BodyExt, Full, Limited};
@@ -49,7 +49,7 @@
 
 /// Reserves a place for a request at the upstream at `address`, for `max_hold` at most.
 pub async fn reserve(
-    request: &CarriedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     incarnation: &str,
     max_hold: Duration,
@@ -73,7 +73,7 @@
 
 /// Sends the reservation request; `None` if no readable reply came.
 async fn request_place(
-    request: &CarriedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     call: Request<bytes::Bytes>,
 ) -> Option<ReservationReply> {
