--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -3,7 +3,7 @@
 use super::admission::{LimitGuard, match_route};
 use super::attempt::{OpenAnswer, SendError, send};
 use super::dialect::{CallDialect, CallerMetadata};
-use super::relay::{StreamPace, StreamRelay, stream_response, whole_response};
+use super::relay::{StreamRelay, StreamTiming, buffered_response, stream_response};
 use super::reserve::{NOT_RESERVED, ReservationOutcome, reserve};
 use super::size_fields::SizeFields;
 use crate::answer::{AnswerKind, RefusalAnswer};
@@ -141,24 +141,24 @@
         self.deadline.since(self.state.clock.now())
     }
 
-    /// Records the end of the request in the metrics; `pace` is the timing of a stream's events.
-    pub fn record(&self, outcome: &'static str, pace: Option<&StreamPace>) {
+    /// Records the end of the request in the metrics; `timing` is the timing of a stream's events.
+    pub fn record(&self, outcome: &'static str, timing: Option<&StreamTiming>) {
         record_route(&RouteRecord {
             kind: self.route.kind,
             tier: &self.route.tier,
             outcome,
             size_tenth: self.size_tenth,
-            is_in_time: pace.is_none_or(|pace| self.is_in_time(pace)),
-            first_event: pace.and_then(|pace| pace.first_after(self.arrived_at)),
-            longest_pause: pace.map(StreamPace::longest_pause),
+            is_in_time: timing.is_none_or(|timing| self.is_in_time(timing)),
+            first_event: timing.and_then(|timing| timing.first_event_after(self.arrived_at)),
+            longest_pause: timing.map(StreamTiming::longest_pause),
             total: self.state.clock.now().since(self.arrived_at),
         });
     }
 
     /// True if a stream's first event met its objective and no pause exceeded the route's limit.
-    fn is_in_time(&self, pace: &StreamPace) -> bool {
-        let first = pace.first_after(self.arrived_at);
-        let is_steady = self.route.gap_ms.is_none_or(|gap| pace.longest_pause() <= gap);
+    fn is_in_time(&self, timing: &StreamTiming) -> bool {
+        let first = timing.first_event_after(self.arrived_at);
+        let is_steady = self.route.gap_ms.is_none_or(|gap| timing.longest_pause() <= gap);
         is_steady && first.is_some_and(|first| self.arrived_at + first <= self.objective())
     }
 
@@ -537,8 +537,8 @@
         return AnswerOutcome::Response(stream_response(head, relay));
     }
     let limit = request.time_left();
-    let whole = whole_response(answer.response, answer.connection);
-    let error = match tokio::time::timeout(limit, whole).await {
+    let buffering = buffered_response(answer.response, answer.connection);
+    let error = match tokio::time::timeout(limit, buffering).await {
         Ok(Ok(response)) => {
             let is_failure = status.is_server_error();
             let outcome = match is_failure {
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -18,29 +18,31 @@
 use std::time::Duration;
 
 /// Maximum size of a buffered answer, in bytes.
-const WHOLE_LIMIT: usize = 16 << 20;
+const ANSWER_LIMIT_BYTES: usize = 16 << 20;
 /// A stream that pauses for this many times the route's `gap_ms` is resumed elsewhere, if allowed.
-const PAUSE_PATIENCE: u32 = 4;
+const PAUSE_TIMEOUT_FACTOR: u32 = 4;
 /// Lower bound of that time, and the time itself for routes without `gap_ms`.
-const LEAST_PAUSE: Duration = Duration::from_millis(1_000);
+const MIN_PAUSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Event gaps are reported to the scheduler once per this many events.
-const GAP_STRETCH: u64 = 4;
+const GAP_REPORT_EVENTS: u64 = 4;
 
 /// Buffers an answer that is not a stream; fails if it is incomplete or too large.
-pub async fn whole_response(
+pub async fn buffered_response(
     answer: Response<Incoming>,
     connection: ConnectionGuard,
 ) -> Result<Response<Body>, String> {
     let (head, body) = answer.into_parts();
-    let body =
-        Limited::new(body, WHOLE_LIMIT).collect().await.map_err(|error| error.to_string())?;
+    let body = Limited::new(body, ANSWER_LIMIT_BYTES)
+        .collect()
+        .await
+        .map_err(|error| error.to_string())?;
     connection.finish();
-    let mut response = response_of(&head, Body::from(body.to_bytes()));
+    let mut response = build_response(&head, Body::from(body.to_bytes()));
     response.headers_mut().remove(CONTENT_LENGTH);
     Ok(response)
 }
 
-fn response_of(head: &response::Parts, body: Body) -> Response<Body> {
+fn build_response(head: &response::Parts, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = end_to_end_headers(&head.headers);
@@ -51,14 +53,14 @@
 pub fn stream_response(head: response::Parts, relay: StreamRelay) -> Response<Body> {
     let events = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
-        match relay.next().await {
+        match relay.next_step().await {
             RelayStep::Events(bytes) => Some((Ok(bytes), Some(relay))),
             // The error aborts the connection, so that a truncated stream does not look complete.
             RelayStep::Cut => Some((Err(io::Error::from(io::ErrorKind::UnexpectedEof)), None)),
             RelayStep::Done => None,
         }
     });
-    let mut response = response_of(&head, Body::from_stream(events));
+    let mut response = build_response(&head, Body::from_stream(events));
     response.headers_mut().remove(CONTENT_LENGTH);
     response
 }
@@ -79,22 +81,22 @@
     connection: Option<ConnectionGuard>,
     splitter: EventSplitter,
     /// Event count and time at the start of the current gap measurement.
-    gap_from: Option<(u64, Moment)>,
-    pace: StreamPace,
-    is_over: bool,
+    gap_start: Option<(u64, Moment)>,
+    timing: StreamTiming,
+    has_ended: bool,
 }
 
 /// Timing of a stream's events as seen by the caller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StreamPace {
+pub struct StreamTiming {
     first: Option<Moment>,
     last: Option<Moment>,
     longest_pause: Duration,
 }
 
-impl StreamPace {
+impl StreamTiming {
     /// Time from `start` to the first event; `None` before the first event.
-    pub fn first_after(&self, start: Moment) -> Option<Duration> {
+    pub fn first_event_after(&self, start: Moment) -> Option<Duration> {
         self.first.map(|at| at.since(start))
     }
 
@@ -103,7 +105,7 @@
         self.longest_pause
     }
 
-    fn note(&mut self, now: Moment) {
+    fn record_event(&mut self, now: Moment) {
         self.first = self.first.or(Some(now));
         let pause = self.last.map_or(Duration::ZERO, |last| now.since(last));
         self.longest_pause = self.longest_pause.max(pause);
@@ -126,25 +128,25 @@
             body,
             connection: Some(connection),
             splitter: EventSplitter::default(),
-            gap_from: None,
-            pace: StreamPace::default(),
-            is_over: false,
+            gap_start: None,
+            timing: StreamTiming::default(),
+            has_ended: false,
         }
     }
 
-    async fn next(&mut self) -> RelayStep {
-        if self.is_over {
+    async fn next_step(&mut self) -> RelayStep {
+        if self.has_ended {
             return RelayStep::Done;
         }
         loop {
-            let limit = self.request.time_left().min(self.patience());
+            let limit = self.request.time_left().min(self.pause_timeout());
             let frame = tokio::time::timeout(limit, self.body.frame()).await;
             let error = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
                     match self.splitter.push(&bytes) {
                         Some(events) => {
-                            self.learn();
+                            self.report_timing();
                             return RelayStep::Events(events);
                         }
                         None => continue,
@@ -157,21 +159,21 @@
                 }
                 Err(_) => SendError::NoUsableAnswer(format!("no event within {limit:?}")),
             };
-            if !self.go_on(error).await {
+            if !self.resume_elsewhere(error).await {
                 return self.cut("no other upstream can resume it");
             }
         }
     }
 
     /// How long the upstream may pause before the stream is resumed elsewhere.
-    fn patience(&self) -> Duration {
+    fn pause_timeout(&self) -> Duration {
         if !self.request.route.kind.may_repeat() || self.history.sent >= self.request.route.attempts
         {
             return Duration::MAX;
         }
-        let gap = self.request.route.gap_ms.unwrap_or_default() * PAUSE_PATIENCE;
+        let gap = self.request.route.gap_ms.unwrap_or_default() * PAUSE_TIMEOUT_FACTOR;
         let first = self.request.route.objective_ms * 2;
-        gap.max(LEAST_PAUSE).max(if self.splitter.event_count() == 0 {
+        gap.max(MIN_PAUSE_TIMEOUT).max(if self.splitter.event_count() == 0 {
             first
         } else {
             Duration::ZERO
@@ -180,7 +182,7 @@
 
     /// Finishes a stream that the upstream ended normally.
     fn end(&mut self) -> RelayStep {
-        self.is_over = true;
+        self.has_ended = true;
         self.connection.take().into_iter().for_each(ConnectionGuard::finish);
         let output_tokens = self.splitter.event_count() as u32;
         self.placed.guard.end(DispatchOutcome::Completed { prompt_tokens: None, output_tokens });
@@ -194,18 +196,18 @@
         let (now, quarantine) = (self.request.state.clock.now(), &self.request.state.quarantine);
         quarantine.note_answer(self.request.fingerprint, now);
         let arrived = self.request.arrived_at;
-        self.request.record("answered", Some(&self.pace));
-        let first = self.pace.first_after(arrived).unwrap_or_default();
+        self.request.record("answered", Some(&self.timing));
+        let first = self.timing.first_event_after(arrived).unwrap_or_default();
         let after = now.since(arrived);
         info!(self.request.state.log, "answered"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
             "status" => 200, "after_ms" => after.as_millis() as u64, "first_ms" => first.as_millis() as u64,
-            "pause_ms" => self.pace.longest_pause.as_millis() as u64, "events" => self.splitter.event_count(), self.request.size_fields());
+            "pause_ms" => self.timing.longest_pause.as_millis() as u64, "events" => self.splitter.event_count(), self.request.size_fields());
     }
 
     fn cut(&mut self, detail: &str) -> RelayStep {
-        self.is_over = true;
+        self.has_ended = true;
         self.request.stage = RequestStage::Ended;
-        self.request.record("cut", Some(&self.pace));
+        self.request.record("cut", Some(&self.timing));
         if self.connection.is_some() {
             self.request.record_version_answer(&self.placed, AnswerCount::Failed);
         }
@@ -217,7 +219,7 @@
     }
 
     /// Resumes the stream elsewhere after its last complete event; false if no upstream may or can.
-    async fn go_on(&mut self, error: SendError) -> bool {
+    async fn resume_elsewhere(&mut self, error: SendError) -> bool {
         // Closing the connection first makes the upstream stop before another one begins.
         self.connection = None;
         self.history.may_have_run = true;
@@ -235,7 +237,7 @@
             match answer {
                 Ok(answer) if answer.response.status().is_success() => {
                     self.splitter.discard_partial();
-                    self.gap_from = None;
+                    self.gap_start = None;
                     self.body = answer.response.into_body();
                     self.connection = Some(answer.connection);
                     return true;
@@ -251,20 +253,20 @@
     }
 
     /// Reports the event timing to the scheduler, which learns the upstream's speed from it.
-    fn learn(&mut self) {
+    fn report_timing(&mut self) {
         let now = self.request.state.clock.now();
-        self.pace.note(now);
+        self.timing.record_event(now);
         let events = self.splitter.event_count();
         let id = self.placed.number;
-        match self.gap_from {
+        match self.gap_start {
             None => {
-                self.gap_from = Some((events, now));
+                self.gap_start = Some((events, now));
                 let after = now.since(self.placed.sent_at);
                 self.request.record_version_answer(&self.placed, AnswerCount::served(after));
                 self.placed.pool.tell(PoolEvent::FirstToken { id, after });
             }
-            Some((from, at)) if events >= from + GAP_STRETCH => {
-                self.gap_from = Some((events, now));
+            Some((from, at)) if events >= from + GAP_REPORT_EVENTS => {
+                self.gap_start = Some((events, now));
                 let count = (events - from) as u32 * self.placed.pool.event_tokens();
                 self.placed.pool.tell(PoolEvent::TokenGap { id, gap: now.since(at) / count });
             }
