--- a/src/traffic/routed/index.rs
+++ b/src/traffic/routed/index.rs
@@ -27,9 +27,9 @@
 
     /// Finds the route of a request; `host` may include a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteRow>> {
-        let lower = host.to_ascii_lowercase();
-        let name = lower.split(':').next().unwrap_or_default();
-        let routes = self.by_host.get(&lower).or_else(|| self.by_host.get(name))?;
+        let host_and_port = host.to_ascii_lowercase();
+        let host_name = host_and_port.split(':').next().unwrap_or_default();
+        let routes = self.by_host.get(&host_and_port).or_else(|| self.by_host.get(host_name))?;
         routes.iter().find(|row| path.starts_with(&row.path_prefix))
     }
 }
