--- a/benches/waiting.rs
+++ b/benches/waiting.rs
@@ -10,7 +10,7 @@
 use tarragonknot::policy::Moment;
 use tarragonknot::standin::{EngineShape, start_engine};
 use tarragonknot::table::{KeyDigest, VersionedTable, check_document};
-use tarragonknot::traffic::{TrafficState, front_router};
+use tarragonknot::traffic::{TrafficState, frontend_router};
 use tower::ServiceExt;
 
 /// Passes everything on to the system's allocator and counts the bytes in use.
@@ -52,7 +52,7 @@
     let state = TrafficState::new("bench".into(), Logger::root(Discard, o!()), 1);
     state.apply_table(&VersionedTable::new(1, table));
     state.set_current_until(Moment(u64::MAX));
-    let router = front_router(Arc::clone(&state));
+    let router = frontend_router(Arc::clone(&state));
     // One long answer holds the engine; the others ask for little, so that 100,000 of them still wait in vain
     // for less than the deadline.
     let long = r#"{"model":"slow","stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"hello"}]}"#;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -12,8 +12,8 @@
 use crate::settings::{CutOffChoice, DaemonSettings};
 use crate::store::StoreError;
 use crate::traffic::{
-    FrontHandle, TrafficState, drain_chart, readiness_router, start_exchange, start_front,
-    without_front,
+    FrontendHandle, TrafficState, drain_chart, readiness_router, start_exchange, start_frontend,
+    without_frontend,
 };
 use crate::upstream::connection_chart;
 use slog::{Logger, info, warn};
@@ -62,7 +62,7 @@
     /// The traffic's state.
     pub state: Arc<TrafficState>,
     voters: KnownVoters,
-    front: FrontHandle,
+    front: FrontendHandle,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -110,10 +110,10 @@
     let front = match settings.callers {
         Some(callers) => {
             let listener = listen(callers).await?;
-            start_front(Arc::clone(&state), listener, settings.balancer_wait_ms)
+            start_frontend(Arc::clone(&state), listener, settings.balancer_wait_ms)
                 .with_context(|_| bind(callers))?
         }
-        None => without_front(Arc::clone(&state)),
+        None => without_frontend(Arc::clone(&state)),
     };
     if let Some(address) = settings.readiness {
         serve_readiness(&state, listen(address).await?);
--- a/src/traffic/front/mod.rs
+++ b/src/traffic/frontend/mod.rs
@@ -34,14 +34,14 @@
 const IDLE_CHECK: Duration = Duration::from_millis(10);
 
 /// Handle of a running server.
-pub struct FrontHandle {
+pub struct FrontendHandle {
     /// The address that the server is bound to.
     pub address: SocketAddr,
     drain: watch::Sender<bool>,
     done: watch::Receiver<bool>,
 }
 
-impl FrontHandle {
+impl FrontendHandle {
     /// Starts the drain; further calls have no effect.
     pub fn drain(&self) {
         self.drain.send_replace(true);
@@ -67,11 +67,11 @@
 }
 
 /// Serves callers on `listener`.
-pub fn start_front(
+pub fn start_frontend(
     state: Arc<TrafficState>,
     listener: TcpListener,
     balancer_wait: Duration,
-) -> std::io::Result<FrontHandle> {
+) -> std::io::Result<FrontendHandle> {
     let address = listener.local_addr()?;
     let (drain, ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
@@ -79,11 +79,11 @@
         serve_until_drained(state, listener, ordered, balancer_wait).await;
         done_sender.send_replace(true);
     });
-    Ok(FrontHandle { address, drain, done })
+    Ok(FrontendHandle { address, drain, done })
 }
 
 /// Returns the handle of a daemon that serves no callers: its drain completes as soon as it starts.
-pub fn without_front(state: Arc<TrafficState>) -> FrontHandle {
+pub fn without_frontend(state: Arc<TrafficState>) -> FrontendHandle {
     let (drain, mut ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
     tokio::spawn(async move {
@@ -93,7 +93,7 @@
         info!(state.log, "drained");
         done_sender.send_replace(true);
     });
-    FrontHandle { address: SocketAddr::from(([0, 0, 0, 0], 0)), drain, done }
+    FrontendHandle { address: SocketAddr::from(([0, 0, 0, 0], 0)), drain, done }
 }
 
 async fn serve_until_drained(
@@ -104,7 +104,7 @@
 ) {
     let router = match state.manner() {
         Some(_) => routed_router(Arc::clone(&state)),
-        None => front_router(Arc::clone(&state)),
+        None => frontend_router(Arc::clone(&state)),
     };
     let graceful = GracefulShutdown::new();
     let mut machine = drain_chart().start();
@@ -176,7 +176,7 @@
 }
 
 /// The router that serves callers, independent of a socket.
-pub fn front_router(state: Arc<TrafficState>) -> Router {
+pub fn frontend_router(state: Arc<TrafficState>) -> Router {
     let requests = Arc::clone(&state);
     let calls = tower::service_fn(move |request| {
         let answer = handle(Arc::clone(&requests), request);
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -6,7 +6,7 @@
 mod dispatch;
 mod drain;
 mod fleet_exchange;
-mod front;
+mod frontend;
 mod model_call;
 mod pool_runtime;
 mod probe;
@@ -21,7 +21,9 @@
 pub use fleet_exchange::{
     DaemonMessage, FleetExchange, MessageFault, read_message, start_exchange, write_message,
 };
-pub use front::{FrontHandle, front_router, readiness_router, start_front, without_front};
+pub use frontend::{
+    FrontendHandle, frontend_router, readiness_router, start_frontend, without_frontend,
+};
 pub use pool_runtime::{PoolRuntime, RequestGuard};
 pub use probe::{ProbeOutcome, probe};
 pub use routed::{
--- a/tests/fixtures.rs
+++ b/tests/fixtures.rs
@@ -8,7 +8,7 @@
     EngineShape, EngineStandin, PlainShape, PlainStandin, PrefillLedger, start_engine, start_plain,
 };
 use tarragonknot::table::{KeyDigest, OperatorTable, UpstreamRow, VersionedTable, check_document};
-use tarragonknot::traffic::{FrontHandle, TrafficState, start_front};
+use tarragonknot::traffic::{FrontendHandle, TrafficState, start_frontend};
 use tokio::net::TcpListener;
 
 /// The key of the organisation `agents`.
@@ -39,7 +39,7 @@
 /// One daemon's traffic before one engine and one plain service.
 pub struct SmallFleet {
     pub state: Arc<TrafficState>,
-    pub front: FrontHandle,
+    pub front: FrontendHandle,
     pub engine: Arc<EngineStandin>,
     pub service: Arc<PlainStandin>,
     pub table: OperatorTable,
@@ -63,7 +63,7 @@
     state.apply_table(&VersionedTable::new(1, table.clone()));
     state.set_current_until(Moment(u64::MAX));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let front = start_front(Arc::clone(&state), listener, Duration::from_millis(50)).unwrap();
+    let front = start_frontend(Arc::clone(&state), listener, Duration::from_millis(50)).unwrap();
     SmallFleet { state, front, engine, service, table }
 }
 
--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tarragonknot::platform;
 use tarragonknot::table::VersionedTable;
-use tarragonknot::traffic::{FrontHandle, TrafficState, start_exchange, start_front};
+use tarragonknot::traffic::{FrontendHandle, TrafficState, start_exchange, start_frontend};
 use tarragonknot::upstream::{PlatformList, VmRow, VmState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -246,7 +246,7 @@
 /// The daemon and its engines, all of one service.
 pub struct RoutedFleet {
     pub state: Arc<TrafficState>,
-    pub front: FrontHandle,
+    pub front: FrontendHandle,
     pool: &'static str,
 }
 
@@ -296,7 +296,7 @@
         state.set_manner(platform::manner());
         state.serve_cut_off();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let front = start_front(Arc::clone(&state), listener, Duration::from_millis(10));
+        let front = start_frontend(Arc::clone(&state), listener, Duration::from_millis(10));
         let fleet = RoutedFleet { state, front: front.expect("a front"), pool };
         fleet.list(engines, VmState::Live);
         fleet
