--- a/src/traffic/frontend/admitted.rs
+++ b/src/traffic/frontend/admitted.rs
@@ -2,9 +2,9 @@
 //! the exchange with an upstream.
 
 use super::request_parts::{
-    EarlyRefusal, KEY_HEADER, KEY_LIMIT, MODEL_PATHS, PURPOSE_HEADER, RequestShape, bearer_key,
-    check_kind, deadline_of, header_text, idempotent_of, largest_model_body, model_shape,
-    read_body, stripped_uri, upstream_headers,
+    EarlyRefusal, KEY_HEADER, KEY_LIMIT, MODEL_PATHS, PURPOSE_HEADER, RequestProperties,
+    bearer_key, check_service, header_text, max_model_body_limit, model_properties, parse_deadline,
+    parse_idempotent, read_body, stripped_uri, upstream_headers,
 };
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::policy::{ArrivedRequest, OrganisationIndex, RequestId, RequestState, RouteKey};
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 
 /// Lists the model services that the caller may use, in the format of the OpenAI models API.
-pub(super) async fn models(
+pub(super) async fn list_models(
     State(state): State<Arc<TrafficState>>,
     headers: HeaderMap,
 ) -> Response<Body> {
@@ -50,7 +50,7 @@
 
 /// Answers one request. This future lives until the answer begins, so the request is moved into a
 /// separate boxed future, whose memory is released before the wait.
-pub(super) fn handle(
+pub(super) fn handle_request(
     state: Arc<TrafficState>,
     request: Request<Body>,
 ) -> impl Future<Output = Response<Body>> {
@@ -95,12 +95,12 @@
     state: Arc<TrafficState>,
     organisation: OrganisationIndex,
     cost: u32,
-    has_run: bool,
+    is_charged: bool,
 }
 
 impl Drop for LimitGuard {
     fn drop(&mut self) {
-        let unused = if self.has_run { 0 } else { self.cost };
+        let unused = if self.is_charged { 0 } else { self.cost };
         self.state.limits().release(self.organisation, unused);
     }
 }
@@ -138,7 +138,7 @@
     let arrived_at = state.clock.now();
     let request_id = Arc::clone(&admitted.exchange.call.id);
     let end = run_exchange(&state, &pool, admitted.exchange, sink).await;
-    admitted.limit.has_run = end.upstream.is_some();
+    admitted.limit.is_charged = end.upstream.is_some();
     admitted.claim.take().into_iter().for_each(|claim| claim.settle(&end));
     let total = state.clock.now().since(arrived_at);
     log_end(&state, &request_id, &end);
@@ -183,40 +183,41 @@
     let path_service =
         parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default().to_owned();
     let body_limit = match is_model {
-        true => largest_model_body(&snapshot),
+        true => max_model_body_limit(&snapshot),
         false => snapshot.access.service(&path_service, &caller)?.body_limit as usize,
     };
     let body = read_body(body, body_limit).await?;
-    let shape = if is_model {
-        model_shape(&parts.method, &body)?
+    let properties = if is_model {
+        model_properties(&parts.method, &body)?
     } else {
-        RequestShape::plain(path_service, body.len())
+        RequestProperties::plain(path_service, body.len())
     };
-    let service = snapshot.access.service(&shape.service, &caller)?.clone();
-    check_kind(&service, is_model, body.len())?;
+    let service = snapshot.access.service(&properties.service, &caller)?.clone();
+    check_service(&service, is_model, body.len())?;
     let purpose = header_text(&parts.headers, PURPOSE_HEADER)?;
     let (tier, rank) = snapshot.access.tier(&service, &caller, purpose);
-    let deadline = deadline_of(&parts.headers, &service)?;
-    let is_idempotent = idempotent_of(&parts.headers, &service, &parts.method)?;
+    let deadline = parse_deadline(&parts.headers, &service)?;
+    let is_idempotent = parse_idempotent(&parts.headers, &service, &parts.method)?;
     let claim_key = header_text(&parts.headers, KEY_HEADER)?.map(str::to_owned);
     if claim_key.as_ref().is_some_and(|key| key.is_empty() || key.len() > KEY_LIMIT) {
         return Err(EarlyRefusal::bad(format!(
             "header {KEY_HEADER}: expected 1 to {KEY_LIMIT} bytes"
         )));
     }
-    let uri = if is_model { parts.uri.clone() } else { stripped_uri(&parts.uri, &shape.service)? };
+    let uri =
+        if is_model { parts.uri.clone() } else { stripped_uri(&parts.uri, &properties.service)? };
     let pool = state.pool(&service.service).ok_or(AnswerKind::ServiceUnknown)?;
-    let cost = pool.cost_of(caller.index, rank, shape.prompt_bytes, shape.output_limit);
+    let cost = pool.cost_of(caller.index, rank, properties.prompt_bytes, properties.output_limit);
     let now = state.clock.now();
     state.limits().admit(caller.index, cost, now)?;
-    let limit = LimitGuard { state, organisation: caller.index, cost, has_run: false };
+    let limit = LimitGuard { state, organisation: caller.index, cost, is_charged: false };
     let call = Box::new(UpstreamCall {
         id,
         method: parts.method,
         uri,
         headers: upstream_headers(&parts.headers, is_model),
         body,
-        wants_stream: shape.wants_stream,
+        wants_stream: properties.wants_stream,
         is_idempotent,
     });
     let arrived = ArrivedRequest {
@@ -224,8 +225,8 @@
         organisation: caller.index,
         weight: caller.weight,
         tier: rank,
-        prompt_bytes: shape.prompt_bytes,
-        output_limit: shape.output_limit,
+        prompt_bytes: properties.prompt_bytes,
+        output_limit: properties.output_limit,
         deadline: now + deadline,
         sizes: None,
         size_tenth: None,
@@ -234,16 +235,16 @@
         objective: None,
         patience: None,
         pause: None,
-        prefix: shape.prefix,
+        prefix: properties.prefix,
     };
     let silence = service.silence_ms;
-    let fingerprint = fingerprint_of(&caller, &service, &call);
+    let fingerprint = request_fingerprint(&caller, &service, &call);
     let exchange = Box::new(ExchangeCall { call, arrived, silence, fingerprint, records: false });
     Ok(Box::new(AdmittedRequest { exchange, service, tier, caller, limit, claim: None, claim_key }))
 }
 
 /// Fingerprint of what an upstream would run, independent of the request's number.
-fn fingerprint_of(
+fn request_fingerprint(
     caller: &CallerIdentity,
     service: &ServiceRow,
     call: &UpstreamCall,
--- a/src/traffic/frontend/mod.rs
+++ b/src/traffic/frontend/mod.rs
@@ -7,7 +7,7 @@
 use super::routed::routed_router;
 use super::state::TrafficState;
 use crate::report::render_metrics;
-use admitted::{handle, models};
+use admitted::{handle_request, list_models};
 use axum::Router;
 use axum::extract::State;
 use axum::response::IntoResponse;
@@ -29,9 +29,9 @@
 /// connections, so it exceeds the 15 s for which callers of the given platforms keep them open.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
 /// Delay after a failed accept, to avoid a busy loop when file descriptors are exhausted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Interval at which the drain checks whether the last request has ended.
-const IDLE_CHECK: Duration = Duration::from_millis(10);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Handle of a running server.
 pub struct FrontendHandle {
@@ -73,10 +73,10 @@
     balancer_wait: Duration,
 ) -> std::io::Result<FrontendHandle> {
     let address = listener.local_addr()?;
-    let (drain, ordered) = watch::channel(false);
+    let (drain, drain_ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
     tokio::spawn(async move {
-        serve_until_drained(state, listener, ordered, balancer_wait).await;
+        serve_until_drained(state, listener, drain_ordered, balancer_wait).await;
         done_sender.send_replace(true);
     });
     Ok(FrontendHandle { address, drain, done })
@@ -84,10 +84,10 @@
 
 /// Returns the handle of a daemon that serves no callers: its drain completes as soon as it starts.
 pub fn without_frontend(state: Arc<TrafficState>) -> FrontendHandle {
-    let (drain, mut ordered) = watch::channel(false);
+    let (drain, mut drain_ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
     tokio::spawn(async move {
-        let _ = ordered.wait_for(|ordered| *ordered).await;
+        let _ = drain_ordered.wait_for(|drain_ordered| *drain_ordered).await;
         state.turn_unready();
         state.set_drained();
         info!(state.log, "drained");
@@ -99,7 +99,7 @@
 async fn serve_until_drained(
     state: Arc<TrafficState>,
     listener: TcpListener,
-    mut ordered: watch::Receiver<bool>,
+    mut drain_ordered: watch::Receiver<bool>,
     balancer_wait: Duration,
 ) {
     let router = match state.manner() {
@@ -108,18 +108,18 @@
     };
     let graceful = GracefulShutdown::new();
     let mut machine = drain_chart().start();
-    let mut noticed = Box::pin(async {
-        let _ = ordered.wait_for(|ordered| *ordered).await;
+    let mut drain_signal = Box::pin(async {
+        let _ = drain_ordered.wait_for(|drain_ordered| *drain_ordered).await;
     });
-    accept_until(&state, &listener, &router, &graceful, &mut noticed).await;
+    accept_until(&state, &listener, &router, &graceful, &mut drain_signal).await;
     for action in machine.step(DrainEvent::Signal) {
         if *action == DrainAction::TurnUnready {
             info!(state.log, "draining: unready, still accepting"; "balancer_wait_ms" => balancer_wait.as_millis() as u64);
             state.turn_unready();
         }
     }
-    let mut waited = Box::pin(tokio::time::sleep(balancer_wait));
-    accept_until(&state, &listener, &router, &graceful, &mut waited).await;
+    let mut balancer_delay = Box::pin(tokio::time::sleep(balancer_wait));
+    accept_until(&state, &listener, &router, &graceful, &mut balancer_delay).await;
     let actions = machine.step(DrainEvent::BalancerNoticed);
     if actions.contains(&DrainAction::StopAccepting) {
         drop(listener);
@@ -129,7 +129,7 @@
         graceful.shutdown().await;
     }
     while state.in_progress() > 0 {
-        tokio::time::sleep(IDLE_CHECK).await;
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
     if machine.step(DrainEvent::Idle).contains(&DrainAction::Exit) {
         state.set_drained();
@@ -157,7 +157,7 @@
             }
             Err(error) => {
                 warn!(state.log, "accept failed"; "error" => error.to_string());
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -178,8 +178,8 @@
 /// The router that serves callers, independent of a socket.
 pub fn frontend_router(state: Arc<TrafficState>) -> Router {
     let requests = Arc::clone(&state);
-    let calls = tower::service_fn(move |request| {
-        let answer = handle(Arc::clone(&requests), request);
+    let service = tower::service_fn(move |request| {
+        let answer = handle_request(Arc::clone(&requests), request);
         async move { Ok::<_, Infallible>(answer.await) }
     });
     Router::new()
@@ -189,8 +189,8 @@
             "/metrics",
             get(|State(state): State<Arc<TrafficState>>| async move { render_metrics(&state) }),
         )
-        .route("/v1/models", get(models))
-        .fallback_service(calls)
+        .route("/v1/models", get(list_models))
+        .fallback_service(service)
         .with_state(state)
 }
 
--- a/src/traffic/frontend/request_parts.rs
+++ b/src/traffic/frontend/request_parts.rs
@@ -28,7 +28,7 @@
 /// Time within which a caller must send the whole body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum deadline that a caller may request.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// A refusal of a request before its admission.
 pub struct EarlyRefusal {
@@ -49,7 +49,7 @@
 }
 
 /// Properties of a request that are read from its body.
-pub struct RequestShape {
+pub struct RequestProperties {
     pub service: String,
     pub wants_stream: bool,
     pub prompt_bytes: usize,
@@ -57,9 +57,9 @@
     pub prefix: Box<[u64]>,
 }
 
-impl RequestShape {
+impl RequestProperties {
     pub fn plain(service: String, body_bytes: usize) -> Self {
-        RequestShape {
+        RequestProperties {
             service,
             wants_stream: false,
             prompt_bytes: body_bytes,
@@ -69,7 +69,7 @@
     }
 }
 
-pub fn model_shape(method: &Method, body: &Bytes) -> Result<RequestShape, EarlyRefusal> {
+pub fn model_properties(method: &Method, body: &Bytes) -> Result<RequestProperties, EarlyRefusal> {
     if *method != Method::POST {
         return Err(EarlyRefusal::bad(format!("method {method}; expected POST")));
     }
@@ -77,7 +77,7 @@
         ModelCall::read(body).map_err(|error| EarlyRefusal::bad(format!("body: {error}")))?;
     let text = call.prompt_text();
     let output_limit = call.output_limit();
-    Ok(RequestShape {
+    Ok(RequestProperties {
         wants_stream: call.stream,
         prompt_bytes: text.len(),
         output_limit,
@@ -86,7 +86,7 @@
     })
 }
 
-pub fn check_kind(
+pub fn check_service(
     service: &ServiceRow,
     is_model: bool,
     body_bytes: usize,
@@ -101,7 +101,7 @@
 }
 
 /// Largest body limit of any model service; bounds the read, since only the body names the service.
-pub fn largest_model_body(snapshot: &TableSnapshot) -> usize {
+pub fn max_model_body_limit(snapshot: &TableSnapshot) -> usize {
     let models = snapshot.access.services().filter(|row| row.kind == ServiceKind::Model);
     models.map(|row| row.body_limit as usize).max().unwrap_or(0)
 }
@@ -132,17 +132,17 @@
     value.map_err(|_| EarlyRefusal::bad(format!("header {name}: expected visible ASCII text")))
 }
 
-pub fn deadline_of(headers: &HeaderMap, service: &ServiceRow) -> Result<Duration, EarlyRefusal> {
+pub fn parse_deadline(headers: &HeaderMap, service: &ServiceRow) -> Result<Duration, EarlyRefusal> {
     let Some(text) = header_text(headers, DEADLINE_HEADER)? else { return Ok(service.deadline_ms) };
     let millis: u64 = text.parse().map_err(|_| {
         EarlyRefusal::bad(format!(
             "header {DEADLINE_HEADER}: found {text}; expected whole milliseconds"
         ))
     })?;
-    Ok(Duration::from_millis(millis).min(LONGEST_DEADLINE))
+    Ok(Duration::from_millis(millis).min(MAX_DEADLINE))
 }
 
-pub fn idempotent_of(
+pub fn parse_idempotent(
     headers: &HeaderMap,
     service: &ServiceRow,
     method: &Method,
@@ -159,22 +159,23 @@
 
 /// The path and query after the service's name.
 pub fn stripped_uri(uri: &Uri, service: &str) -> Result<Uri, EarlyRefusal> {
-    let whole = uri.path_and_query().map_or("/", |path| path.as_str());
-    let rest = whole.trim_start_matches('/').strip_prefix(service).unwrap_or("/");
+    let original = uri.path_and_query().map_or("/", |path| path.as_str());
+    let rest = original.trim_start_matches('/').strip_prefix(service).unwrap_or("/");
     let path = if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") };
     path.parse().map_err(|error| EarlyRefusal::bad(format!("path {path}: {error}")))
 }
 
 /// The caller's end-to-end headers, without its API key and the headers addressed to this daemon.
 pub fn upstream_headers(headers: &HeaderMap, is_model: bool) -> HeaderMap {
-    let mut passed = crate::upstream::end_to_end_headers(headers);
-    let own = [DEADLINE_HEADER, IDEMPOTENT_HEADER, PURPOSE_HEADER, REQUEST_ID_HEADER, "expect"];
-    own.iter().for_each(|name| {
-        passed.remove(*name);
+    let mut forwarded = crate::upstream::end_to_end_headers(headers);
+    let daemon_headers =
+        [DEADLINE_HEADER, IDEMPOTENT_HEADER, PURPOSE_HEADER, REQUEST_ID_HEADER, "expect"];
+    daemon_headers.iter().for_each(|name| {
+        forwarded.remove(*name);
     });
-    passed.remove(AUTHORIZATION);
+    forwarded.remove(AUTHORIZATION);
     if is_model {
-        passed.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        forwarded.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     }
-    passed
+    forwarded
 }
