--- a/src/traffic/front/mod.rs
+++ b/src/traffic/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' front: HTTP/1.1 and HTTP/2, readiness, and the drain.
+//! The HTTP/1.1 and HTTP/2 server for callers, with readiness and graceful drain.
 
 mod admitted;
 mod request_parts;
@@ -7,7 +7,7 @@
 use super::routed::routed_router;
 use super::state::TrafficState;
 use crate::report::render_metrics;
-use admitted::{handle, models};
+use admitted::{handle_request, list_models};
 use axum::Router;
 use axum::extract::State;
 use axum::response::IntoResponse;
@@ -25,29 +25,29 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A caller must send its head within this time; it runs while a kept connection is idle, too, so it is above the
-/// 15 s for which the given platforms' callers may keep one.
+/// Time within which a caller must send the head of a request. The timer also runs on idle
+/// connections, so it exceeds the 15 s for which callers of the given platforms keep them open.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a failed accept, so that a full table of open files does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often the end of the last request is looked for.
-const IDLE_CHECK: Duration = Duration::from_millis(10);
-
-/// A running front.
-pub struct FrontHandle {
-    /// The bound address.
+/// Delay after a failed accept, to avoid a busy loop when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which the drain checks whether the last request has ended.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Handle of a running server.
+pub struct FrontendHandle {
+    /// The address that the server is bound to.
     pub address: SocketAddr,
     drain: watch::Sender<bool>,
     done: watch::Receiver<bool>,
 }
 
-impl FrontHandle {
-    /// Begins the drain; a second call changes nothing.
+impl FrontendHandle {
+    /// Starts the drain; further calls have no effect.
     pub fn drain(&self) {
         self.drain.send_replace(true);
     }
 
-    /// A sender of the drain order, for a signal handler or an operator's call.
+    /// Returns a sender that starts the drain, for signal handlers and the control API.
     pub fn drain_sender(&self) -> watch::Sender<bool> {
         self.drain.clone()
     }
@@ -66,60 +66,60 @@
     }
 }
 
-/// Starts the front on `listener`.
-pub fn start_front(
+/// Serves callers on `listener`.
+pub fn start_frontend(
     state: Arc<TrafficState>,
     listener: TcpListener,
     balancer_wait: Duration,
-) -> std::io::Result<FrontHandle> {
+) -> std::io::Result<FrontendHandle> {
     let address = listener.local_addr()?;
-    let (drain, ordered) = watch::channel(false);
+    let (drain, drain_ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
     tokio::spawn(async move {
-        serve_until_drained(state, listener, ordered, balancer_wait).await;
+        serve_until_drained(state, listener, drain_ordered, balancer_wait).await;
         done_sender.send_replace(true);
     });
-    Ok(FrontHandle { address, drain, done })
+    Ok(FrontendHandle { address, drain, done })
 }
 
-/// The handle of a daemon that serves no callers: its drain is complete as soon as it is ordered.
-pub fn without_front(state: Arc<TrafficState>) -> FrontHandle {
-    let (drain, mut ordered) = watch::channel(false);
+/// Returns the handle of a daemon that serves no callers: its drain completes as soon as it starts.
+pub fn without_frontend(state: Arc<TrafficState>) -> FrontendHandle {
+    let (drain, mut drain_ordered) = watch::channel(false);
     let (done_sender, done) = watch::channel(false);
     tokio::spawn(async move {
-        let _ = ordered.wait_for(|ordered| *ordered).await;
+        let _ = drain_ordered.wait_for(|drain_ordered| *drain_ordered).await;
         state.turn_unready();
         state.set_drained();
         info!(state.log, "drained");
         done_sender.send_replace(true);
     });
-    FrontHandle { address: SocketAddr::from(([0, 0, 0, 0], 0)), drain, done }
+    FrontendHandle { address: SocketAddr::from(([0, 0, 0, 0], 0)), drain, done }
 }
 
 async fn serve_until_drained(
     state: Arc<TrafficState>,
     listener: TcpListener,
-    mut ordered: watch::Receiver<bool>,
+    mut drain_ordered: watch::Receiver<bool>,
     balancer_wait: Duration,
 ) {
     let router = match state.manner() {
         Some(_) => routed_router(Arc::clone(&state)),
-        None => front_router(Arc::clone(&state)),
+        None => frontend_router(Arc::clone(&state)),
     };
     let graceful = GracefulShutdown::new();
     let mut machine = drain_chart().start();
-    let mut noticed = Box::pin(async {
-        let _ = ordered.wait_for(|ordered| *ordered).await;
+    let mut drain_signal = Box::pin(async {
+        let _ = drain_ordered.wait_for(|drain_ordered| *drain_ordered).await;
     });
-    accept_until(&state, &listener, &router, &graceful, &mut noticed).await;
+    accept_until(&state, &listener, &router, &graceful, &mut drain_signal).await;
     for action in machine.step(DrainEvent::Signal) {
         if *action == DrainAction::TurnUnready {
             info!(state.log, "draining: unready, still accepting"; "balancer_wait_ms" => balancer_wait.as_millis() as u64);
             state.turn_unready();
         }
     }
-    let mut waited = Box::pin(tokio::time::sleep(balancer_wait));
-    accept_until(&state, &listener, &router, &graceful, &mut waited).await;
+    let mut balancer_delay = Box::pin(tokio::time::sleep(balancer_wait));
+    accept_until(&state, &listener, &router, &graceful, &mut balancer_delay).await;
     let actions = machine.step(DrainEvent::BalancerNoticed);
     if actions.contains(&DrainAction::StopAccepting) {
         drop(listener);
@@ -129,7 +129,7 @@
         graceful.shutdown().await;
     }
     while state.in_progress() > 0 {
-        tokio::time::sleep(IDLE_CHECK).await;
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
     if machine.step(DrainEvent::Idle).contains(&DrainAction::Exit) {
         state.set_drained();
@@ -157,7 +157,7 @@
             }
             Err(error) => {
                 warn!(state.log, "accept failed"; "error" => error.to_string());
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -175,11 +175,11 @@
     });
 }
 
-/// The front as a service of its own, without a socket.
-pub fn front_router(state: Arc<TrafficState>) -> Router {
+/// The router that serves callers, independent of a socket.
+pub fn frontend_router(state: Arc<TrafficState>) -> Router {
     let requests = Arc::clone(&state);
-    let calls = tower::service_fn(move |request| {
-        let answer = handle(Arc::clone(&requests), request);
+    let service = tower::service_fn(move |request| {
+        let answer = handle_request(Arc::clone(&requests), request);
         async move { Ok::<_, Infallible>(answer.await) }
     });
     Router::new()
@@ -189,12 +189,13 @@
             "/metrics",
             get(|State(state): State<Arc<TrafficState>>| async move { render_metrics(&state) }),
         )
-        .route("/v1/models", get(models))
-        .fallback_service(calls)
+        .route("/v1/models", get(list_models))
+        .fallback_service(service)
         .with_state(state)
 }
 
-/// What the balancer and those who read metrics ask, on an address of its own; any path tells readiness.
+/// The router for load balancers and metrics scrapers, served on an address of its own. Every path
+/// except `/metrics` reports readiness.
 pub fn readiness_router(state: Arc<TrafficState>) -> Router {
     let metrics = |State(state): State<Arc<TrafficState>>| async move { render_metrics(&state) };
     Router::new().route("/metrics", get(metrics)).fallback(ready).with_state(state)
--- /dev/null
+++ b/src/traffic/routed/admission.rs
@@ -0,0 +1,234 @@
+//! Admission: reads a caller's request, matches its route and organisation, and applies the limits.
+
+use super::dialect::{CallDialect, CallerMetadata};
+use super::forward::{RequestStage, RoutedRequest, forward};
+use super::size_fields::SizeFields;
+use crate::answer::{AnswerKind, RefusalAnswer};
+use crate::policy::{LimitClaim, Moment, OrganisationIndex, RequestSizes, RouteKey};
+use crate::quarantine::{RequestContent, RequestFingerprint};
+use crate::report::record_size;
+use crate::table::RouteRow;
+use crate::traffic::access::CallerIdentity;
+use crate::traffic::state::{TableSnapshot, TrafficState};
+use axum::Router;
+use axum::body::Body;
+use bytes::Bytes;
+use http::header::HOST;
+use http::request::Parts;
+use http::{Request, Response};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use slog::info;
+use std::convert::Infallible;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Maximum size of a request body, in bytes: the given platform's own limit of 4 MiB.
+const BODY_LIMIT_BYTES: usize = 4 << 20;
+/// Time within which a caller must send the whole body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Fraction of its deadline after which a caller over its organisation's limit is told to retry: as
+/// late as the caller may, since an organisation stays over its limit for seconds.
+const LIMIT_RETRY_FRACTION: f64 = 0.3;
+/// How long a request waits for the daemon's first table.
+const FIRST_TABLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a request waits for the daemon's first list of upstreams. Callers connect as soon as
+/// the daemon listens, and a refusal would cost each of them its only retry. Meanwhile the limits
+/// of organisations, which start empty in a new process, fill up.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Deadline of requests that state none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
+
+/// The HTTP service that answers callers by route.
+pub fn routed_router(state: Arc<TrafficState>) -> Router {
+    let service = tower::service_fn(move |request| {
+        let answer = answer_request(Arc::clone(&state), request);
+        async move { Ok::<_, Infallible>(answer.await) }
+    });
+    Router::new().fallback_service(service)
+}
+
+async fn answer_request(state: Arc<TrafficState>, request: Request<Body>) -> Response<Body> {
+    let Some(manner) = state.manner() else { return refusal(&state, AnswerKind::Internal, "") };
+    let dialect = Arc::clone(&manner.dialect);
+    let arrived_at = state.clock.now();
+    let metadata = dialect.read_caller(request.headers());
+    let caller_deadline = metadata.deadline;
+    let id: Arc<str> = Arc::from(metadata.id.clone().unwrap_or_default());
+    match admit(&state, dialect, request, metadata, arrived_at).await {
+        Ok(admitted) => forward(admitted).await,
+        Err(kind) => {
+            info!(state.log, "refused"; "request" => &*id, "kind" => kind.row().name, "table" => state.snapshot().version);
+            let refusal = RefusalAnswer::new(kind, "", state.jitter());
+            let is_over_limit = kind == AnswerKind::RateLimited;
+            let wait = caller_deadline
+                .filter(|_| is_over_limit)
+                .map(|time| time.mul_f64(LIMIT_RETRY_FRACTION));
+            refusal.with_retry_after(wait).response(&id)
+        }
+    }
+}
+
+fn refusal(state: &TrafficState, kind: AnswerKind, id: &str) -> Response<Body> {
+    RefusalAnswer::new(kind, "", state.jitter()).response(id)
+}
+
+async fn admit(
+    state: &Arc<TrafficState>,
+    dialect: Arc<dyn CallDialect>,
+    request: Request<Body>,
+    metadata: CallerMetadata,
+    arrived_at: Moment,
+) -> Result<Box<RoutedRequest>, AnswerKind> {
+    // Without a table, routes and keys cannot be checked, so they must not be reported as unknown.
+    if !wait_for_table(state).await {
+        return Err(AnswerKind::TableStale);
+    }
+    state.list_soon(FIRST_LIST_TIMEOUT).await;
+    let (parts, body) = request.into_parts();
+    let matched = match_route(&state.snapshot(), &parts, &metadata)?;
+    let body = read_body(body).await?;
+    let fingerprint = request_fingerprint(&matched, &parts, &body);
+    let progress = state.begin();
+    let has_returned =
+        metadata.deadline.is_some_and(|time| state.has_returned(&matched.route.route, time));
+    let tokens = metadata.prompt_tokens.map(|prompt| prompt + metadata.output_limit.unwrap_or(0));
+    let sizes = request_sizes(&metadata);
+    let size_tenth = sizes.and_then(|sizes| state.size_tenth(&matched.route.route, sizes));
+    let limit = match &matched.caller {
+        Some(caller) => {
+            let snapshot = state.snapshot();
+            let cost = snapshot.access.counted(caller, tokens);
+            let rank = snapshot.access.route_rank(&matched.route);
+            let now = state.clock.now();
+            let usual_cost = state.usual_cost(&matched.route.route, cost);
+            let route = RouteKey::of(&matched.route.route);
+            let claim = LimitClaim { route, cost, usual_cost, rank, has_returned };
+            let admitted = state.limits().admit_claim(caller.index, claim, now);
+            if admitted.is_err() {
+                let wait = state.limits().time_to_full(caller.index, now);
+                let rate = state.limits().rate(caller.index).unwrap_or_default();
+                info!(state.log, "over the limit"; "request" => metadata.id.as_deref().unwrap_or_default(),
+                    "organisation" => caller.organisation.as_str(), "tokens" => cost, "refilled_ms" => wait.as_millis() as u64,
+                    "rate" => rate as u64, "rank" => rank, "route" => &matched.route.route,
+                    SizeFields::new(&metadata, size_tenth, has_returned));
+                record_size(matched.route.kind, &matched.route.tier, size_tenth, "rate-limited");
+            }
+            admitted?;
+            Some(LimitGuard {
+                state: Arc::clone(state),
+                organisation: caller.index,
+                cost,
+                is_charged: false,
+            })
+        }
+        None => None,
+    };
+    let wait = metadata.deadline.unwrap_or(DEFAULT_DEADLINE).min(matched.route.timeout_ms);
+    Ok(Box::new(RoutedRequest {
+        stage: RequestStage::Waiting,
+        state: Arc::clone(state),
+        dialect,
+        route: matched.route,
+        caller: matched.caller,
+        sizes,
+        size_tenth,
+        fingerprint,
+        deadline: arrived_at + wait,
+        has_deadline: metadata.deadline.is_some(),
+        has_returned,
+        metadata,
+        parts,
+        body,
+        arrived_at,
+        limit,
+        _progress: progress,
+    }))
+}
+
+/// Waits up to [`FIRST_TABLE_TIMEOUT`] for the first table; returns whether one is current. A new
+/// daemon receives it within a fraction of a second, but callers connect as soon as it listens, and
+/// a refusal would cost each of them its only retry.
+async fn wait_for_table(state: &TrafficState) -> bool {
+    let table_arrival = async {
+        loop {
+            let table_change = state.table_news.notified();
+            if state.is_current() {
+                return;
+            }
+            table_change.await;
+        }
+    };
+    state.is_current() || tokio::time::timeout(FIRST_TABLE_TIMEOUT, table_arrival).await.is_ok()
+}
+
+/// Fingerprint of what an upstream would run, independent of the caller's id of this attempt.
+fn request_fingerprint(matched: &RouteMatch, parts: &Parts, body: &[u8]) -> RequestFingerprint {
+    let caller = matched.caller.as_ref();
+    RequestFingerprint::of(&RequestContent {
+        organisation: caller.map_or("", |caller| caller.organisation.as_str()),
+        method: parts.method.as_str(),
+        host: &matched.route.host,
+        path: parts.uri.path_and_query().map_or("/", |path| path.as_str()),
+        body,
+    })
+}
+
+/// The route and the caller that the table gives for a request.
+pub struct RouteMatch {
+    pub route: Arc<RouteRow>,
+    pub caller: Option<CallerIdentity>,
+}
+
+/// Finds the route of a request and the organisation of its key. Called again before each send,
+/// since the table may have changed while the request waited.
+pub fn match_route(
+    snapshot: &TableSnapshot,
+    parts: &Parts,
+    metadata: &CallerMetadata,
+) -> Result<RouteMatch, AnswerKind> {
+    let access = &snapshot.access;
+    let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
+    let route = access.routes().find(host, parts.uri.path()).ok_or(AnswerKind::ServiceUnknown)?;
+    let needs_key = !route.is_public && !access.table().organisations.is_empty();
+    let caller = match needs_key {
+        true => Some(access.identify(metadata.key.as_deref())?.clone()),
+        false => access.identify(metadata.key.as_deref()).ok().cloned(),
+    };
+    Ok(RouteMatch { route: Arc::clone(route), caller })
+}
+
+/// The caller's output estimate is correct at the median; the output limit caps it.
+fn request_sizes(metadata: &CallerMetadata) -> Option<RequestSizes> {
+    let prompt = metadata.prompt_tokens?;
+    let limit = metadata.output_limit.unwrap_or(u32::MAX);
+    let output = metadata.output_guess.unwrap_or(limit).min(limit);
+    Some(RequestSizes { prompt, output })
+}
+
+async fn read_body(body: Body) -> Result<Bytes, AnswerKind> {
+    let collected =
+        tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, BODY_LIMIT_BYTES).collect());
+    match collected.await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
+            Err(AnswerKind::BodyTooLarge)
+        }
+        _ => Err(AnswerKind::BadRequest),
+    }
+}
+
+/// The share of its organisation's limit that a request holds; released on drop.
+pub struct LimitGuard {
+    state: Arc<TrafficState>,
+    organisation: OrganisationIndex,
+    pub cost: u32,
+    pub is_charged: bool,
+}
+
+impl Drop for LimitGuard {
+    fn drop(&mut self) {
+        let unused = if self.is_charged { 0 } else { self.cost };
+        self.state.limits().release(self.organisation, unused);
+    }
+}
--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -1,7 +1,7 @@
-//! One send of a request to one upstream, up to the head of its answer.
+//! Sends a request to one upstream and waits for the head of the answer.
 
-use super::carry::CarriedRequest;
-use super::dialect::{AnswerFacts, SendFacts};
+use super::dialect::{AnswerMetadata, SendMetadata};
+use super::forward::RoutedRequest;
 use crate::policy::LoadReport;
 use crate::upstream::{ConnectionGuard, OpenFault, end_to_end_headers};
 use http::header::{CONTENT_LENGTH, EXPECT, HOST};
@@ -12,118 +12,122 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A kept connection is used again within this time of its last answer. Longer than the gap between requests to
-/// one upstream, since new connections cost the upstreams; shorter than what lies between tells of one that went
-/// silent.
-const KEPT_ALIVE: Duration = Duration::from_secs(10);
+/// Longest idle time after which a connection is reused. Longer than the gap between requests to
+/// one upstream, since opening connections loads upstreams; shorter than the time after which a
+/// network device in between may drop an idle connection without notice.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// How a send ended before an answer began.
+/// Why a send failed before an answer began.
 #[derive(Debug)]
-pub enum AttemptFault {
-    /// No byte left this machine.
+pub enum SendError {
+    /// No byte was sent.
     NotSent(String),
-    /// The upstream says that it did not run the request.
+    /// The upstream reports that it did not run the request.
     NotRun {
-        /// True if it is another incarnation than the one meant.
-        is_other: bool,
-        /// Its load.
+        /// True if the upstream is not the expected incarnation.
+        is_other_incarnation: bool,
+        /// The load that the upstream reports.
         load: Option<LoadReport>,
     },
-    /// The connection ended before the answer did: it may have run, and the upstream may have ended.
-    Broken(String),
-    /// It may have run; the connection held.
-    Lost(String),
+    /// The connection closed before the answer was complete. The request may have run, and the
+    /// upstream may have terminated.
+    ConnectionBroken(String),
+    /// No usable answer came, although the connection stayed open. The request may have run.
+    NoUsableAnswer(String),
 }
 
-impl fmt::Display for AttemptFault {
+impl fmt::Display for SendError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AttemptFault::NotSent(detail) => write!(formatter, "nothing was sent: {detail}"),
-            AttemptFault::NotRun { is_other: true, .. } => {
-                formatter.write_str("another incarnation")
+            SendError::NotSent(detail) => write!(formatter, "nothing was sent: {detail}"),
+            SendError::NotRun { is_other_incarnation: true, .. } => {
+                formatter.write_str("the upstream is another incarnation")
             }
-            AttemptFault::NotRun { is_other: false, .. } => {
-                formatter.write_str("it did not run it")
+            SendError::NotRun { is_other_incarnation: false, .. } => {
+                formatter.write_str("the upstream did not run the request")
             }
-            AttemptFault::Broken(detail) | AttemptFault::Lost(detail) => {
-                write!(formatter, "it may have run: {detail}")
+            SendError::ConnectionBroken(detail) | SendError::NoUsableAnswer(detail) => {
+                write!(formatter, "the request may have run: {detail}")
             }
         }
     }
 }
 
-/// An answer whose head has come.
+/// An answer whose head has been received.
 pub struct OpenAnswer {
     pub response: Response<Incoming>,
-    pub facts: AnswerFacts,
+    pub metadata: AnswerMetadata,
     pub connection: ConnectionGuard,
 }
 
-/// Sends the request; `last_event` is the event after which a stream goes on.
+/// Sends the request. `last_event_id` is the id of the event after which a stream resumes.
 pub async fn send(
-    request: &CarriedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     incarnation: &str,
-    last_event: Option<u64>,
-    place: Option<&str>,
-) -> Result<OpenAnswer, AttemptFault> {
-    let call = make_call(request, incarnation, last_event, place)?;
+    last_event_id: Option<u64>,
+    place_id: Option<&str>,
+) -> Result<OpenAnswer, SendError> {
+    let upstream_request = build_upstream_request(request, incarnation, last_event_id, place_id)?;
     let connections = request.state.connections();
-    let sent = connections.send(address, call, KEPT_ALIVE).await;
-    let (response, connection) = sent.map_err(|fault| match fault {
-        OpenFault::NotSent { detail } => AttemptFault::NotSent(detail),
-        OpenFault::Lost { detail } => AttemptFault::Broken(detail),
+    let opened = connections.send(address, upstream_request, MAX_IDLE_TIME).await;
+    let (response, connection) = opened.map_err(|fault| match fault {
+        OpenFault::NotSent { detail } => SendError::NotSent(detail),
+        OpenFault::Lost { detail } => SendError::ConnectionBroken(detail),
     })?;
-    let facts = request.dialect.read_answer(response.status(), response.headers());
-    let connection = connection.kept_for(facts.keeps_idle);
-    let is_own = facts.echo.is_none() || facts.echo == request.facts.id;
-    if !is_own {
-        // Another request's late answer: what else comes on this connection is not to be trusted either.
-        return Err(AttemptFault::Lost("the answer bears another request's id".to_owned()));
+    let metadata = request.dialect.read_answer(response.status(), response.headers());
+    let connection = connection.kept_for(metadata.idle_timeout);
+    let is_matching = metadata.echoed_id.is_none() || metadata.echoed_id == request.metadata.id;
+    if !is_matching {
+        // A late answer to another request: the rest of the connection is unreliable too.
+        return Err(SendError::NoUsableAnswer(
+            "the answer carries the id of another request".to_owned(),
+        ));
     }
-    if facts.is_not_run {
-        let is_other = facts.is_other_incarnation;
-        return Err(AttemptFault::NotRun { is_other, load: facts.load });
+    if metadata.is_not_run {
+        let is_other_incarnation = metadata.is_other_incarnation;
+        return Err(SendError::NotRun { is_other_incarnation, load: metadata.load });
     }
-    if response.status().is_success() && !facts.is_signed {
-        return Err(AttemptFault::Lost("the answer is not signed".to_owned()));
+    if response.status().is_success() && !metadata.is_signed {
+        return Err(SendError::NoUsableAnswer("the answer is not signed".to_owned()));
     }
-    Ok(OpenAnswer { response, facts, connection })
+    Ok(OpenAnswer { response, metadata, connection })
 }
 
-fn make_call(
-    request: &CarriedRequest,
+fn build_upstream_request(
+    request: &RoutedRequest,
     incarnation: &str,
-    last_event: Option<u64>,
-    place: Option<&str>,
-) -> Result<Request<Full<bytes::Bytes>>, AttemptFault> {
+    last_event_id: Option<u64>,
+    place_id: Option<&str>,
+) -> Result<Request<Full<bytes::Bytes>>, SendError> {
     let path = request.parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let mut call = Request::builder()
+    let mut upstream_request = Request::builder()
         .method(request.parts.method.clone())
         .uri(path)
         .body(Full::new(request.body.clone()))
-        .map_err(|error| AttemptFault::NotSent(error.to_string()))?;
-    let headers = call.headers_mut();
-    *headers = passed_headers(&request.parts.headers);
-    let left = request.has_deadline.then(|| request.time_left());
-    let facts = SendFacts {
-        deadline: left,
+        .map_err(|error| SendError::NotSent(error.to_string()))?;
+    let headers = upstream_request.headers_mut();
+    *headers = forwarded_headers(&request.parts.headers);
+    let time_left = request.has_deadline.then(|| request.time_left());
+    let metadata = SendMetadata {
+        deadline: time_left,
         incarnation,
         organisation: request.caller.as_ref().map(|caller| caller.organisation.as_str()),
-        last_event,
-        place,
+        last_event_id,
+        place_id,
     };
-    request.dialect.write_send(headers, &facts);
-    Ok(call)
+    request.dialect.write_upstream_headers(headers, &metadata);
+    Ok(upstream_request)
 }
 
-/// The caller's headers that concern more than one connection. The body is sent whole, with a length of ours.
-fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = end_to_end_headers(headers);
-    passed.remove(CONTENT_LENGTH);
-    passed.remove(EXPECT);
+/// The caller's end-to-end headers. `Content-Length` and `Expect` are dropped: the body is buffered
+/// and sent whole, with a newly computed length.
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end_headers(headers);
+    forwarded.remove(CONTENT_LENGTH);
+    forwarded.remove(EXPECT);
     if let Some(host) = headers.get(HOST) {
-        passed.insert(HOST, host.clone());
+        forwarded.insert(HOST, host.clone());
     }
-    passed
+    forwarded
 }
--- a/src/traffic/routed/events.rs
+++ b/src/traffic/routed/events.rs
@@ -1,67 +1,67 @@
-//! Cuts a stream of server-sent events (WHATWG HTML, section 9.2) into whole events; pure.
+//! Splits a stream of server-sent events (WHATWG HTML, section 9.2) into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of an event stream that are not yet passed on.
+/// Buffers the bytes of an event stream until they form complete events.
 ///
-/// What goes wrong without it: an upstream that stops in the middle of an event leaves half of it with the
-/// caller, and the event of the upstream that goes on is joined to it. One would notice by a caller that
-/// cannot read an event, or reads one twice.
+/// If partial events were passed on, an upstream that stops in the middle of an event would leave
+/// half of it with the caller, and the first event of the upstream that resumes the stream would be
+/// appended to it: the caller would fail to parse an event, or would read one twice.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     pending: BytesMut,
-    last_event: Option<u64>,
-    events: u64,
+    last_event_id: Option<u64>,
+    event_count: u64,
 }
 
-impl EventCutter {
-    /// Takes bytes; returns the whole events among what is there now, none if there is none.
+impl EventSplitter {
+    /// Appends bytes; returns all complete events in the buffer, or `None` if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        // Only the new bytes, and the two before them, can hold a new end of an event.
+        // A new terminator may span up to three bytes before the new ones (`\r\n\r\n`).
         let from = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
-        let end = last_end(&self.pending, from)?;
-        let whole = self.pending.split_to(end).freeze();
-        self.note(&whole);
-        Some(whole)
+        let end = find_last_end(&self.pending, from)?;
+        let complete = self.pending.split_to(end).freeze();
+        self.record_ids(&complete);
+        Some(complete)
     }
 
-    /// What is left when the stream has ended well.
-    pub fn rest(&mut self) -> Option<Bytes> {
-        let rest = self.pending.split().freeze();
-        (!rest.is_empty()).then_some(rest)
+    /// Returns the unterminated rest after the stream has ended normally.
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
+        let remainder = self.pending.split().freeze();
+        (!remainder.is_empty()).then_some(remainder)
     }
 
-    /// Drops half an event, before another upstream goes on.
-    pub fn drop_half(&mut self) {
+    /// Discards a partial event before another upstream resumes the stream.
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// The id of the last whole event.
-    pub fn last_event(&self) -> Option<u64> {
-        self.last_event
+    /// Id of the last complete event.
+    pub fn last_event_id(&self) -> Option<u64> {
+        self.last_event_id
     }
 
-    /// Whole events so far.
-    pub fn events(&self) -> u64 {
-        self.events
+    /// Number of complete events with an id so far.
+    pub fn event_count(&self) -> u64 {
+        self.event_count
     }
 
-    fn note(&mut self, whole: &[u8]) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn record_ids(&mut self, complete: &[u8]) {
+        for line in complete.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let Some(id) = line.strip_prefix(b"id:") else { continue };
-            self.events += 1;
+            self.event_count += 1;
             let id = std::str::from_utf8(id).ok().and_then(|id| id.trim().parse().ok());
-            self.last_event = id.or(self.last_event);
+            self.last_event_id = id.or(self.last_event_id);
         }
     }
 }
 
-/// The end of the last whole event, looking at places from `from` on.
-fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns the end of the last complete event, searching from offset `from`.
+fn find_last_end(bytes: &[u8], from: usize) -> Option<usize> {
     let tail = &bytes[from..];
-    let plain = tail.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
-    let with_returns = tail.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    plain.max(with_returns).map(|end| from + end)
+    let lf_end = tail.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf_end = tail.windows(4).rposition(|quad| quad == b"\r\n\r\n").map(|at| at + 4);
+    lf_end.max(crlf_end).map(|end| from + end)
 }
--- /dev/null
+++ b/src/traffic/routed/forward.rs
@@ -0,0 +1,580 @@
+//! Forwards an admitted request: waits for placement, sends it, and retries where the route allows.
+
+use super::admission::{LimitGuard, match_route};
+use super::attempt::{OpenAnswer, SendError, send};
+use super::dialect::{CallDialect, CallerMetadata};
+use super::relay::{StreamRelay, StreamTiming, buffered_response, stream_response};
+use super::reserve::{NOT_RESERVED, ReservationOutcome, reserve};
+use super::size_fields::SizeFields;
+use crate::answer::{AnswerKind, RefusalAnswer};
+use crate::policy::{
+    ArrivedRequest, DispatchOutcome, Moment, PoolEvent, RequestId, RequestSizes, RouteKey,
+    SizeDecile, UpstreamEvent, UpstreamHash, UpstreamIndex,
+};
+use crate::quarantine::RequestFingerprint;
+use crate::report::{RouteRecord, record_route};
+use crate::rollout::{AnswerCount, RequestGroup, VersionArm};
+use crate::table::{RouteKind, RouteRow, ServiceName, UpstreamName};
+use crate::traffic::access::CallerIdentity;
+use crate::traffic::crash_check::{BrokenRequest, BrokenUpstream, check_upstream};
+use crate::traffic::pool_runtime::{PlacementWord, PoolRuntime, RequestGuard};
+use crate::traffic::rollout_gate::TrialTicket;
+use crate::traffic::state::{ChosenPool, ProgressGuard, TrafficState};
+use axum::body::Body;
+use bytes::Bytes;
+use http::Response;
+use http::request::Parts;
+use slog::info;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::watch;
+
+/// A resumable stream without a first event, or a safe request without an answer, is sent to
+/// another upstream after this many times its latency objective.
+const ANSWER_TIMEOUT_FACTOR: u32 = 2;
+/// Lower bound of that time: under load engines deliver first events late without having failed.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
+
+/// Callers are told to retry after a fraction of the remaining time between these bounds; callers
+/// of the platform wait for at most a third of it.
+const MIN_RETRY_FRACTION: f64 = 0.2;
+const MAX_RETRY_FRACTION: f64 = 0.33;
+
+/// Progress of a request, logged when its caller disconnects.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestStage {
+    /// The request waits for placement.
+    Waiting,
+    /// The request was sent; no answer has begun.
+    Sent,
+    /// The answer has begun.
+    Answering,
+    /// The end of the request has been logged.
+    Ended,
+}
+
+/// A request that was admitted and has not ended.
+pub struct RoutedRequest {
+    pub stage: RequestStage,
+    pub state: Arc<TrafficState>,
+    pub dialect: Arc<dyn CallDialect>,
+    pub route: Arc<RouteRow>,
+    pub caller: Option<CallerIdentity>,
+    pub sizes: Option<RequestSizes>,
+    /// Decile of its size among the recent requests of its route, if known.
+    pub size_tenth: Option<SizeDecile>,
+    /// The earlier of the caller's deadline and the route's timeout.
+    pub deadline: Moment,
+    /// True if the caller stated a deadline.
+    pub has_deadline: bool,
+    /// True if this appears to be a retry by its caller.
+    pub has_returned: bool,
+    pub metadata: CallerMetadata,
+    /// Identifies the same request when it is sent again.
+    pub fingerprint: RequestFingerprint,
+    pub parts: Parts,
+    pub body: Bytes,
+    pub arrived_at: Moment,
+    pub limit: Option<LimitGuard>,
+    /// Counts the request as in progress until dropped.
+    pub _progress: ProgressGuard,
+}
+
+/// The placement of a request at an upstream.
+pub struct PlacedRequest {
+    pub pool: Arc<PoolRuntime>,
+    pub guard: RequestGuard,
+    /// The request's id in its pool.
+    pub number: RequestId,
+    pub upstream: UpstreamIndex,
+    pub name: UpstreamName,
+    pub address: SocketAddr,
+    pub sent_at: Moment,
+    /// Id of the place that the upstream reserved.
+    pub place_id: Option<String>,
+    /// The arm of the service's roll-out that the upstream's version belongs to.
+    pub arm: VersionArm,
+    /// Set if the request counts towards the share of a version on trial.
+    pub ticket: Option<TrialTicket>,
+}
+
+impl PlacedRequest {
+    /// Describes the upstream for the crash check after a broken connection.
+    fn broken_upstream(&self) -> BrokenUpstream {
+        BrokenUpstream {
+            service: self.pool.service.clone(),
+            version: self.pool.version.clone(),
+            upstream: self.name.clone(),
+            index: self.upstream,
+            incarnation: self.pool.incarnation(self.upstream),
+            address: self.address,
+        }
+    }
+}
+
+/// The sends of one request so far.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SendHistory {
+    /// Number of upstreams that the request was sent to.
+    pub sent: u32,
+    /// True if one of them may have run the request.
+    pub may_have_run: bool,
+}
+
+impl Drop for RoutedRequest {
+    /// A caller that disconnects ends the request at any stage. Without this log line the request
+    /// would seem to hang forever in the logs.
+    fn drop(&mut self) {
+        if self.stage != RequestStage::Ended {
+            let after = self.state.clock.now().since(self.arrived_at).as_millis() as u64;
+            self.record("caller-left", None);
+            info!(self.state.log, "caller left"; "request" => self.id(), "stage" => format!("{:?}", self.stage),
+                "route" => &self.route.route, "after_ms" => after, "left_ms" => self.time_left().as_millis() as u64, self.size_fields());
+        }
+    }
+}
+
+impl RoutedRequest {
+    /// Time left until the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.deadline.since(self.state.clock.now())
+    }
+
+    /// Records the end of the request in the metrics; `timing` is the timing of a stream's events.
+    pub fn record(&self, outcome: &'static str, timing: Option<&StreamTiming>) {
+        record_route(&RouteRecord {
+            kind: self.route.kind,
+            tier: &self.route.tier,
+            outcome,
+            size_tenth: self.size_tenth,
+            is_in_time: timing.is_none_or(|timing| self.is_in_time(timing)),
+            first_event: timing.and_then(|timing| timing.first_event_after(self.arrived_at)),
+            longest_pause: timing.map(StreamTiming::longest_pause),
+            total: self.state.clock.now().since(self.arrived_at),
+        });
+    }
+
+    /// True if a stream's first event met its objective and no pause exceeded the route's limit.
+    fn is_in_time(&self, timing: &StreamTiming) -> bool {
+        let first = timing.first_event_after(self.arrived_at);
+        let is_steady = self.route.gap_ms.is_none_or(|gap| timing.longest_pause() <= gap);
+        is_steady && first.is_some_and(|first| self.arrived_at + first <= self.objective())
+    }
+
+    /// Size fields for log lines about the decisions on the request and its end.
+    pub fn size_fields(&self) -> SizeFields {
+        SizeFields::new(&self.metadata, self.size_tenth, self.has_returned)
+    }
+
+    /// The request's id, for logs.
+    pub fn id(&self) -> &str {
+        self.metadata.id.as_deref().unwrap_or_default()
+    }
+
+    /// True if the request may be sent to one more upstream now; spends a unit of the retry budget.
+    pub fn may_send_again(&self, service: &ServiceName, history: SendHistory) -> bool {
+        let is_allowed = !history.may_have_run || self.route.kind.may_repeat();
+        is_allowed
+            && self.state.quarantine.held_for(self.fingerprint, self.state.clock.now()).is_none()
+            && history.sent < self.route.attempts
+            && !self.time_left().is_zero()
+            && self.state.with_repeats(service, |budget| budget.try_withdraw())
+    }
+
+    /// Waits until the scheduler places the request at an upstream. The table is checked again
+    /// before each send, since a route may have changed and a key may have been revoked while the
+    /// request waited. So is the quarantine: every send passes here, whether it is the first one, a
+    /// retry, or the resumption of a stream.
+    ///
+    /// `may_use_trial` allows a version on trial; a request that has already failed goes to the
+    /// proven version.
+    pub async fn place(&mut self, may_use_trial: bool) -> Result<PlacedRequest, AnswerKind> {
+        let mut changes = self.state.rollouts.news();
+        loop {
+            self.check_quarantine()?;
+            let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
+            self.route = matched.route;
+            self.caller = matched.caller;
+            let service = self.route.target(self.state.jitter());
+            let service = service.ok_or(AnswerKind::ServiceUnknown)?.clone();
+            let chosen = self.state.choose_pool(&service, may_use_trial);
+            let chosen = chosen.ok_or(AnswerKind::UpstreamAbsent)?;
+            let Some(placed) = self.wait_in_pool(chosen, &mut changes).await? else { continue };
+            self.check_quarantine()?;
+            let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
+            if matched.route.allows(&service) && self.state.may_use(&service, placed.arm) {
+                return Ok(placed);
+            }
+        }
+    }
+
+    fn check_quarantine(&self) -> Result<(), AnswerKind> {
+        self.state.quarantine.check(&self.state, self.id(), self.fingerprint)
+    }
+
+    /// Waits for the scheduler's decision, and reserves a place at the upstream that it chooses.
+    /// Returns `None` if a roll-out abandons the pool meanwhile.
+    async fn wait_in_pool(
+        &self,
+        chosen: ChosenPool,
+        changes: &mut watch::Receiver<()>,
+    ) -> Result<Option<PlacedRequest>, AnswerKind> {
+        let ChosenPool { pool, arm, ticket } = chosen;
+        let number = RequestId(self.state.new_request_id().0);
+        let (mut guard, mut decision) = pool.arrive(self.arrived_request(number));
+        loop {
+            let limit = self.time_left();
+            let waited = tokio::select! {
+                biased;
+                waited = tokio::time::timeout(limit, &mut decision) => waited,
+                Ok(()) = changes.changed() => {
+                    if self.state.may_use(&pool.service, arm) {
+                        continue;
+                    }
+                    return Ok(None);
+                }
+            };
+            let (upstream, name, address) = match waited {
+                Ok(Ok(PlacementWord::Go { upstream, name, address })) => (upstream, name, address),
+                Ok(Ok(PlacementWord::Refuse(kind))) => {
+                    guard.refused();
+                    return Err(kind);
+                }
+                Ok(Err(_)) => return Err(AnswerKind::Internal),
+                Err(_) => return Err(AnswerKind::DeadlineWaiting),
+            };
+            let reservation = match pool.reservation() {
+                Some(max_hold) => reserve(self, address, name.as_str(), max_hold).await,
+                None => NOT_RESERVED,
+            };
+            match reservation {
+                ReservationOutcome::Granted { incarnation, .. }
+                    if !pool.is_still(upstream, incarnation) =>
+                {
+                    // The upstream has restarted or is leaving; the reservation expires by itself.
+                    decision = guard.requeue(DispatchOutcome::NoSlot);
+                }
+                ReservationOutcome::Granted { place_id, .. } => {
+                    guard.granted();
+                    let sent_at = self.state.clock.now();
+                    return Ok(Some(PlacedRequest {
+                        arm,
+                        ticket,
+                        pool,
+                        guard,
+                        number,
+                        upstream,
+                        name,
+                        address,
+                        sent_at,
+                        place_id,
+                    }));
+                }
+                ReservationOutcome::Full => decision = guard.requeue(DispatchOutcome::NoSlot),
+                ReservationOutcome::Gone => {
+                    pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Leaving });
+                    decision = guard.requeue(DispatchOutcome::NoSlot);
+                }
+                ReservationOutcome::Unreachable => {
+                    info!(self.state.log, "no word on a place"; "request" => self.id(), "upstream" => name.as_str());
+                    decision = guard.requeue(DispatchOutcome::NotSent);
+                }
+            }
+        }
+    }
+
+    fn arrived_request(&self, id: RequestId) -> ArrivedRequest {
+        let snapshot = self.state.snapshot();
+        let organisation = self.caller.as_ref().map(|caller| (caller.index, caller.weight));
+        let (organisation, weight) = organisation.unwrap_or((super::NO_ORGANISATION, 1));
+        ArrivedRequest {
+            id,
+            organisation,
+            weight,
+            tier: snapshot.access.route_tier(&self.route, self.caller.as_ref()),
+            prompt_bytes: self.body.len(),
+            output_limit: self.metadata.output_limit,
+            deadline: self.deadline,
+            rank: snapshot.access.route_rank(&self.route),
+            objective: Some(self.objective()),
+            patience: self.route.patience_ms.map(|time| self.arrived_at + time),
+            pause: self.route.gap_ms,
+            sizes: self.sizes,
+            size_tenth: self.size_tenth,
+            route: RouteKey::of(&self.route.route),
+            prefix: Box::default(),
+        }
+    }
+
+    /// When the first event or the answer is due. The objective of a retry counts from the caller's
+    /// first attempt, so a retry is due on arrival.
+    fn objective(&self) -> Moment {
+        match self.has_returned {
+            true => self.arrived_at,
+            false => self.arrived_at + self.route.objective_ms,
+        }
+    }
+
+    /// How long an upstream may stay silent before the request is sent elsewhere, if allowed.
+    fn answer_timeout(&self) -> Duration {
+        match self.route.kind {
+            RouteKind::ResumableStream | RouteKind::Safe => {
+                (self.route.objective_ms * ANSWER_TIMEOUT_FACTOR).max(MIN_ANSWER_TIMEOUT)
+            }
+            RouteKind::Unsafe | RouteKind::Stream => Duration::MAX,
+        }
+    }
+
+    /// Sends the request to its upstream, within the time left.
+    pub async fn try_send(
+        &self,
+        placed: &PlacedRequest,
+        history: &mut SendHistory,
+        last_event_id: Option<u64>,
+    ) -> Result<OpenAnswer, SendError> {
+        history.sent += 1;
+        match &placed.ticket {
+            Some(ticket) => ticket.sent(),
+            None => self.state.rollouts.note_sent_to_old(&placed.pool.service),
+        }
+        let is_last_send = history.sent >= self.route.attempts;
+        let timeout = if is_last_send { Duration::MAX } else { self.answer_timeout() };
+        let limit = self.time_left().min(timeout);
+        let place_id = placed.place_id.as_deref();
+        let sending = send(self, placed.address, placed.name.as_str(), last_event_id, place_id);
+        match tokio::time::timeout(limit, sending).await {
+            Ok(answer) => answer,
+            Err(_) => Err(SendError::NoUsableAnswer(format!("no answer within {limit:?}"))),
+        }
+    }
+
+    /// Logs a send: the first one, a retry, or the resumption of a stream.
+    pub fn log_send(
+        &self,
+        placed: &PlacedRequest,
+        history: SendHistory,
+        last_event_id: Option<u64>,
+    ) {
+        let waited = placed.sent_at.since(self.arrived_at).as_millis() as u64;
+        let organisation = self.caller.as_ref().map_or("", |caller| caller.organisation.as_str());
+        info!(self.state.log, "sent"; "request" => self.id(), "route" => &self.route.route, "organisation" => organisation,
+            "service" => placed.pool.service.as_str(), "version" => placed.pool.version.as_ref().map(|version| version.as_str()), "upstream" => placed.name.as_str(), "waited_ms" => waited,
+            "send" => history.sent + 1, "after_event" => last_event_id, "fingerprint" => self.fingerprint.to_string(), "table" => self.state.snapshot().version,
+            "left_ms" => self.time_left().as_millis() as u64, "tokens" => self.limit.as_ref().map_or(0, |limit| limit.cost),
+            "slowness" => format!("{:.2}", placed.pool.slowness(placed.upstream)), self.size_fields());
+    }
+}
+
+/// Forwards a request until an answer begins or it is refused; the events of a stream follow later.
+pub async fn forward(mut request: Box<RoutedRequest>) -> Response<Body> {
+    let mut history = SendHistory::default();
+    loop {
+        request.stage = RequestStage::Waiting;
+        let mut placed = match request.place(history.sent == 0).await {
+            Ok(placed) => placed,
+            Err(kind) => return refuse(&mut request, kind, history),
+        };
+        request.stage = RequestStage::Sent;
+        request.log_send(&placed, history, request.metadata.last_event_id);
+        let service = placed.pool.service.clone();
+        let name = placed.name.clone();
+        if history.sent == 0 {
+            let daemons = request.state.fleet.daemons();
+            request.state.with_repeats(&service, |budget| budget.deposit(daemons));
+        }
+        request.set_charged(true);
+        let sent = request.try_send(&placed, &mut history, request.metadata.last_event_id).await;
+        if let Err(SendError::NotSent(_) | SendError::NotRun { .. }) = sent {
+            request.set_charged(history.may_have_run);
+        }
+        let error = match sent {
+            Ok(answer) => match relay_answer(request, placed, history, answer).await {
+                AnswerOutcome::Response(response) => return response,
+                AnswerOutcome::Retry(returned, error) => {
+                    request = returned;
+                    error
+                }
+            },
+            Err(SendError::NotSent(detail)) => {
+                history.sent -= 1;
+                info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
+                placed.pool.tell(PoolEvent::Lifecycle {
+                    upstream: placed.upstream,
+                    event: UpstreamEvent::Unreachable,
+                });
+                placed.guard.end(DispatchOutcome::Failed);
+                if request.time_left().is_zero() {
+                    return refuse(&mut request, AnswerKind::UpstreamUnreachable, history);
+                }
+                continue;
+            }
+            Err(error) => {
+                report_send_error(&request, &mut placed, &error);
+                error
+            }
+        };
+        request.record_possible_run(&mut history, &error);
+        info!(request.state.log, "no answer"; "request" => request.id(), "upstream" => name.as_str(),
+            "fault" => error.to_string(), "sent" => history.sent);
+        if !request.may_send_again(&service, history) {
+            let kind = refusal_kind(&request, &error);
+            return refuse(&mut request, kind, history);
+        }
+    }
+}
+
+impl RoutedRequest {
+    /// Counts the result of a send for the service's roll-out, if there is one.
+    pub fn record_version_answer(&self, placed: &PlacedRequest, answer: AnswerCount) {
+        let group = RequestGroup::of(RouteKey::of(&self.route.route), self.size_tenth);
+        let incarnation = placed.pool.incarnation(placed.upstream);
+        let service = &placed.pool.service;
+        let upstream = UpstreamHash::of(service, &placed.name, incarnation);
+        self.state.rollouts.note_answer(service, placed.arm, group, upstream, answer);
+    }
+
+    fn record_possible_run(&mut self, history: &mut SendHistory, error: &SendError) {
+        if matches!(error, SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_)) {
+            history.may_have_run = true;
+        }
+    }
+
+    /// Sets whether the request is charged to its organisation's limit. It is charged before it is
+    /// sent, since the outcome stays unknown if the caller disconnects while an upstream runs it.
+    fn set_charged(&mut self, is_charged: bool) {
+        self.limit.iter_mut().for_each(|limit| limit.is_charged = is_charged);
+    }
+}
+
+/// Reports a failed send to the pool, and checks the upstream if it may have crashed.
+pub fn report_send_error(request: &RoutedRequest, placed: &mut PlacedRequest, error: &SendError) {
+    if let SendError::ConnectionBroken(_) = error {
+        let broken = BrokenRequest { id: request.id().into(), fingerprint: request.fingerprint };
+        check_upstream(&request.state, placed.broken_upstream(), broken);
+    }
+    if let SendError::NotRun { load: Some(report), .. } = error {
+        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report: *report });
+    }
+    if let SendError::NotRun { is_other_incarnation: true, .. } = error {
+        let event = UpstreamEvent::Leaving;
+        placed.pool.tell(PoolEvent::Lifecycle { upstream: placed.upstream, event });
+    }
+    if let SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) = error {
+        request.record_version_answer(placed, AnswerCount::Failed);
+    }
+    placed.guard.end(DispatchOutcome::Failed);
+}
+
+fn refusal_kind(request: &RoutedRequest, error: &SendError) -> AnswerKind {
+    match error {
+        SendError::NotSent(_) => AnswerKind::UpstreamUnreachable,
+        SendError::NotRun { .. } => AnswerKind::UpstreamRefused,
+        SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_)
+            if request.time_left().is_zero() =>
+        {
+            AnswerKind::DeadlineRunning
+        }
+        SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) => AnswerKind::UpstreamLost,
+    }
+}
+
+/// Refuses the request. Once a send may have run it, the answer must not claim that it did not run.
+fn refuse(request: &mut RoutedRequest, kind: AnswerKind, history: SendHistory) -> Response<Body> {
+    request.stage = RequestStage::Ended;
+    let claims_not_run = matches!(kind.row().status, 408 | 421 | 429 | 503);
+    let kind = match history.may_have_run && claims_not_run {
+        true if request.time_left().is_zero() => AnswerKind::DeadlineRunning,
+        true => AnswerKind::UpstreamLost,
+        false => kind,
+    };
+    let waited = request.state.clock.now().since(request.arrived_at).as_millis() as u64;
+    request.record(kind.row().name, None);
+    info!(request.state.log, "refused"; "request" => request.id(), "kind" => kind.row().name,
+        "route" => &request.route.route, "sent" => history.sent, "may_have_run" => history.may_have_run, "after_ms" => waited, request.size_fields());
+    RefusalAnswer::new(kind, "", request.state.jitter())
+        .with_retry_after(request.retry_delay(kind))
+        .response(request.id())
+}
+
+impl RoutedRequest {
+    /// When to retry after a refusal for lack of capacity: late within the time that the caller may
+    /// wait. The request misses its objective in any case, so an early retry gains nothing, and a
+    /// burst is more likely to be over later. The time is spread so that requests refused together
+    /// are not retried together.
+    fn retry_delay(&self, kind: AnswerKind) -> Option<Duration> {
+        if kind == AnswerKind::Quarantined {
+            return self.state.quarantine.held_for(self.fingerprint, self.state.clock.now());
+        }
+        let is_overload = kind.row().is_shed || kind == AnswerKind::UpstreamRefused;
+        let spread =
+            MIN_RETRY_FRACTION + (MAX_RETRY_FRACTION - MIN_RETRY_FRACTION) * self.state.jitter();
+        is_overload.then(|| self.time_left().mul_f64(spread))
+    }
+}
+
+/// Result of reading an answer after its head.
+enum AnswerOutcome {
+    Response(Response<Body>),
+    /// The answer was incomplete or a server error, and another send may follow.
+    Retry(Box<RoutedRequest>, SendError),
+}
+
+async fn relay_answer(
+    mut request: Box<RoutedRequest>,
+    mut placed: PlacedRequest,
+    history: SendHistory,
+    answer: OpenAnswer,
+) -> AnswerOutcome {
+    let status = answer.response.status();
+    if let Some(report) = answer.metadata.load {
+        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report });
+    }
+    if request.route.kind.is_stream() && status.is_success() {
+        request.stage = RequestStage::Answering;
+        let (head, body) = answer.response.into_parts();
+        let relay = StreamRelay::new(request, placed, history, body, answer.connection);
+        return AnswerOutcome::Response(stream_response(head, relay));
+    }
+    let limit = request.time_left();
+    let buffering = buffered_response(answer.response, answer.connection);
+    let error = match tokio::time::timeout(limit, buffering).await {
+        Ok(Ok(response)) => {
+            let is_failure = status.is_server_error();
+            let outcome = match is_failure {
+                true => DispatchOutcome::Failed,
+                false => DispatchOutcome::Completed { prompt_tokens: None, output_tokens: 0 },
+            };
+            let after = request.state.clock.now().since(placed.sent_at);
+            let answer = if is_failure { AnswerCount::Failed } else { AnswerCount::served(after) };
+            request.record_version_answer(&placed, answer);
+            placed.guard.end(outcome);
+            let updated = SendHistory { may_have_run: true, ..history };
+            if !is_failure || !request.may_send_again(&placed.pool.service, updated) {
+                request.log_answered(&placed, status.as_u16());
+                return AnswerOutcome::Response(response);
+            }
+            // `may_send_again` has spent a unit of the budget, and `forward` calls it again.
+            request.state.with_repeats(&placed.pool.service, |budget| budget.refund());
+            return AnswerOutcome::Retry(
+                request,
+                SendError::NoUsableAnswer(format!("status {status}")),
+            );
+        }
+        Ok(Err(detail)) => SendError::ConnectionBroken(detail),
+        Err(_) => SendError::NoUsableAnswer("incomplete answer at the deadline".to_owned()),
+    };
+    report_send_error(&request, &mut placed, &error);
+    AnswerOutcome::Retry(request, error)
+}
+
+impl RoutedRequest {
+    pub fn log_answered(&mut self, placed: &PlacedRequest, status: u16) {
+        self.stage = RequestStage::Ended;
+        self.state.quarantine.note_answer(self.fingerprint, self.state.clock.now());
+        self.record(if status < 500 { "answered" } else { "upstream-failure" }, None);
+        let after = self.state.clock.now().since(self.arrived_at).as_millis() as u64;
+        info!(self.state.log, "answered"; "request" => self.id(), "upstream" => placed.name.as_str(),
+            "status" => status, "after_ms" => after);
+    }
+}
--- a/src/traffic/routed/mod.rs
+++ b/src/traffic/routed/mod.rs
@@ -1,13 +1,14 @@
-//! Requests by route: what a platform's callers send, carried to upstreams under the routes' rules.
+//! Request routing: forwards platform callers' requests to upstreams according to the route table.
 //!
-//! The way of a request: [`door`] reads and admits it, [`carry`] has it placed and sends it, [`relay`] passes
-//! a stream's events on. What the headers say is read by a [`CallDialect`]; nothing here knows their names.
+//! [`admission`] reads and admits a request, [`forward`] has it placed and sends it, and [`relay`]
+//! passes the events of a streaming answer on. A [`CallDialect`] reads and writes the platform's
+//! headers; nothing in this module depends on header names.
 
+mod admission;
 mod attempt;
-mod carry;
 mod dialect;
-mod door;
 mod events;
+mod forward;
 mod index;
 mod relay;
 mod reserve;
@@ -15,10 +16,12 @@
 
 use crate::policy::OrganisationIndex;
 
-pub use dialect::{AnswerFacts, CallDialect, CallerFacts, PlaceWanted, PlaceWord, SendFacts};
-pub use door::routed_router;
-pub use events::EventCutter;
+pub use admission::routed_router;
+pub use dialect::{
+    AnswerMetadata, CallDialect, CallerMetadata, ReservationReply, ReservationRequest, SendMetadata,
+};
+pub use events::EventSplitter;
 pub use index::RouteIndex;
 
-/// Stands for callers of public routes without a key, together.
+/// Index shared by all callers of public routes that present no key.
 const NO_ORGANISATION: OrganisationIndex = OrganisationIndex(u32::MAX);
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -1,8 +1,8 @@
-//! Passes answers on: whole ones once they are whole, streams event by event as they come.
+//! Relays answers to callers: plain ones once complete, streams event by event as they arrive.
 
-use super::attempt::AttemptFault;
-use super::carry::{CarriedRequest, PlacedRequest, RequestStage, SendCount, note_fault};
-use super::events::EventCutter;
+use super::attempt::SendError;
+use super::events::EventSplitter;
+use super::forward::{PlacedRequest, RequestStage, RoutedRequest, SendHistory, report_send_error};
 use crate::policy::{DispatchOutcome, Moment, PoolEvent};
 use crate::rollout::AnswerCount;
 use crate::upstream::{ConnectionGuard, end_to_end_headers};
@@ -17,48 +17,50 @@
 use std::io;
 use std::time::Duration;
 
-/// Largest answer that is held whole, in bytes.
-const WHOLE_LIMIT: usize = 16 << 20;
-/// A stream that pauses for this many times its longest good pause goes on elsewhere, if it may.
-const PAUSE_PATIENCE: u32 = 4;
-/// At least this long, for routes that name no pause.
-const LEAST_PAUSE: Duration = Duration::from_millis(1_000);
-/// Gaps are told to the scheduler once in this many events.
-const GAP_STRETCH: u64 = 4;
+/// Maximum size of a buffered answer, in bytes.
+const ANSWER_LIMIT_BYTES: usize = 16 << 20;
+/// A stream that pauses for this many times the route's `gap_ms` is resumed elsewhere, if allowed.
+const PAUSE_TIMEOUT_FACTOR: u32 = 4;
+/// Lower bound of that time, and the time itself for routes without `gap_ms`.
+const MIN_PAUSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Event gaps are reported to the scheduler once per this many events.
+const GAP_REPORT_EVENTS: u64 = 4;
 
-/// An answer that is not a stream, once it is whole; else what happened.
-pub async fn whole_response(
+/// Buffers an answer that is not a stream; fails if it is incomplete or too large.
+pub async fn buffered_response(
     answer: Response<Incoming>,
     connection: ConnectionGuard,
 ) -> Result<Response<Body>, String> {
     let (head, body) = answer.into_parts();
-    let body =
-        Limited::new(body, WHOLE_LIMIT).collect().await.map_err(|error| error.to_string())?;
+    let body = Limited::new(body, ANSWER_LIMIT_BYTES)
+        .collect()
+        .await
+        .map_err(|error| error.to_string())?;
     connection.finish();
-    let mut response = response_of(&head, Body::from(body.to_bytes()));
+    let mut response = build_response(&head, Body::from(body.to_bytes()));
     response.headers_mut().remove(CONTENT_LENGTH);
     Ok(response)
 }
 
-fn response_of(head: &response::Parts, body: Body) -> Response<Body> {
+fn build_response(head: &response::Parts, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = end_to_end_headers(&head.headers);
     response
 }
 
-/// The response of a stream.
+/// Builds the response that relays a stream.
 pub fn stream_response(head: response::Parts, relay: StreamRelay) -> Response<Body> {
     let events = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
-        match relay.next().await {
+        match relay.next_step().await {
             RelayStep::Events(bytes) => Some((Ok(bytes), Some(relay))),
-            // An error cuts the connection: what ends early must not look complete.
+            // The error aborts the connection, so that a truncated stream does not look complete.
             RelayStep::Cut => Some((Err(io::Error::from(io::ErrorKind::UnexpectedEof)), None)),
             RelayStep::Done => None,
         }
     });
-    let mut response = response_of(&head, Body::from_stream(events));
+    let mut response = build_response(&head, Body::from_stream(events));
     response.headers_mut().remove(CONTENT_LENGTH);
     response
 }
@@ -69,40 +71,41 @@
     Cut,
 }
 
-/// A stream being passed on. Dropped when the caller leaves, which closes the connection to the upstream.
+/// A stream being relayed. Dropped when the caller disconnects, which closes the connection to the
+/// upstream.
 pub struct StreamRelay {
-    request: Box<CarriedRequest>,
+    request: Box<RoutedRequest>,
     placed: PlacedRequest,
-    count: SendCount,
+    history: SendHistory,
     body: Incoming,
     connection: Option<ConnectionGuard>,
-    cutter: EventCutter,
-    /// When the last event came, and how many had come then; for gaps.
-    gap_from: Option<(u64, Moment)>,
-    pace: StreamPace,
-    is_over: bool,
+    splitter: EventSplitter,
+    /// Event count and time at the start of the current gap measurement.
+    gap_start: Option<(u64, Moment)>,
+    timing: StreamTiming,
+    has_ended: bool,
 }
 
-/// When a stream's events came, as its caller saw them.
+/// Timing of a stream's events as seen by the caller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StreamPace {
+pub struct StreamTiming {
     first: Option<Moment>,
     last: Option<Moment>,
     longest_pause: Duration,
 }
 
-impl StreamPace {
-    /// The time from `start` to the first event; none before there was one.
-    pub fn first_after(&self, start: Moment) -> Option<Duration> {
+impl StreamTiming {
+    /// Time from `start` to the first event; `None` before the first event.
+    pub fn first_event_after(&self, start: Moment) -> Option<Duration> {
         self.first.map(|at| at.since(start))
     }
 
-    /// The longest pause between two events so far.
+    /// Longest pause between two events so far.
     pub fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
 
-    fn note(&mut self, now: Moment) {
+    fn record_event(&mut self, now: Moment) {
         self.first = self.first.or(Some(now));
         let pause = self.last.map_or(Duration::ZERO, |last| now.since(last));
         self.longest_pause = self.longest_pause.max(pause);
@@ -112,151 +115,158 @@
 
 impl StreamRelay {
     pub fn new(
-        request: Box<CarriedRequest>,
+        request: Box<RoutedRequest>,
         placed: PlacedRequest,
-        count: SendCount,
+        history: SendHistory,
         body: Incoming,
         connection: ConnectionGuard,
     ) -> Self {
         StreamRelay {
             request,
             placed,
-            count,
+            history,
             body,
             connection: Some(connection),
-            cutter: EventCutter::default(),
-            gap_from: None,
-            pace: StreamPace::default(),
-            is_over: false,
+            splitter: EventSplitter::default(),
+            gap_start: None,
+            timing: StreamTiming::default(),
+            has_ended: false,
         }
     }
 
-    async fn next(&mut self) -> RelayStep {
-        if self.is_over {
+    async fn next_step(&mut self) -> RelayStep {
+        if self.has_ended {
             return RelayStep::Done;
         }
         loop {
-            let limit = self.request.time_left().min(self.patience());
+            let limit = self.request.time_left().min(self.pause_timeout());
             let frame = tokio::time::timeout(limit, self.body.frame()).await;
-            let fault = match frame {
+            let error = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    match self.cutter.push(&bytes) {
+                    match self.splitter.push(&bytes) {
                         Some(events) => {
-                            self.learn();
+                            self.report_timing();
                             return RelayStep::Events(events);
                         }
                         None => continue,
                     }
                 }
                 Ok(None) => return self.end(),
-                Ok(Some(Err(error))) => AttemptFault::Broken(error.to_string()),
+                Ok(Some(Err(error))) => SendError::ConnectionBroken(error.to_string()),
                 Err(_) if self.request.time_left().is_zero() => {
-                    return self.cut("its time is over");
+                    return self.cut("the deadline has passed");
                 }
-                Err(_) => AttemptFault::Lost(format!("no event within {limit:?}")),
+                Err(_) => SendError::NoUsableAnswer(format!("no event within {limit:?}")),
             };
-            if !self.go_on(fault).await {
-                return self.cut("it cannot go on elsewhere");
+            if !self.resume_elsewhere(error).await {
+                return self.cut("no other upstream can resume it");
             }
         }
     }
 
-    /// How long the upstream may pause.
-    fn patience(&self) -> Duration {
-        if !self.request.route.kind.may_repeat() || self.count.sent >= self.request.route.attempts {
+    /// How long the upstream may pause before the stream is resumed elsewhere.
+    fn pause_timeout(&self) -> Duration {
+        if !self.request.route.kind.may_repeat() || self.history.sent >= self.request.route.attempts
+        {
             return Duration::MAX;
         }
-        let gap = self.request.route.gap_ms.unwrap_or_default() * PAUSE_PATIENCE;
+        let gap = self.request.route.gap_ms.unwrap_or_default() * PAUSE_TIMEOUT_FACTOR;
         let first = self.request.route.objective_ms * 2;
-        gap.max(LEAST_PAUSE).max(if self.cutter.events() == 0 { first } else { Duration::ZERO })
+        gap.max(MIN_PAUSE_TIMEOUT).max(if self.splitter.event_count() == 0 {
+            first
+        } else {
+            Duration::ZERO
+        })
     }
 
-    /// The upstream ended the stream well.
+    /// Finishes a stream that the upstream ended normally.
     fn end(&mut self) -> RelayStep {
-        self.is_over = true;
+        self.has_ended = true;
         self.connection.take().into_iter().for_each(ConnectionGuard::finish);
-        let output_tokens = self.cutter.events() as u32;
+        let output_tokens = self.splitter.event_count() as u32;
         self.placed.guard.end(DispatchOutcome::Completed { prompt_tokens: None, output_tokens });
         self.log_ended();
-        self.cutter.rest().map_or(RelayStep::Done, RelayStep::Events)
+        self.splitter.take_remainder().map_or(RelayStep::Done, RelayStep::Events)
     }
 
-    /// Tells the stream's pace, which says whether its caller was served in time.
+    /// Records and logs the stream's timing, which shows whether the caller was served in time.
     fn log_ended(&mut self) {
         self.request.stage = RequestStage::Ended;
         let (now, quarantine) = (self.request.state.clock.now(), &self.request.state.quarantine);
         quarantine.note_answer(self.request.fingerprint, now);
         let arrived = self.request.arrived_at;
-        self.request.record("answered", Some(&self.pace));
-        let first = self.pace.first_after(arrived).unwrap_or_default();
+        self.request.record("answered", Some(&self.timing));
+        let first = self.timing.first_event_after(arrived).unwrap_or_default();
         let after = now.since(arrived);
         info!(self.request.state.log, "answered"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
             "status" => 200, "after_ms" => after.as_millis() as u64, "first_ms" => first.as_millis() as u64,
-            "pause_ms" => self.pace.longest_pause.as_millis() as u64, "events" => self.cutter.events(), self.request.size_fields());
+            "pause_ms" => self.timing.longest_pause.as_millis() as u64, "events" => self.splitter.event_count(), self.request.size_fields());
     }
 
     fn cut(&mut self, detail: &str) -> RelayStep {
-        self.is_over = true;
+        self.has_ended = true;
         self.request.stage = RequestStage::Ended;
-        self.request.record("cut", Some(&self.pace));
+        self.request.record("cut", Some(&self.timing));
         if self.connection.is_some() {
-            self.request.note_version(&self.placed, AnswerCount::Failed);
+            self.request.record_version_answer(&self.placed, AnswerCount::Failed);
         }
         self.connection = None;
         self.placed.guard.end(DispatchOutcome::Failed);
         info!(self.request.state.log, "stream cut"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
-            "events" => self.cutter.events(), "detail" => detail, self.request.size_fields());
+            "events" => self.splitter.event_count(), "detail" => detail, self.request.size_fields());
         RelayStep::Cut
     }
 
-    /// Has another upstream go on after the last whole event; false if none may or can.
-    async fn go_on(&mut self, fault: AttemptFault) -> bool {
-        // The connection closes first: the upstream stops its work before another one begins.
+    /// Resumes the stream elsewhere after its last complete event; false if no upstream may or can.
+    async fn resume_elsewhere(&mut self, error: SendError) -> bool {
+        // Closing the connection first makes the upstream stop before another one begins.
         self.connection = None;
-        self.count.may_have_run = true;
+        self.history.may_have_run = true;
         info!(self.request.state.log, "stream broken"; "request" => self.request.id(), "upstream" => self.placed.name.as_str(),
-            "events" => self.cutter.events(), "detail" => fault.to_string());
-        note_fault(&self.request, &mut self.placed, &fault);
-        while self.request.may_send_again(&self.placed.pool.service.clone(), self.count) {
+            "events" => self.splitter.event_count(), "detail" => error.to_string());
+        report_send_error(&self.request, &mut self.placed, &error);
+        while self.request.may_send_again(&self.placed.pool.service.clone(), self.history) {
             let Ok(placed) = self.request.place(false).await else { return false };
             self.placed = placed;
-            let last_event = self.cutter.last_event().or(self.request.facts.last_event);
-            self.request.log_placed(&self.placed, self.count, last_event);
-            let answer = self.request.try_send(&self.placed, &mut self.count, last_event).await;
+            let last_event_id =
+                self.splitter.last_event_id().or(self.request.metadata.last_event_id);
+            self.request.log_send(&self.placed, self.history, last_event_id);
+            let answer =
+                self.request.try_send(&self.placed, &mut self.history, last_event_id).await;
             match answer {
                 Ok(answer) if answer.response.status().is_success() => {
-                    self.cutter.drop_half();
-                    self.gap_from = None;
+                    self.splitter.discard_partial();
+                    self.gap_start = None;
                     self.body = answer.response.into_body();
                     self.connection = Some(answer.connection);
                     return true;
                 }
                 Ok(_) => {
-                    self.request.note_version(&self.placed, AnswerCount::Failed);
+                    self.request.record_version_answer(&self.placed, AnswerCount::Failed);
                     self.placed.guard.end(DispatchOutcome::Failed);
                 }
-                Err(fault) => note_fault(&self.request, &mut self.placed, &fault),
+                Err(error) => report_send_error(&self.request, &mut self.placed, &error),
             }
         }
         false
     }
 
-    /// Tells the scheduler what the events' times say of the upstream.
-    fn learn(&mut self) {
+    /// Reports the event timing to the scheduler, which learns the upstream's speed from it.
+    fn report_timing(&mut self) {
         let now = self.request.state.clock.now();
-        self.pace.note(now);
-        let events = self.cutter.events();
+        self.timing.record_event(now);
+        let events = self.splitter.event_count();
         let id = self.placed.number;
-        match self.gap_from {
+        match self.gap_start {
             None => {
-                self.gap_from = Some((events, now));
+                self.gap_start = Some((events, now));
                 let after = now.since(self.placed.sent_at);
-                self.request.note_version(&self.placed, AnswerCount::served(after));
+                self.request.record_version_answer(&self.placed, AnswerCount::served(after));
                 self.placed.pool.tell(PoolEvent::FirstToken { id, after });
             }
-            Some((from, at)) if events >= from + GAP_STRETCH => {
-                self.gap_from = Some((events, now));
+            Some((from, at)) if events >= from + GAP_REPORT_EVENTS => {
+                self.gap_start = Some((events, now));
                 let count = (events - from) as u32 * self.placed.pool.event_tokens();
                 self.placed.pool.tell(PoolEvent::TokenGap { id, gap: now.since(at) / count });
             }
--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -1,87 +1,91 @@
-//! Asks an upstream for a place before a request is sent there.
+//! Reserves a place at an upstream before a request is sent there.
 //!
-//! What goes wrong without it: many daemons know late what the others have sent, choose the same engine, and the request
-//! waits there behind others while places elsewhere are free (measured on a fleet of 64: a third of all sends, of which
-//! 28 % began late; of the others almost none). Also, an engine that says nothing is found out before the request is
-//! there, which may be sent once only.
+//! Daemons learn late what others have sent. Without reservations several of them choose the same
+//! engine, and the request queues there while places elsewhere are free. In a fleet of 64 this
+//! affected a third of all sends; 28 % of those began late, and almost none of the others. A
+//! reservation also detects an unresponsive engine before the request, which may be sent only once,
+//! has been sent there.
 
-use super::carry::CarriedRequest;
-use super::dialect::{PlaceWanted, PlaceWord};
+use super::dialect::{ReservationReply, ReservationRequest};
+use super::forward::RoutedRequest;
 use http::Request;
 use http::header::HOST;
 use http_body_util::{BodyExt, Full, Limited};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An upstream answers within this time, or counts as unreachable. Far above the way there and back (at most 10 ms on
-/// the given platform), below the objective of the shortest route.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// A connection that was idle for longer is not used.
-const KEPT_ALIVE: Duration = Duration::from_secs(10);
-/// A place is held for this long at most: the request follows at once.
-const HELD_FOR: Duration = Duration::from_millis(1_000);
-/// Largest answer, in bytes.
-const ANSWER_LIMIT: usize = 4 << 10;
+/// An upstream that does not answer within this time counts as unreachable. Far above the
+/// round-trip time (at most 10 ms on the given platform) and below the shortest latency objective
+/// of a route.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest idle time after which a connection is reused.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
+/// Maximum lifetime of a reservation; short, since the request follows immediately.
+const HOLD_TIME: Duration = Duration::from_millis(1_000);
+/// Maximum size of a reply, in bytes.
+const REPLY_LIMIT_BYTES: usize = 4 << 10;
 
-/// What came of asking.
+/// Outcome of a reservation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reservation {
-    /// The request may be sent, with the place's name where there is one.
+pub enum ReservationOutcome {
+    /// The request may be sent, with the id of the place if one was reserved.
     Granted {
-        /// The place's name.
-        place: Option<String>,
-        /// The upstream's incarnation, where it says.
+        /// Id of the place.
+        place_id: Option<String>,
+        /// The upstream's incarnation, if the reply states it.
         incarnation: Option<u64>,
     },
-    /// There is no place.
+    /// No place is free.
     Full,
-    /// The upstream has gone; another one has its address.
+    /// The upstream is gone; its address now belongs to another incarnation.
     Gone,
-    /// It does not answer.
+    /// The upstream does not answer.
     Unreachable,
 }
 
-/// Granted where no places are reserved.
-pub const NO_PLACE: Reservation = Reservation::Granted { place: None, incarnation: None };
+/// Outcome for upstreams that do not reserve places.
+pub const NOT_RESERVED: ReservationOutcome =
+    ReservationOutcome::Granted { place_id: None, incarnation: None };
 
-/// Asks the upstream at `address` for a place for a request.
+/// Reserves a place for a request at the upstream at `address`, for `max_hold` at most.
 pub async fn reserve(
-    request: &CarriedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     incarnation: &str,
-    longest: Duration,
-) -> Reservation {
-    let facts = &request.facts;
-    let output = facts.output_limit.or(facts.output_guess).unwrap_or(0);
-    let tokens = facts.prompt_tokens.unwrap_or(0).saturating_add(output);
-    let wanted = PlaceWanted { incarnation, tokens, held_for: HELD_FOR.min(longest) };
-    let Some(call) = request.dialect.place_call(&wanted) else { return NO_PLACE };
-    let limit = ANSWER_TIME.min(request.time_left());
-    match tokio::time::timeout(limit, ask(request, address, call)).await {
-        Ok(Some(PlaceWord::Reserved { place, incarnation })) => {
-            Reservation::Granted { place: Some(place), incarnation }
+    max_hold: Duration,
+) -> ReservationOutcome {
+    let metadata = &request.metadata;
+    let output = metadata.output_limit.or(metadata.output_guess).unwrap_or(0);
+    let tokens = metadata.prompt_tokens.unwrap_or(0).saturating_add(output);
+    let wanted = ReservationRequest { incarnation, tokens, hold_time: HOLD_TIME.min(max_hold) };
+    let Some(call) = request.dialect.reservation_call(&wanted) else { return NOT_RESERVED };
+    let limit = REPLY_TIMEOUT.min(request.time_left());
+    match tokio::time::timeout(limit, request_place(request, address, call)).await {
+        Ok(Some(ReservationReply::Reserved { id, incarnation })) => {
+            ReservationOutcome::Granted { place_id: Some(id), incarnation }
         }
-        Ok(Some(PlaceWord::Full)) => Reservation::Full,
-        Ok(Some(PlaceWord::OtherIncarnation)) => Reservation::Gone,
-        Ok(Some(PlaceWord::Unknown)) => NO_PLACE,
-        Ok(None) | Err(_) => Reservation::Unreachable,
+        Ok(Some(ReservationReply::Full)) => ReservationOutcome::Full,
+        Ok(Some(ReservationReply::OtherIncarnation)) => ReservationOutcome::Gone,
+        Ok(Some(ReservationReply::Unknown)) => NOT_RESERVED,
+        Ok(None) | Err(_) => ReservationOutcome::Unreachable,
     }
 }
 
-/// The upstream's word; none if none came.
-async fn ask(
-    request: &CarriedRequest,
+/// Sends the reservation request; `None` if no readable reply came.
+async fn request_place(
+    request: &RoutedRequest,
     address: SocketAddr,
     call: Request<bytes::Bytes>,
-) -> Option<PlaceWord> {
+) -> Option<ReservationReply> {
     let mut call = call.map(Full::new);
     call.headers_mut().insert(HOST, address.to_string().parse().ok()?);
-    let sent = request.state.connections().send(address, call, KEPT_ALIVE).await;
+    let sent = request.state.connections().send(address, call, MAX_IDLE_TIME).await;
     let (response, connection) = sent.ok()?;
-    let facts = request.dialect.read_answer(response.status(), response.headers());
-    let connection = connection.kept_for(facts.keeps_idle);
+    let metadata = request.dialect.read_answer(response.status(), response.headers());
+    let connection = connection.kept_for(metadata.idle_timeout);
     let status = response.status();
-    let body = Limited::new(response.into_body(), ANSWER_LIMIT).collect().await.ok()?.to_bytes();
+    let body =
+        Limited::new(response.into_body(), REPLY_LIMIT_BYTES).collect().await.ok()?.to_bytes();
     connection.finish();
-    Some(request.dialect.read_place(status, &body))
+    Some(request.dialect.read_reservation(status, &body))
 }
--- a/src/traffic/routed/size_fields.rs
+++ b/src/traffic/routed/size_fields.rs
@@ -1,10 +1,10 @@
-//! A request's size, as fields of log lines.
+//! Log fields that describe the size of a request.
 
-use super::dialect::CallerFacts;
+use super::dialect::CallerMetadata;
 use crate::policy::SizeDecile;
 use slog::{KV, Record, Result, Serializer};
 
-/// What is known of a request's size, in tokens, and whether its caller has been here before.
+/// The known sizes of a request, in tokens, and whether its caller is retrying it.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeFields {
     tenth: Option<SizeDecile>,
@@ -15,13 +15,13 @@
 }
 
 impl SizeFields {
-    /// The fields of a request whose caller says `facts`.
-    pub fn new(facts: &CallerFacts, tenth: Option<SizeDecile>, has_returned: bool) -> Self {
+    /// Collects the fields from the caller's metadata.
+    pub fn new(metadata: &CallerMetadata, tenth: Option<SizeDecile>, has_returned: bool) -> Self {
         SizeFields {
             tenth,
-            prompt: facts.prompt_tokens,
-            output_limit: facts.output_limit,
-            output_guess: facts.output_guess,
+            prompt: metadata.prompt_tokens,
+            output_limit: metadata.output_limit,
+            output_guess: metadata.output_guess,
             has_returned,
         }
     }
