--- a/src/fleet_state/mod.rs
+++ b/src/fleet_state/mod.rs
@@ -1,18 +1,22 @@
-//! What one daemon knows of the whole fleet, as sums that are aggregated; pure: no clock, no socket.
+//! Fleet-wide state as one daemon sees it, aggregated from counters that the daemons report. This
+//! module is pure: it reads no clock and opens no socket.
 //!
-//! A daemon needs to know how many tokens the fleet has let through of each organisation's limit, what the others
-//! have sent to each upstream, and who reads the platform's list. What goes wrong when each daemon reports to all
-//! others: the cost grows with the square of the fleet, so each reports seldom, and at hundreds of daemons what is known
-//! is seconds old. One would notice by refusals of organisations far below their limits.
+//! A daemon needs the number of tokens the fleet has admitted against each organisation's limit,
+//! the requests that other daemons have in flight at each upstream, and which daemon reads the
+//! platform's list. If every daemon reported to every other one, the cost would grow with the
+//! square of the fleet size, so each would have to report rarely; at hundreds of daemons the state
+//! would be seconds old, and organisations far below their limits would be refused.
 //!
-//! So daemons form groups of about the square root of their number ([`FleetLayout`]). Each sends its cumulative
-//! counters ([`MemberReport`]) to the aggregator of its group, aggregators exchange the sums of their groups
-//! ([`GroupSum`]), and each member gets the sums of the fleet back ([`FleetSummary`]). A daemon then sends and gets a
-//! number of messages that grows no faster than the square root of the fleet. Fleets up to [`MESH_SIZE`] need no
-//! aggregators: each daemon reports to all others.
+//! Daemons therefore form groups of about the square root of the fleet size ([`FleetLayout`]). Each
+//! member sends its cumulative counters ([`MemberReport`]) to the aggregator of its group,
+//! aggregators exchange the sums of their groups ([`GroupSum`]), and each member receives the sums
+//! of the whole fleet ([`FleetSummary`]). The number of messages per daemon grows no faster than
+//! the square root of the fleet size. Fleets of up to [`MESH_SIZE`] daemons use no aggregators:
+//! every daemon reports to all others.
 //!
-//! Counters are cumulative and tied to the start of the process, so a lost, doubled or overtaken message does no harm.
-//! What is not known of a part that is silent is a rate times an age ([`FlowLedger`]).
+//! Counters are cumulative and tied to one start of the process, so lost, duplicated and reordered
+//! messages are harmless. The usage of a daemon that has fallen silent is estimated from its rate
+//! and the time since its last message ([`FlowLedger`]).
 
 mod aggregator_choice;
 mod flow_ledger;
