--- a/src/fleet_state/flow_totals.rs
+++ b/src/fleet_state/flow_totals.rs
@@ -1,17 +1,18 @@
-//! Counters of one source by organisation, and what they grew by.
+//! Cumulative token counters of one source, by organisation, and the differences between them.
 
 use super::{FlowDelta, FlowRow, OrganisationHash};
 use std::collections::BTreeMap;
 
-/// Tokens let through and asked for since a source began to count, by organisation.
+/// Tokens admitted and tokens requested since a source began to count, by organisation.
 pub type FlowTotals = BTreeMap<OrganisationHash, (i64, u64)>;
 
-/// The counters of rows.
+/// Converts message rows to counters.
 pub fn totals_of(rows: &[FlowRow]) -> FlowTotals {
     rows.iter().map(|row| (row.organisation, (row.taken, row.asked))).collect()
 }
 
-/// What counters grew by; organisations that were not there stood at nought.
+/// Returns the non-zero increases from `before` to `after`. Organisations missing from `before`
+/// count from zero.
 pub fn differences(before: &FlowTotals, after: &FlowTotals) -> Vec<FlowDelta> {
     let deltas = after.iter().map(|(organisation, (taken, asked))| {
         let (taken_before, asked_before) = before.get(organisation).copied().unwrap_or_default();
