--- a/src/fleet_state/own_history.rs
+++ b/src/fleet_state/own_history.rs
@@ -1,13 +1,14 @@
-//! What this daemon has reported, message by message: sums that come back hold some of it.
+//! History of this daemon's own reports. It is used to subtract this daemon's share from the sums
+//! that an aggregator sends back.
 
 use super::flow_totals::{FlowTotals, differences, totals_of};
 use super::{FlowDelta, OwnReading, WaitingRow, WorkRow};
 use std::collections::VecDeque;
 
-/// Reports that are remembered: 4 s at 15 a second, far more than a sum is old.
+/// Number of reports kept: 4 s at 15 reports per second, far longer than the age of any sum.
 const REMEMBERED: usize = 64;
 
-/// One report.
+/// A report that was sent.
 #[derive(Clone, Debug)]
 struct PastReport {
     sequence: u64,
@@ -16,7 +17,8 @@
     waiting: Vec<WaitingRow>,
 }
 
-/// The last reports of this daemon, and which of them the sums of its aggregator hold.
+/// The most recent reports of this daemon, and the one that the aggregator's sums currently
+/// include.
 #[derive(Clone, Debug, Default)]
 pub struct OwnHistory {
     reports: VecDeque<PastReport>,
@@ -24,7 +26,7 @@
 }
 
 impl OwnHistory {
-    /// Remembers a report.
+    /// Records a sent report.
     pub fn push(&mut self, sequence: u64, own: &OwnReading) {
         let report = PastReport {
             sequence,
@@ -38,8 +40,9 @@
         }
     }
 
-    /// Learns that the sums hold the report `sequence`, and gives what they hold more of this daemon than before. The first
-    /// time is where counting begins.
+    /// Notes that the aggregator's sums include the report `sequence`, and returns the increase of
+    /// this daemon's own counters since the report included before. The first included report is
+    /// the baseline and returns no increase.
     pub fn include(&mut self, sequence: u64) -> Vec<FlowDelta> {
         let is_new = self.included.as_ref().is_none_or(|report| report.sequence < sequence);
         let Some(at) = self.reports.iter().position(|report| report.sequence == sequence) else {
@@ -53,22 +56,23 @@
         before.map_or_else(Vec::new, |before| differences(&before.totals, &report.totals))
     }
 
-    /// The sums of another aggregator hold nothing of this daemon yet.
+    /// Forgets the included report, since the sums of a new aggregator include none of this daemon
+    /// yet.
     pub fn start_over(&mut self) {
         self.included = None;
     }
 
-    /// True once the sums hold anything of this daemon.
+    /// Returns true once the aggregator's sums include a report of this daemon.
     pub fn is_included(&self) -> bool {
         self.included.is_some()
     }
 
-    /// This daemon's waiting requests as the sums hold them.
+    /// This daemon's waiting requests, as included in the aggregator's sums.
     pub fn included_waiting(&self) -> &[WaitingRow] {
         self.included.as_ref().map_or(&[], |report| &report.waiting)
     }
 
-    /// This daemon's work as the sums hold it.
+    /// This daemon's requests at upstreams, as included in the aggregator's sums.
     pub fn included_work(&self) -> &[WorkRow] {
         self.included.as_ref().map_or(&[], |report| &report.work)
     }
