--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -1,25 +1,27 @@
-//! How the fleet is cut into groups, and how often their members speak.
+//! Partition of the fleet into groups, and the interval between messages.
 
 use crate::policy::FleetGroup;
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Daemons up to this number report to each other without aggregators: 15 reports in 150 ms cost each of them less
-/// than the two further steps that sums would take.
+/// Largest fleet in which daemons report to each other without aggregators: 15 reports per 150 ms
+/// cost each daemon less than the two additional hops through aggregators.
 pub const MESH_SIZE: usize = 16;
-/// Reports that one daemon of a small fleet sends in a second at most, to all others together. A report costs near
-/// 20 us at either end (measured), so this is 0.4 % of a core.
+/// Maximum rate at which one daemon of a mesh sends reports, over all receivers. A report costs
+/// about 20 us at either end, so this is 0.4 % of a core.
 const MESH_SENDS_A_SECOND: f64 = 100.0;
-/// Messages that an aggregator sends in a second at most. With as many received that is 2 % of a core, on one daemon
-/// of each group; 291 daemons then speak each 68 ms and 1,000 each 126 ms.
+/// Maximum rate at which an aggregator sends messages. It receives as many, which together takes 2
+/// % of a core on one daemon of each group. The resulting interval is 68 ms for 291 daemons and 126
+/// ms for 1,000.
 const AGGREGATOR_SENDS_A_SECOND: f64 = 500.0;
-/// Least time between two reports of a small fleet: what was sent meanwhile goes into one report.
+/// Minimum interval between two reports in a mesh. Changes in between are batched into one report.
 const LEAST_MESH_PAUSE: Duration = Duration::from_millis(40);
-/// The same where there are aggregators, which each member hears of three steps later.
+/// Minimum interval in a fleet with aggregators, where a change takes three hops to reach all
+/// members.
 const LEAST_GROUP_PAUSE: Duration = Duration::from_millis(50);
 
-/// The daemons that serve callers, in order of their addresses, cut into groups.
+/// The daemons that serve callers, sorted by address and partitioned into groups.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetLayout {
     addresses: Vec<SocketAddr>,
@@ -27,7 +29,7 @@
 }
 
 impl FleetLayout {
-    /// The layout of a fleet; daemons that know the same addresses agree on it.
+    /// Builds a layout. Daemons that know the same addresses compute the same layout.
     pub fn new(mut addresses: Vec<SocketAddr>) -> Self {
         addresses.sort_unstable();
         addresses.dedup();
@@ -38,29 +40,29 @@
         FleetLayout { addresses, groups }
     }
 
-    /// All addresses, in order.
+    /// Returns all addresses in ascending order.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Number of groups.
+    /// Returns the number of groups.
     pub fn groups(&self) -> usize {
         self.groups.max(1)
     }
 
-    /// True if the fleet needs no aggregators.
+    /// Returns true if the fleet uses no aggregators.
     pub fn is_mesh(&self) -> bool {
         self.groups() == 1
     }
 
-    /// The group of the daemon at `address`.
+    /// Returns the group of the daemon at `address`.
     pub fn group_of(&self, address: SocketAddr) -> FleetGroup {
         let position = self.addresses.binary_search(&address).unwrap_or(0);
         let index = FleetGroup::of(position, self.addresses.len(), self.groups());
         FleetGroup { index, count: self.groups() }
     }
 
-    /// The daemons of a group, in order of their addresses.
+    /// Returns the daemons of a group in ascending order of address.
     pub fn members(&self, group: usize) -> &[SocketAddr] {
         let total = self.addresses.len();
         let start = |group: usize| (group * total).div_ceil(self.groups()).min(total);
@@ -68,7 +70,7 @@
         &self.addresses[range]
     }
 
-    /// Time between two messages of one daemon to another.
+    /// Returns the interval between two messages from one daemon to another.
     pub fn pause(&self) -> Duration {
         let total = self.addresses.len();
         if self.is_mesh() {
