--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -1,4 +1,4 @@
-//! Cumulative counters of several sources, and what is assumed of those that are silent.
+//! Cumulative counters of several sources, and estimates for sources that have fallen silent.
 
 use super::flow_totals::{FlowTotals, totals_of};
 use super::{FlowRates, FlowRow, MessageRefusal, OrganisationHash};
@@ -7,33 +7,33 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What was assumed of a silent source beyond what it turns out to have let through is given back, up to this many seconds'
-/// worth: after a longer silence the bucket has been refilled meanwhile.
+/// If a silent source turns out to have admitted less than was estimated, the excess is refunded,
+/// up to this many seconds' worth. After a longer silence the bucket has refilled in the meantime.
 const REFUND_SECONDS: f64 = 2.0;
-/// A rate below this, in tokens a second, says nothing of a source's part.
+/// A rate in tokens per second below which a source's share is not derived from it.
 const LEAST_RATE: f64 = 1.0;
 
-/// Tokens that a source let through, or was asked for, since its last message.
+/// Tokens that a source admitted and that were requested of it since its previous message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowDelta {
     /// The organisation.
     pub organisation: OrganisationHash,
-    /// Tokens let through; below nought where tokens are given back.
+    /// Tokens admitted; negative if tokens were refunded.
     pub taken: i64,
-    /// Tokens asked for.
+    /// Tokens requested, including refused ones.
     pub asked: u64,
 }
 
-/// Which message of which start of a source.
+/// Identifies a message of a source by process start and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceStamp {
-    /// The number of its start.
+    /// The number of the source's process start.
     pub boot: u64,
-    /// The number of the message.
+    /// The sequence number of the message.
     pub sequence: u64,
 }
 
-/// What one source has reported.
+/// The last reported state of one source.
 #[derive(Clone, Debug)]
 struct FlowSource {
     stamp: SourceStamp,
@@ -41,40 +41,41 @@
     rates: FlowRates,
     heard: Moment,
     silence: Option<SourceSilence>,
-    /// True if rows that were never heard stand at nought; else nobody knows where they began.
+    /// True if rows that were never received are known to be zero. Otherwise their baseline is
+    /// unknown and the first value received becomes the baseline.
     is_complete: bool,
 }
 
-/// A source that has not been heard for too long.
+/// The state of a source that has exceeded the silence timeout.
 #[derive(Clone, Debug)]
 struct SourceSilence {
-    /// Its part of all that was let through when it was last heard, by organisation.
+    /// The source's share of all admitted tokens when it was last heard, by organisation.
     parts: BTreeMap<OrganisationHash, f64>,
-    /// Until when its silence has been accounted for.
+    /// The time up to which estimates have been added.
     until: Moment,
     assumed: BTreeMap<OrganisationHash, AssumedTokens>,
 }
 
-/// Tokens assumed of a silent source.
+/// Tokens estimated for a silent source.
 #[derive(Clone, Copy, Debug, Default)]
 struct AssumedTokens {
     sum: f64,
-    /// Those that may be given back.
+    /// The part of `sum` that may be refunded.
     refundable: f64,
 }
 
-/// Sources by the daemons that speak for them.
+/// Counters by the daemon that reports them.
 ///
-/// A source that is heard for the first time has been counted by somebody else until then, so its counters are where
-/// counting begins. One that has started anew counts from nought.
+/// When a source is heard for the first time, its tokens so far have already been counted
+/// elsewhere, so its counters are the baseline. A source that has restarted counts from zero.
 #[derive(Clone, Debug, Default)]
 pub struct FlowLedger {
     sources: BTreeMap<DaemonName, FlowSource>,
 }
 
 impl FlowLedger {
-    /// Takes a message, unless it was overtaken or a counter has fallen. Rows that are left out have not changed, or stand at
-    /// nought where the message `is_whole`.
+    /// Applies a message and returns the increases, unless the message was overtaken or a counter
+    /// has fallen. Rows left out have not changed, or are zero if `is_whole`.
     pub fn take(
         &mut self,
         daemon: &DaemonName,
@@ -113,9 +114,11 @@
         Ok(deltas)
     }
 
-    /// What silent sources may have let through since this was asked last, given the rates that the limits let through. Each
-    /// is taken to use its part of the whole, so that parts of a fleet that hear nothing of each other still keep to a
-    /// limit between them. `fleet` are the rates of all; a source of which none is known has an `equal` part.
+    /// Estimates the tokens that silent sources have admitted since the previous call. `limits` are
+    /// the rates that the limits allow. Each source is assumed to use its own share of the limit,
+    /// so that partitions of a fleet still keep to the limit between them. `fleet` holds the rates
+    /// of the whole fleet; a source without a known rate has the share `equal`. A source counts as
+    /// silent once it has not been heard for the duration `after`.
     pub fn assume_silent(
         &mut self,
         limits: &[(OrganisationHash, f64)],
@@ -134,17 +137,18 @@
         deltas
     }
 
-    /// Forgets a source.
+    /// Removes a source.
     pub fn remove(&mut self, daemon: &DaemonName) {
         self.sources.remove(daemon);
     }
 
-    /// Forgets the sources for which `keep` is false; it gets when each was heard last.
+    /// Keeps the sources for which `keep` returns true, given the daemon and when it was last
+    /// heard.
     pub fn retain(&mut self, keep: impl Fn(&DaemonName, Moment) -> bool) {
         self.sources.retain(|daemon, source| keep(daemon, source.heard));
     }
 
-    /// The last message that was taken of a source.
+    /// Returns the stamp of the last message applied from a source.
     pub fn stamp(&self, daemon: &DaemonName) -> Option<SourceStamp> {
         self.sources.get(daemon).map(|source| source.stamp)
     }
@@ -176,7 +180,7 @@
                 deltas.push(FlowDelta { organisation: row.organisation, taken, asked });
             }
         }
-        // Organisations of which it says nothing: it let nothing of theirs through.
+        // The message has no row for these organisations, so the source admitted nothing of theirs.
         let rest = assumed.into_iter().map(|(organisation, assumed)| FlowDelta {
             organisation,
             taken: -(assumed.refundable as i64),
