--- a/src/fleet_state/work_tables.rs
+++ b/src/fleet_state/work_tables.rs
@@ -1,4 +1,4 @@
-//! Requests of the others at upstreams, as far as they are known.
+//! Requests that other daemons have at upstreams, as far as known.
 
 use super::WorkRow;
 use crate::policy::{Moment, OthersWork, UpstreamHash};
@@ -6,12 +6,13 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// A row of another group counts for this long: a request seldom runs longer. At 40 rows a message all rows of 1,000 upstreams
-/// come in turn within it; of more upstreams some are not known, which costs a worse choice now and then.
+/// Time to live of a row of another group; requests seldom run longer. At 40 rows per message the
+/// rows of 1,000 upstreams are all sent within it. With more upstreams some rows are missing, which
+/// occasionally leads to a worse choice of upstream.
 const AWAY_LIFE: Duration = Duration::from_millis(1_500);
-/// What was learned of an upstream's speed counts for this long; upstreams come and go.
+/// Time to live of a measured upstream speed. Upstreams come and go, so old entries have to expire.
 const SPEED_LIFE: Duration = Duration::from_secs(60);
-/// Rows of other groups in one message, at most: near 500 bytes.
+/// Maximum number of rows of other groups in one message, about 500 bytes.
 const AWAY_ROWS: usize = 40;
 
 /// Adds rows to sums by upstream.
@@ -28,7 +29,7 @@
     }
 }
 
-/// Takes a part of sums away again.
+/// Subtracts rows from sums by upstream.
 pub fn subtract_work(sums: &mut BTreeMap<UpstreamHash, OthersWork>, rows: &[WorkRow]) {
     for (upstream, work) in rows {
         let Some(sum) = sums.get_mut(upstream) else { continue };
@@ -37,7 +38,8 @@
     }
 }
 
-/// Adds rows as hints: they are of other groups, so old, and take up no places.
+/// Adds rows as hints. They come from other groups, so they are too old to count against an
+/// upstream's places.
 pub fn add_hints(
     sums: &mut BTreeMap<UpstreamHash, OthersWork>,
     rows: impl IntoIterator<Item = WorkRow>,
@@ -49,14 +51,14 @@
     }
 }
 
-/// Rows that may come a few at a time, each of which counts for [`AWAY_LIFE`].
+/// Rows that arrive a few at a time and expire after [`AWAY_LIFE`].
 #[derive(Clone, Debug, Default)]
 pub struct TimedRows {
     rows: BTreeMap<UpstreamHash, (OthersWork, Moment)>,
 }
 
 impl TimedRows {
-    /// Takes rows; without those before if they are all that there are.
+    /// Inserts rows. If `is_whole`, they replace all earlier rows.
     pub fn take(&mut self, rows: &[WorkRow], is_whole: bool, now: Moment) {
         if is_whole {
             self.rows.clear();
@@ -64,32 +66,32 @@
         self.rows.extend(rows.iter().map(|(upstream, work)| (*upstream, (*work, now))));
     }
 
-    /// Forgets what is too old.
+    /// Removes expired rows.
     pub fn forget(&mut self, now: Moment) {
         self.rows.retain(|_, (_, at)| now.since(*at) < AWAY_LIFE);
     }
 
-    /// The rows.
+    /// Returns the rows that have not been removed.
     pub fn rows(&self) -> impl Iterator<Item = WorkRow> {
         self.rows.iter().map(|(upstream, (work, _))| (*upstream, *work))
     }
 }
 
-/// Rows of other groups, and how fast upstreams are.
+/// Rows of other groups, and the measured speed of each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct WorkTable {
     away: TimedRows,
     speeds: BTreeMap<UpstreamHash, (u32, Moment)>,
 }
 
-/// Where the turn stands among rows that are sent some at a time.
+/// Position of a round-robin over rows that are sent a few at a time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RowTurn {
     last: Option<UpstreamHash>,
 }
 
 impl RowTurn {
-    /// Some of `sums`, those that had no turn for the longest first.
+    /// Returns the next rows of `sums`, least recently sent first.
     pub fn next_rows(&mut self, sums: &BTreeMap<UpstreamHash, OthersWork>) -> Vec<WorkRow> {
         let start = self.last.map_or(Bound::Unbounded, Bound::Excluded);
         let later = sums.range((start, Bound::Unbounded));
@@ -101,30 +103,30 @@
 }
 
 impl WorkTable {
-    /// Takes rows of other groups.
+    /// Inserts rows of other groups and records their speeds.
     pub fn take(&mut self, rows: &[WorkRow], now: Moment) {
         self.away.take(rows, false, now);
         self.learn_speeds(rows, now);
     }
 
-    /// Learns speeds alone.
+    /// Records the speeds of `rows` only.
     pub fn learn_speeds(&mut self, rows: &[WorkRow], now: Moment) {
         let learned = rows.iter().filter(|(_, work)| work.gap_micros > 0);
         self.speeds.extend(learned.map(|(upstream, work)| (*upstream, (work.gap_micros, now))));
     }
 
-    /// Forgets what is too old.
+    /// Removes expired rows and speeds.
     pub fn forget(&mut self, now: Moment) {
         self.away.forget(now);
         self.speeds.retain(|_, (_, at)| now.since(*at) < SPEED_LIFE);
     }
 
-    /// The rows of other groups.
+    /// Returns the rows of other groups.
     pub fn away(&self) -> impl Iterator<Item = WorkRow> {
         self.away.rows()
     }
 
-    /// Puts the speeds that are known into sums.
+    /// Sets the known speeds in `sums`.
     pub fn add_speeds(&self, sums: &mut BTreeMap<UpstreamHash, OthersWork>) {
         for (upstream, (gap_micros, _)) in &self.speeds {
             sums.entry(*upstream).or_default().gap_micros = *gap_micros;
