--- a/src/fleet_state/row_rotation.rs
+++ b/src/fleet_state/row_rotation.rs
@@ -1,15 +1,16 @@
-//! Which counters go into a message: those that have changed lately, and the others in turn.
+//! Selects the counters that go into a message: recently changed ones first, then the others in
+//! round-robin order.
 
 use super::{FlowRow, OrganisationHash};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// A change is sent with this many messages in a row: each is lost now and then.
+/// Number of consecutive messages that carry a change, since messages are occasionally lost.
 const SENT_TIMES: u64 = 4;
-/// Rows that have not changed and are sent all the same, in turn: a receiver that has lost all of [`SENT_TIMES`], or has just
-/// begun to listen, learns of them within seconds.
+/// Number of unchanged rows refreshed per message, in round-robin order. A receiver that has lost
+/// all [`SENT_TIMES`] copies of a change, or has only just started, catches up within seconds.
 const REFRESHED: usize = 6;
-/// Rows in one message, at most: near 1,100 bytes.
+/// Maximum number of rows in one message, about 1,100 bytes.
 const MOST_ROWS: usize = 80;
 
 /// The counters of one sender.
@@ -17,7 +18,7 @@
 pub struct RowRotation {
     rows: BTreeMap<OrganisationHash, RowState>,
     round: u64,
-    /// Where the turn stands.
+    /// The last row of the round-robin.
     last: Option<OrganisationHash>,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl RowRotation {
-    /// Takes the present counters and gives those to send now.
+    /// Updates the counters to `current` and returns the rows to send now.
     pub fn choose(&mut self, current: impl IntoIterator<Item = FlowRow>) -> Vec<FlowRow> {
         self.round += 1;
         for row in current {
@@ -53,14 +54,15 @@
                 break;
             }
         }
-        // The turn goes on after the last row that was refreshed, or after the last of all where there was no room.
+        // The round-robin continues after the last refreshed row, or, if the message is full, after
+        // the last row in it.
         let is_full = chosen.len() == MOST_ROWS;
         let last = chosen.iter().rev().find(|(_, _, is_fresh)| is_full || !is_fresh);
         self.last = last.map(|(organisation, ..)| *organisation).or(self.last);
         chosen.into_iter().map(|(_, row, _)| row).collect()
     }
 
-    /// All rows, beginning after the one that had the last turn.
+    /// Returns all rows, starting after the last row of the round-robin.
     fn in_turn(&self) -> impl Iterator<Item = (OrganisationHash, RowState)> {
         let start = self.last.map_or(Bound::Unbounded, Bound::Excluded);
         let later = self.rows.range((start, Bound::Unbounded));
