--- a/src/fleet_state/aggregator_choice.rs
+++ b/src/fleet_state/aggregator_choice.rs
@@ -1,36 +1,38 @@
-//! Which daemon of its group a daemon reports to.
+//! Selects the daemon of its group that a daemon reports to.
 
 use crate::policy::Moment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An aggregator that has not been heard for this long is given up: longer than the pauses of a loaded machine, short
-/// beside the second after which limits would be exceeded by a burst that nobody counts.
+/// Silence after which an aggregator is considered failed: longer than the pauses of a loaded
+/// machine, but well below the one second after which an uncounted burst would exceed limits.
 const GIVEN_UP_AFTER: Duration = Duration::from_millis(400);
-/// The same for the one that takes its place: after the loss of half a fleet several in a row are gone.
+/// Timeout for an aggregator that replaces a failed one. It is shorter because several candidates
+/// in a row may be gone after the loss of half a fleet.
 const NEXT_GIVEN_UP_AFTER: Duration = Duration::from_millis(250);
-/// Pauses between messages that a silence is longer than.
+/// Minimum silence before an aggregator is considered failed, in message intervals.
 const GIVEN_UP_PAUSES: u32 = 4;
-/// One that was given up is tried again after this long, unless it is heard before.
+/// A failed aggregator is tried again after this long, unless it is heard earlier.
 const GIVEN_UP_FOR: Duration = Duration::from_secs(3);
 
-/// The choice of one daemon: the first of its group's addresses that has not been given up.
+/// Selects the first address of the group that has not failed recently.
 ///
-/// All members of a group try the same addresses in the same order, so they agree soon after a loss without a vote. While
-/// they do not, each is counted where it reports, so nobody is counted twice.
+/// All members of a group try the same addresses in the same order, so they agree soon after a loss
+/// without a vote. Until they agree, each daemon is counted only where it reports, so none is
+/// counted twice.
 #[derive(Clone, Debug, Default)]
 pub struct AggregatorChoice {
     chosen: Option<SocketAddr>,
-    /// When the present one was chosen, or heard last.
+    /// When the current aggregator was selected or last heard.
     heard: Moment,
     given_up: BTreeMap<SocketAddr, Moment>,
-    /// Aggregators given up since one was heard last.
+    /// Aggregators that failed since one was last heard.
     in_row: u32,
 }
 
 impl AggregatorChoice {
-    /// The aggregator to report to now, which may be this daemon itself.
+    /// Returns the aggregator to report to now, which may be this daemon itself.
     pub fn choose(
         &mut self,
         candidates: &[SocketAddr],
@@ -53,12 +55,12 @@
         choice
     }
 
-    /// The present choice.
+    /// Returns the current aggregator.
     pub fn chosen(&self) -> Option<SocketAddr> {
         self.chosen
     }
 
-    /// A summary came from an aggregator.
+    /// Records a summary from an aggregator.
     pub fn hear(&mut self, from: SocketAddr, now: Moment) {
         self.given_up.remove(&from);
         if self.chosen == Some(from) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Passes an aggregator over for a while: it is silent, or says that it leaves.
+    /// Excludes an aggregator for a while because it is silent or has announced that it is leaving.
     pub fn give_up(&mut self, address: SocketAddr, now: Moment) {
         self.given_up.insert(address, now + GIVEN_UP_FOR);
         self.in_row += 1;
