--- a/src/fleet_state/row_rotation.rs
+++ b/src/fleet_state/row_rotation.rs
@@ -1,5 +1,5 @@
-//! Selects the counters that go into a message: recently changed ones first, then the others in
-//! round-robin order.
+//! Selects the counters that go into a message: those that changed recently, and some of the others
+//! in round-robin order.
 
 use super::{FlowRow, OrganisationHash};
 use std::collections::BTreeMap;
