--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -1,4 +1,4 @@
-//! The messages in which daemons report their state.
+//! Messages in which daemons report their state to each other.
 
 use crate::policy::{OthersWork, UpstreamHash, WorthLevel};
 use crate::quarantine::SuspectNews;
@@ -7,127 +7,128 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stands for an organisation in messages. In a fleet of 3,300 organisations two have the same hash once in 800 fleets; each
-/// would then be charged for both.
+/// Identifies an organisation in messages. In a fleet of 3,300 organisations, the probability that
+/// two have the same hash is 1 in 800; each of the two would then be charged for both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrganisationHash(u32);
 
 impl OrganisationHash {
-    /// The hash of an organisation's name.
+    /// Hashes an organisation's name.
     pub fn of(organisation: &OrganisationName) -> Self {
         OrganisationHash(xxh3_64(organisation.as_str().as_bytes()) as u32)
     }
 }
 
-/// Tokens of one organisation, counted since the source of the row began to count.
+/// Token counters of one organisation, cumulative since the source of the row began to count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowRow {
     /// The organisation.
     pub organisation: OrganisationHash,
-    /// Tokens let through, less those given back.
+    /// Tokens admitted, less those refunded.
     pub taken: i64,
-    /// Tokens asked for, refused ones among them.
+    /// Tokens requested, including refused ones.
     pub asked: u64,
-    /// Milliseconds until its bucket is full again, as the source estimates.
+    /// Milliseconds until the organisation's bucket is full again, as estimated by the source.
     pub refill_ms: u32,
 }
 
-/// Stands for a service in messages.
+/// Identifies a service in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServiceHash(u32);
 
 impl ServiceHash {
-    /// The hash of a service's name.
+    /// Hashes a service's name.
     pub fn of(service: &ServiceName) -> Self {
         ServiceHash(xxh3_64(service.as_str().as_bytes()) as u32)
     }
 }
 
-/// Requests that wait for a service.
+/// A number of waiting requests of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRow {
     /// The service.
     pub service: ServiceHash,
-    /// What they are worth for their cost.
+    /// Their worth per unit of cost.
     pub level: WorthLevel,
-    /// How many.
+    /// The number of requests.
     pub count: u32,
 }
 
-/// Work at one upstream.
+/// Requests at one upstream.
 pub type WorkRow = (UpstreamHash, OthersWork);
 
-/// Who sent a message, and which of its messages it is.
+/// The sender of a message, and the position of the message among those of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageSource {
-    /// The daemon.
+    /// The name of the daemon.
     pub daemon: DaemonName,
-    /// The number of its start; its counters begin at nought with it.
+    /// The number of the daemon's process start. Its counters begin at zero with each start.
     pub boot: u64,
-    /// Rises with each message.
+    /// Sequence number; increases with each message.
     pub sequence: u64,
-    /// Where it hears messages.
+    /// The address at which the daemon receives messages.
     pub address: SocketAddr,
 }
 
-/// A reading of the platform's list, as far as a daemon knows of it.
+/// A reading of the platform's list, as known to a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStamp {
     /// Digest of the list that was read.
     pub digest: u64,
-    /// Milliseconds since it was read.
+    /// Milliseconds since the list was read.
     pub age_ms: u32,
 }
 
-/// Whether this is the last message of a daemon to the one that gets it.
+/// Whether this is the last message from a daemon to its receiver, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Departure {
-    /// It goes on reporting.
+    /// The daemon continues to report.
     #[default]
     Stays,
-    /// It reports to another aggregator from now on.
+    /// The daemon reports to another aggregator from now on.
     Moved,
-    /// It has drained and lets nothing through any more.
+    /// The daemon has drained and admits no more requests.
     Left,
 }
 
-/// The report of one daemon to its aggregator, or to all others in a small fleet.
+/// The report of one daemon to its aggregator, or to all other daemons in a mesh.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The daemon.
+    /// The reporting daemon.
     pub source: MessageSource,
-    /// What it let through; rows that have not changed lately may be left out.
+    /// Its token counters; rows that have not changed recently may be left out.
     pub flows: Vec<FlowRow>,
-    /// True if no row is left out but those at nought.
+    /// True if only rows at zero are left out of `flows`.
     pub is_whole: bool,
     /// All of its requests at upstreams.
     pub work: Vec<WorkRow>,
-    /// All of its requests that wait.
+    /// All of its waiting requests.
     pub waiting: Vec<WaitingRow>,
-    /// The last reading of the platform's list that agrees with the list it has in force.
+    /// The last reading of the platform's list that agrees with the list in force at the sender.
     pub list: Option<ListStamp>,
-    /// False while the platform does not let it read the list.
+    /// False while the platform does not let the sender read the list.
     pub can_read_list: bool,
-    /// Whether it goes on reporting.
+    /// Whether the daemon continues to report.
     pub departure: Departure,
-    /// What its sender knows of requests under which upstreams ended.
+    /// What the sender knows of requests under which upstreams ended.
     pub suspects: SuspectNews,
 }
 
-/// The sum of those that report to an aggregator, for the other aggregators.
+/// The sums of the daemons that report to an aggregator, sent to the other aggregators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupSum {
     /// The aggregator.
     pub source: MessageSource,
-    /// The daemons that it covers, by hash of their names.
+    /// The daemons that the sums cover, by hash of their names.
     pub members: Vec<u32>,
-    /// Age of the oldest part, in milliseconds.
+    /// Age of the oldest included report, in milliseconds.
     pub age_ms: u32,
-    /// What they let through since the aggregator began to count.
+    /// Their token counters since the aggregator began to count.
     pub flows: Vec<FlowRow>,
-    /// Their requests at upstreams; where those are many, some of them, in turn.
+    /// Their requests at upstreams. If there are too many rows for one message, a part of them in
+    /// round-robin order.
     pub work: Vec<WorkRow>,
-    /// True if `work` leaves nothing out.
+    /// True if `work` is complete.
     pub is_whole: bool,
     /// The last reading of the platform's list, as in [`MemberReport::list`].
     pub list: Option<ListStamp>,
@@ -135,50 +136,51 @@
     pub can_read_list: bool,
     /// True if the aggregator will send no more sums.
     pub is_leaving: bool,
-    /// What its sender knows of requests under which upstreams ended.
+    /// What the sender knows of requests under which upstreams ended.
     pub suspects: SuspectNews,
 }
 
-/// The sums of the whole fleet, from an aggregator to the members of its group.
+/// The sums of the whole fleet, sent by an aggregator to the members of its group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetSummary {
     /// The aggregator.
     pub source: MessageSource,
-    /// Daemons that the sums cover.
+    /// Number of daemons that the sums cover.
     pub covers: u32,
-    /// Age of the oldest part, in milliseconds.
+    /// Age of the oldest included report, in milliseconds.
     pub age_ms: u32,
-    /// What the fleet let through since the aggregator began to count.
+    /// The fleet's token counters since the aggregator began to count.
     pub flows: Vec<FlowRow>,
     /// All requests of the group at upstreams.
     pub work: Vec<WorkRow>,
-    /// All requests of the group that wait.
+    /// All waiting requests of the group.
     pub waiting: Vec<WaitingRow>,
-    /// Some of the requests of other groups; the rest comes with the next summaries.
+    /// Some of the requests of other groups at upstreams; the rest follows in the next summaries.
     pub away: Vec<WorkRow>,
-    /// The last report of each member that the sums hold, by hash of its name.
+    /// The sequence number of the last included report of each member, by hash of the member's
+    /// name.
     pub included: Vec<(u32, u64)>,
     /// The last reading of the platform's list, as in [`MemberReport::list`].
     pub list: Option<ListStamp>,
     /// True if the aggregator will send no more summaries.
     pub is_leaving: bool,
-    /// What its sender knows of requests under which upstreams ended.
+    /// What the sender knows of requests under which upstreams ended.
     pub suspects: SuspectNews,
 }
 
 /// Any message between daemons about the fleet's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// A member's own state.
+    /// A daemon's own state.
     Report(MemberReport),
-    /// The sum of a group.
+    /// The sums of a group.
     Sum(GroupSum),
     /// The sums of the fleet.
     Summary(FleetSummary),
 }
 
 impl FleetMessage {
-    /// Who sent it.
+    /// Returns the sender.
     pub fn source(&self) -> &MessageSource {
         match self {
             FleetMessage::Report(report) => &report.source,
@@ -187,7 +189,7 @@
         }
     }
 
-    /// What it says of requests under which upstreams ended.
+    /// Returns what the message says of requests under which upstreams ended.
     pub fn suspects(&self) -> &SuspectNews {
         match self {
             FleetMessage::Report(report) => &report.suspects,
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The reading of the platform's list that it names.
+    /// Returns the reading of the platform's list that the message names.
     pub fn list(&self) -> Option<ListStamp> {
         match self {
             FleetMessage::Report(report) => report.list,
@@ -206,19 +208,20 @@
     }
 }
 
-/// Why a message is passed over.
+/// Why a message is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageRefusal {
-    /// It came twice, or after a later one of the same source, or it is this daemon's own. That is usual.
+    /// The message is a duplicate, arrived after a later one from the same source, or is this
+    /// daemon's own. This is common.
     Overtaken,
-    /// A counter that can only rise has fallen within one start of the source.
+    /// A counter that can only increase has decreased within one process start of the source.
     FallingCounter,
-    /// It says what no daemon can have done, or names no address to answer to.
+    /// The message reports impossible values, or has no address to reply to.
     Implausible,
 }
 
 impl MessageRefusal {
-    /// Its name in logs and metrics.
+    /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             MessageRefusal::Overtaken => "overtaken",
@@ -228,15 +231,18 @@
     }
 }
 
-/// Requests of one daemon or group at one upstream, at most: an upstream works on tens at once.
+/// Maximum number of requests of one daemon or group at one upstream. An upstream works on tens of
+/// requests at once.
 const MOST_REQUESTS: u32 = 1 << 20;
-/// Tokens that a source counts of one organisation, at most: a century at 12 million a second.
+/// Maximum number of tokens that a source counts for one organisation: a century at 12 million per
+/// second.
 const MOST_TOKENS: u64 = 1 << 55;
 
 impl FleetMessage {
-    /// Refuses what no daemon can have done.
+    /// Rejects messages that report impossible values.
     pub fn check(&self) -> Result<(), MessageRefusal> {
-        // Sums hold what is assumed of silent daemons, which nobody asked for.
+        // Sums include estimates for silent daemons, so the tokens admitted may exceed those
+        // requested.
         let (flows, work, is_own) = match self {
             FleetMessage::Report(report) => (&report.flows, &report.work, true),
             FleetMessage::Sum(sum) => (&sum.flows, &sum.work, false),
@@ -257,7 +263,7 @@
     }
 }
 
-/// The hash by which messages name a daemon.
+/// Returns the hash that identifies a daemon in messages.
 pub fn daemon_hash(daemon: &DaemonName) -> u32 {
     xxh3_64(daemon.as_str().as_bytes()) as u32
 }
