--- a/src/fleet_state/state/parts.rs
+++ b/src/fleet_state/state/parts.rs
@@ -1,4 +1,4 @@
-//! What is kept of each daemon that is heard.
+//! State kept for each daemon that sends messages to this one.
 
 use crate::fleet_state::work_tables::TimedRows;
 use crate::fleet_state::{WaitingRow, WorkRow};
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A daemon that reports here.
+/// A daemon that reports to this one.
 #[derive(Clone, Debug)]
 pub struct Reporter {
     pub address: SocketAddr,
-    /// The hash of its name.
+    /// Hash of the daemon's name.
     pub hash: u32,
     pub work: Vec<WorkRow>,
     pub waiting: Vec<WaitingRow>,
@@ -22,24 +22,24 @@
 #[derive(Clone, Debug)]
 pub struct PeerAggregator {
     pub address: SocketAddr,
-    /// Those whom it covers, by hash of their names.
+    /// The daemons that its sums cover, by hash of their names.
     pub members: Vec<u32>,
     pub work: TimedRows,
     pub heard: Moment,
-    /// Age of its oldest part when it was heard.
+    /// Age of the oldest report in its sums when they arrived.
     pub age: Duration,
     pub can_read_list: bool,
 }
 
-/// What the aggregator of this daemon said last.
+/// The last summary from this daemon's aggregator.
 #[derive(Clone, Debug)]
 pub struct SummaryView {
     pub address: SocketAddr,
     pub covers: u32,
-    /// Age of its oldest part when it was heard.
+    /// Age of the oldest report in the summary when it arrived.
     pub age: Duration,
     pub heard: Moment,
-    /// Requests of the whole group, this daemon's among them.
+    /// Requests of the whole group, including those of this daemon.
     pub work: Vec<WorkRow>,
     pub waiting: Vec<WaitingRow>,
 }
