--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -1,4 +1,4 @@
-//! What a daemon takes of the others' messages.
+//! Handling of messages from other daemons.
 
 use super::{FleetState, PeerAggregator, Reporter, SummaryView};
 use crate::fleet_state::messages::daemon_hash;
@@ -9,18 +9,18 @@
 use crate::policy::Moment;
 use std::time::Duration;
 
-/// What a message says of the organisations' buckets, by its sender's estimate.
+/// The bucket estimates that a message carries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BucketEstimates {
-    /// The rows.
+    /// The rows of the message.
     pub rows: Vec<FlowRow>,
-    /// Daemons that send such estimates to this one.
+    /// Number of daemons that send such estimates to this one.
     pub senders: usize,
 }
 
 impl FleetState {
-    /// Takes a message of another daemon. Returns what it says of the organisations' buckets, which are kept level, or why it
-    /// is passed over.
+    /// Applies a message from another daemon. Returns its estimates of the organisations' buckets,
+    /// which this daemon's buckets are moved towards, or the reason why the message is ignored.
     pub fn take(
         &mut self,
         message: FleetMessage,
@@ -35,7 +35,8 @@
             FleetMessage::Report(report) => {
                 let rows = report.flows.clone();
                 self.take_report(report, now)?;
-                // Members of a group are levelled by their aggregator, which hears the other groups too.
+                // Outside a mesh, members take their estimates from the aggregator, which also
+                // hears the other groups.
                 Ok(BucketEstimates::new(rows, self.reporters.len(), self.is_mesh(now)))
             }
             FleetMessage::Sum(sum) => {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Takes a report, which may be this daemon's own.
+    /// Applies a report, which may be this daemon's own.
     pub(super) fn take_report(
         &mut self,
         report: MemberReport,
@@ -114,7 +115,7 @@
         Ok(())
     }
 
-    /// False if it is of another aggregator than this daemon reports to.
+    /// Applies a summary. Returns false if it is not from this daemon's current aggregator.
     fn take_summary(&mut self, summary: FleetSummary, now: Moment) -> Result<bool, MessageRefusal> {
         let address = summary.source.address;
         if summary.is_leaving {
@@ -129,7 +130,7 @@
         let daemon = &summary.source.daemon;
         let rows = (summary.flows.as_slice(), false);
         let deltas = self.upward.take(daemon, stamp(&summary.source), rows, now)?;
-        // What was assumed of the one before ends here.
+        // The estimate for the previous aggregator ends here.
         self.upward.retain(|source, _| source == daemon);
         for delta in deltas {
             self.learn_rates(&delta, now);
