--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -1,4 +1,5 @@
-//! What a daemon sends: reports of itself, the sum of its group, the sums of the fleet.
+//! Composition of outgoing messages: reports of this daemon, sums of its group, and sums of the
+//! fleet.
 
 use super::{FleetState, OutgoingMessage, PEER_LIFE, WORK_LIFE, departure};
 use crate::fleet_state::flow_totals::FlowTotals;
@@ -13,11 +14,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Candidates of a group without a known aggregator that are sent sums: the first, and the one that takes its place.
+/// Number of candidates that sums are sent to in a group without a known aggregator: the first one
+/// and its replacement.
 const TRIED_CANDIDATES: usize = 2;
 
 impl FleetState {
-    /// This daemon's report; `is_whole` where the receiver may know nothing of it.
+    /// Builds this daemon's report. `is_whole` is set if the receiver may have no state of this
+    /// daemon.
     fn report(&mut self, is_whole: bool, departure: Departure) -> MemberReport {
         let flows = match is_whole {
             true => self.own.flows.clone(),
@@ -36,7 +39,7 @@
         }
     }
 
-    /// In a small fleet: to all others.
+    /// In a mesh, sends the report to all other daemons.
     pub(super) fn report_to_all(&mut self, outgoing: &mut Vec<OutgoingMessage>) {
         let own = self.identity.address;
         let others = self.layout.addresses().iter().copied().filter(|address| *address != own);
@@ -47,7 +50,7 @@
         }
     }
 
-    /// To the aggregator of the group, which may be this daemon.
+    /// Sends the report to the aggregator of the group, which may be this daemon.
     pub(super) fn report_upward(&mut self, now: Moment, outgoing: &mut Vec<OutgoingMessage>) {
         let own = self.identity.address;
         let candidates = self.candidates(now);
@@ -71,7 +74,7 @@
         let report = self.report(!self.history.is_included(), departure(&self.own));
         self.history.push(self.sequence, &self.own);
         if aggregator == own {
-            // Its own report is never overtaken.
+            // A daemon's own report is never overtaken.
             let _ = self.take_report(MemberReport { departure: Departure::Stays, ..report }, now);
         } else {
             let message = FleetMessage::Report(report);
@@ -79,8 +82,9 @@
         }
     }
 
-    /// The daemons that may aggregate for this one, in order. A daemon that was just started and knows of nobody reports to
-    /// whoever sends it summaries.
+    /// Returns the daemons that may aggregate for this one, in order of preference. A daemon that
+    /// has just started and knows no others reports to the sender of the summaries that it
+    /// receives.
     fn candidates(&self, now: Moment) -> Vec<SocketAddr> {
         let group = self.layout.group_of(self.identity.address);
         let members = self.layout.members(group.index);
@@ -89,7 +93,8 @@
         heard.map(|summary| summary.address).into_iter().chain(members.iter().copied()).collect()
     }
 
-    /// As aggregator: the group's sum to the other aggregators, the fleet's to the group.
+    /// As an aggregator, sends the group's sums to the other aggregators and the fleet's sums to
+    /// the group.
     pub(super) fn send_sums(&mut self, now: Moment, outgoing: &mut Vec<OutgoingMessage>) {
         let group_work = self.group_work(now);
         let sum = self.group_sum(&group_work, now);
@@ -108,7 +113,8 @@
         sums
     }
 
-    /// What waits at the daemons that report here, this one among them if `with_own`.
+    /// Returns the waiting requests of the daemons that report here, including this one if
+    /// `with_own`.
     pub(super) fn members_waiting(&self, with_own: bool, now: Moment) -> WaitingTable {
         let life = self.work_life();
         let own = &self.identity.daemon;
@@ -169,7 +175,8 @@
         }
     }
 
-    /// The aggregators that are present, and for groups without one those that should be.
+    /// Returns the addresses of all live aggregators, and of the first candidates in groups without
+    /// one.
     fn peer_addresses(&self, now: Moment) -> Vec<SocketAddr> {
         let own = self.layout.group_of(self.identity.address).index;
         let live = self.aggregators.values().filter(|peer| now.since(peer.heard) < PEER_LIFE);
@@ -185,7 +192,7 @@
         addresses
     }
 
-    /// The daemons of the group, and whoever reports here.
+    /// Returns the daemons of the group and all others that report here.
     fn member_addresses(&self) -> Vec<SocketAddr> {
         let own = self.identity.address;
         let is_chosen = self.choice.chosen() == Some(own);
@@ -194,7 +201,8 @@
         self.others_among(group.iter().copied())
     }
 
-    /// The daemons that report here and `addresses`, each once, without this one.
+    /// Returns the daemons that report here and `addresses`, without duplicates and without this
+    /// daemon.
     pub(super) fn others_among(
         &self,
         addresses: impl IntoIterator<Item = SocketAddr>,
@@ -208,7 +216,7 @@
     }
 }
 
-/// Sums as rows, each with this daemon's own estimate of the bucket.
+/// Converts sums to rows, each with this daemon's own estimate of the bucket.
 fn rows(sums: &FlowTotals, own: &[FlowRow]) -> Vec<FlowRow> {
     let refills: BTreeMap<OrganisationHash, u32> =
         own.iter().map(|row| (row.organisation, row.refill_ms)).collect();
