--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of the fleet, as traffic asks for it.
+//! Queries on the fleet's state by the traffic layer.
 
 use super::{FleetState, PEER_LIFE, UNINFORMED_SHARE};
 use crate::fleet_state::OrganisationHash;
@@ -9,28 +9,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Messages that pass until the others know what this daemon does now: its report, its group's sum, their summaries.
+/// Number of hops until the whole fleet knows the present state of this daemon: its report, its
+/// group's sum, and the summaries.
 const STEPS: u32 = 3;
 
-/// The same within a group: its report, and the summary.
+/// Number of hops within a group: the report and the summary.
 const GROUP_STEPS: u32 = 2;
 
-/// Aggregators heard within this time get changes of the list.
+/// Changes of the list are forwarded to aggregators heard within this time.
 const FORWARD_LIFE: Duration = Duration::from_secs(1);
 
-/// What a daemon does for the fleet's state.
+/// The role of a daemon in the exchange of the fleet's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetRole {
-    /// The fleet is small; all report to all.
+    /// The fleet is small; every daemon reports to all others.
     Mesh,
-    /// It reports to the aggregator at this address.
+    /// The daemon reports to the aggregator at this address.
     Member(SocketAddr),
-    /// It aggregates for its group.
+    /// The daemon aggregates for its group.
     Aggregator,
 }
 
 impl FleetState {
-    /// Its role.
+    /// Returns this daemon's role.
     pub fn role(&self, now: Moment) -> FleetRole {
         let own = self.identity.address;
         match self.choice.chosen() {
@@ -40,36 +41,36 @@
         }
     }
 
-    /// The group of this daemon.
+    /// Returns the group of this daemon.
     pub fn group(&self) -> FleetGroup {
         self.layout.group_of(self.identity.address)
     }
 
-    /// All daemons that serve callers, as far as is known, this one among them.
+    /// Returns the addresses of all known daemons that serve callers, including this one.
     pub fn addresses(&self) -> &[SocketAddr] {
         self.layout.addresses()
     }
 
-    /// Time between two messages.
+    /// Returns the interval between two messages.
     pub fn pause(&self) -> Duration {
         self.layout.pause()
     }
 
-    /// The part of the organisations' limits that this daemon may use: the whole, which all daemons charge, once it
-    /// knows of the others. What goes wrong without it: after a restart of the whole fleet there is no leader for a
-    /// second, nobody knows of anybody, and each daemon lets the whole limit through. One would notice by limits
-    /// exceeded in the first seconds.
+    /// Returns the share of the organisations' limits that this daemon may use: the whole limit,
+    /// which all daemons charge, once it knows of the others. After a restart of the whole fleet
+    /// there is no leader for about a second and no daemon knows of any other. If each then
+    /// admitted the whole limit, limits would be exceeded in the first seconds.
     pub fn limit_share(&self) -> f64 {
         let is_informed = self.is_informed() || !self.heard.is_empty();
         if is_informed { 1.0 } else { UNINFORMED_SHARE }
     }
 
-    /// True once the leader has said who serves callers.
+    /// Returns true once the leader has named the daemons that serve callers.
     pub fn is_informed(&self) -> bool {
         self.named.as_ref().is_some_and(|(named, _)| !named.is_empty())
     }
 
-    /// Daemons that the sums cover, this one among them.
+    /// Returns the number of daemons that the sums cover, including this one.
     pub fn coverage(&self, now: Moment) -> usize {
         let life = self.silent_after();
         let is_fresh = |heard: Moment| now.since(heard) < life;
@@ -84,7 +85,7 @@
         1 + members + peers.map(|peer| peer.members.len()).sum::<usize>()
     }
 
-    /// Age of the oldest part of the fleet's sums, silent daemons left out.
+    /// Returns the age of the oldest part of the fleet's sums, excluding silent daemons.
     pub fn sums_age(&self, now: Moment) -> Duration {
         if !self.counts_itself(now) {
             return self.summary.as_ref().map_or(Duration::ZERO, |summary| {
@@ -103,9 +104,10 @@
         ages.filter(|age| *age < life).max().unwrap_or_default()
     }
 
-    /// What is known of the others that share an organisation's limit, for each that is asked for.
+    /// Returns a function that gives the forecast of what the other daemons admit against an
+    /// organisation's limit.
     pub fn forecasts(&self, now: Moment) -> impl Fn(OrganisationHash) -> LimitForecast {
-        // Parts are of any age from nought to that of the oldest.
+        // The ages of the parts range from zero to that of the oldest, so half of it is the mean.
         let age = self.sums_age(now) / 2;
         let counted_until = Moment(now.0.saturating_sub(age.as_micros() as u64));
         let steps = if self.is_mesh(now) { 1 } else { STEPS };
@@ -119,9 +121,10 @@
         }
     }
 
-    /// True if this daemon is the one that reads the platform's list: the aggregator with the lowest address among those that
-    /// are present and can read it, or the daemon with the lowest one in a small fleet. Where parts of the fleet do not
-    /// hear each other, each has one; when the reader falls silent, the next one in order follows.
+    /// Returns true if this daemon is the one that reads the platform's list: the aggregator with
+    /// the lowest address among those that are live and can read it, or in a mesh the daemon with
+    /// the lowest one. Partitions of the fleet that cannot hear each other have one reader each.
+    /// When the reader falls silent, the next one in order takes over.
     pub fn is_reader(&self, now: Moment) -> bool {
         if !self.counts_itself(now) {
             return false;
@@ -137,7 +140,8 @@
         others.map(|(_, can_read, address)| (!can_read, address)).all(|other| own <= other)
     }
 
-    /// Where a change of the list goes: from the reader to the aggregators, and from those to their groups.
+    /// Returns the receivers of a change of the list: the reader sends it to the aggregators, and
+    /// they forward it to their groups.
     pub fn list_receivers(&self, now: Moment) -> Vec<SocketAddr> {
         let is_fresh = |heard: Moment| now.since(heard) < FORWARD_LIFE;
         let reads = self.is_reader(now);
@@ -146,12 +150,13 @@
         self.others_among(group.chain(peers.map(|peer| peer.address)))
     }
 
-    /// True if this daemon passes changes of the list on to its group.
+    /// Returns true if this daemon forwards changes of the list to its group.
     pub fn passes_on(&self, now: Moment) -> bool {
         self.role(now) == FleetRole::Aggregator
     }
 
-    /// Somebody who may know the list: the aggregator, or else the daemon at `draw` (0.0..1.0) of all.
+    /// Returns a daemon that is likely to know the list: the aggregator, or otherwise the one at
+    /// position `draw` (0.0..1.0) among all other daemons.
     pub fn list_source(&self, draw: f64, now: Moment) -> Option<SocketAddr> {
         if let FleetRole::Member(address) = self.role(now) {
             return Some(address);
@@ -162,7 +167,7 @@
         others.get((draw * others.len() as f64) as usize).copied()
     }
 
-    /// What waits at the other daemons of the group.
+    /// Returns the waiting requests of the other daemons of the group.
     pub fn others_waiting(&self, now: Moment) -> WaitingTable {
         if self.counts_itself(now) {
             return self.members_waiting(false, now);
@@ -176,14 +181,15 @@
         table
     }
 
-    /// Time until the others of the group know what this daemon does now.
+    /// Returns the time until the rest of the group knows the present state of this daemon.
     pub fn group_horizon(&self, now: Moment) -> Duration {
         let steps = if self.counts_itself(now) { 1 } else { GROUP_STEPS };
         self.pause() * steps
     }
 
-    /// The requests of all others at each upstream, and its speed as one of them measured it last. Only what those of
-    /// this daemon's group have there is known well enough to take up places.
+    /// Returns the requests of all other daemons at each upstream, and the latest speed that one of
+    /// them measured. Only the requests of this daemon's own group are recent enough to count
+    /// against an upstream's places; those of other groups are hints.
     pub fn others(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
         let mut sums = BTreeMap::new();
         if self.counts_itself(now) {
