--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet's state as one daemon keeps it: its role, what it sends, and what it takes.
+//! The fleet's state as one daemon sees it: its role, the messages that it sends, and those that it
+//! receives.
 
 mod parts;
 mod sending;
@@ -24,84 +25,89 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The part of each limit that a daemon uses that knows of no other one: as in a small fleet.
+/// Share of each limit that a daemon uses while it knows of no other daemon, as in a small fleet.
 const UNINFORMED_SHARE: f64 = 1.0 / 8.0;
-/// A daemon unheard for this long, or for some pauses, is taken to go on as before with the organisations' limits: it may
-/// be cut off and still serve callers.
+/// Silence after which a daemon's usage is estimated from the organisations' limits. It may be cut
+/// off from this daemon and still serve callers.
 const SILENT_AFTER: Duration = Duration::from_millis(600);
-/// Pauses between messages that a silence is longer than.
+/// Minimum of the silence and liveness timeouts, in message intervals.
 const SILENT_PAUSES: u32 = 4;
-/// What a daemon reported of its work counts for this long, or for some pauses: it may have died, and its requests with it.
+/// Time to live of a daemon's reported requests. The daemon may have died, and its requests with
+/// it.
 const WORK_LIFE: Duration = Duration::from_millis(1_000);
-/// An aggregator counts as present for this long after its last message.
+/// An aggregator is considered live for this long after its last message.
 const PEER_LIFE: Duration = Duration::from_millis(500);
-/// A silent daemon is forgotten after this long, though the leader may have done so before: a daemon that is cut off from
-/// the voters goes on serving, and looks the same as a dead one. Above the cuts that are usual.
+/// A silent daemon is removed after this long, even if the leader has removed it earlier: a daemon
+/// that is cut off from the voters continues to serve, and cannot be told from a dead one. The time
+/// exceeds the usual duration of a network partition.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
-/// The leader's list of daemons counts alone for this long; after that, those that are heard count beside it.
+/// Time for which the leader's list of daemons is used alone. After that, daemons that were heard
+/// are added to it.
 const NAMED_LIFE: Duration = Duration::from_secs(5);
 
-/// Who this daemon is.
+/// The identity of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonIdentity {
-    /// Its name.
+    /// The daemon's name.
     pub daemon: DaemonName,
-    /// The number of its start.
+    /// The number of the daemon's process start.
     pub boot: u64,
-    /// Where it hears messages.
+    /// The address at which the daemon receives messages.
     pub address: SocketAddr,
 }
 
-/// What this daemon knows of itself.
+/// The local state of this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OwnReading {
-    /// Tokens by organisation since its start; organisations at nought may be left out.
+    /// Token counters by organisation since the process start; organisations at zero may be left
+    /// out.
     pub flows: Vec<FlowRow>,
-    /// Its requests at upstreams.
+    /// Requests of this daemon at upstreams.
     pub work: Vec<WorkRow>,
-    /// Its requests that wait.
+    /// Requests waiting at this daemon.
     pub waiting: Vec<WaitingRow>,
-    /// The last reading of the platform's list that agrees with its own.
+    /// The last reading of the platform's list that agrees with this daemon's list.
     pub list: Option<ListStamp>,
-    /// False while the platform does not let it read the list.
+    /// False while the platform does not let this daemon read the list.
     pub can_read_list: bool,
-    /// True once it has drained.
+    /// True once the daemon has drained.
     pub has_left: bool,
-    /// What it knows of requests under which upstreams ended.
+    /// What this daemon knows of requests under which upstreams ended.
     pub suspects: SuspectNews,
 }
 
-/// A message and where it goes.
+/// A message and its receivers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// Those who get it.
+    /// Addresses of the receivers.
     pub to: Vec<SocketAddr>,
     /// The message.
     pub message: FleetMessage,
 }
 
-/// The state.
+/// The fleet's state as seen by one daemon.
 #[derive(Clone, Debug)]
 pub struct FleetState {
     identity: DaemonIdentity,
     sequence: u64,
-    /// The leader's list of daemons that serve callers, and when it was given; none before the first.
+    /// The leader's list of daemons that serve callers, and when it was last confirmed; none before
+    /// the first.
     named: Option<(Vec<SocketAddr>, Moment)>,
-    /// Addresses that messages came from.
+    /// When a message was last received from each address.
     heard: BTreeMap<SocketAddr, Moment>,
     layout: FleetLayout,
     choice: AggregatorChoice,
-    /// Daemons that report to this one.
+    /// Token counters of the daemons that report to this one.
     members: FlowLedger,
     reporters: BTreeMap<DaemonName, Reporter>,
-    /// The other aggregators.
+    /// Token counters of the other aggregators.
     peers: FlowLedger,
     aggregators: BTreeMap<DaemonName, PeerAggregator>,
-    /// The aggregator that this daemon reports to, and what it says.
+    /// Token counters of the fleet, as reported by this daemon's aggregator.
     upward: FlowLedger,
     summary: Option<SummaryView>,
     away: WorkTable,
-    /// Where the turns of the group's rows and of the others' stand.
+    /// Round-robin positions in the group's rows and in those of other groups.
     group_turn: RowTurn,
     away_turn: RowTurn,
     history: OwnHistory,
@@ -114,12 +120,12 @@
     report_rows: RowRotation,
     group_rows: RowRotation,
     fleet_rows: RowRotation,
-    /// Tokens of others that have not been charged yet.
+    /// Tokens admitted by other daemons that have not been charged to this daemon's limits yet.
     charges: BTreeMap<OrganisationHash, i64>,
 }
 
 impl FleetState {
-    /// The state of a daemon that knows of no others.
+    /// Creates the state of a daemon that knows of no others.
     pub fn new(identity: DaemonIdentity) -> Self {
         let layout = FleetLayout::new(vec![identity.address]);
         FleetState {
@@ -152,26 +158,26 @@
         }
     }
 
-    /// The number of this daemon's start.
+    /// Returns the number of this daemon's process start.
     pub fn boot(&self) -> u64 {
         self.identity.boot
     }
 
-    /// Takes the leader's list of daemons that serve callers.
+    /// Sets the leader's list of daemons that serve callers.
     pub fn set_named(&mut self, named: Vec<SocketAddr>, now: Moment) {
         self.named = Some((named, now));
         self.refresh_layout(now);
     }
 
-    /// The leader's list is still the same.
+    /// Records that the leader's list is unchanged.
     pub fn confirm_named(&mut self, now: Moment) {
         if let Some((_, at)) = &mut self.named {
             *at = now;
         }
     }
 
-    /// Where time has passed: learns what this daemon did, and gives the messages to send. `limits` are the rates that
-    /// the organisations' limits let through, in tokens a second.
+    /// Advances the state to `now`: records this daemon's own activity and returns the messages to
+    /// send. `limits` are the rates that the organisations' limits allow, in tokens per second.
     pub fn tick(
         &mut self,
         own: OwnReading,
@@ -196,7 +202,8 @@
         outgoing
     }
 
-    /// Tokens that others let through and that have not been charged yet.
+    /// Removes and returns the tokens that other daemons admitted and that have not been charged
+    /// yet.
     pub fn drain_charges(&mut self) -> Vec<(OrganisationHash, i64)> {
         std::mem::take(&mut self.charges).into_iter().filter(|(_, tokens)| *tokens != 0).collect()
     }
@@ -230,30 +237,31 @@
         }
     }
 
-    /// Counts tokens of anybody into the fleet's rates.
+    /// Adds tokens of any daemon to the fleet's rates.
     fn learn_rates(&mut self, delta: &FlowDelta, now: Moment) {
         self.taken_rates.add(delta.organisation, delta.taken, now);
         self.asked_rates.add(delta.organisation, delta.asked as i64, now);
     }
 
-    /// Notes tokens of others that this daemon's limits are to be charged with.
+    /// Queues tokens of other daemons to be charged to this daemon's limits.
     fn charge(&mut self, organisation: OrganisationHash, tokens: i64) {
         *self.charges.entry(organisation).or_default() += tokens;
     }
 
-    /// True if this daemon learns of the fleet from the daemons themselves, not from an aggregator.
+    /// Returns true if this daemon sums the reports of other daemons itself, instead of receiving
+    /// the sums from an aggregator.
     fn counts_itself(&self, now: Moment) -> bool {
         self.is_mesh(now) || self.choice.chosen() == Some(self.identity.address)
     }
 
-    /// True if the fleet needs no aggregators, as far as this daemon knows.
+    /// Returns true if the fleet uses no aggregators, as far as this daemon knows.
     fn is_mesh(&self, now: Moment) -> bool {
         let hears_summaries =
             self.summary.as_ref().is_some_and(|summary| now.since(summary.heard) < WORK_LIFE);
         self.layout.is_mesh() && !hears_summaries
     }
 
-    /// True if this daemon aggregates: for its group, or for whoever reports to it.
+    /// Returns true if this daemon aggregates for its group or for any daemon that reports to it.
     fn acts(&self, now: Moment) -> bool {
         if self.is_mesh(now) {
             return false;
@@ -262,7 +270,8 @@
         self.choice.chosen() == Some(self.identity.address) || self.reporters.values().any(is_fresh)
     }
 
-    /// Counts tokens into the sums. `is_member`: of a daemon that reports here; `is_own`: of this daemon.
+    /// Adds tokens to the sums. `is_member` is set if they come from a daemon that reports here,
+    /// `is_own` if they are this daemon's own.
     fn count(&mut self, deltas: &[FlowDelta], (is_member, is_own): (bool, bool), now: Moment) {
         let counts_itself = self.counts_itself(now);
         for delta in deltas {
@@ -283,7 +292,7 @@
         SILENT_AFTER.max(self.layout.pause() * SILENT_PAUSES)
     }
 
-    /// Accounts for daemons that are silent.
+    /// Adds the estimated usage of silent daemons.
     fn assume_silent(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
         let after = self.silent_after();
         let equal = 1.0 / self.layout.addresses().len().max(1) as f64;
@@ -296,8 +305,9 @@
         self.assume_upward(limits, now);
     }
 
-    /// The same for the aggregator that this daemon reports to, or reported to until it was given up: it speaks for all
-    /// others, until another view of them is there.
+    /// Adds the estimated usage behind a silent aggregator, either the current one or one that was
+    /// given up. It stands for all other daemons until another source of their counters is
+    /// available.
     fn assume_upward(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
         let is_replaced = self.counts_itself(now)
             && self.aggregators.values().any(|peer| now.since(peer.heard) < PEER_LIFE);
@@ -314,7 +324,7 @@
         }
     }
 
-    /// Drops silent sources whose daemons another one covers by now.
+    /// Removes silent sources whose daemons are covered by another source by now.
     fn drop_replaced(&mut self, now: Moment) {
         let is_fresh = |heard: Moment| now.since(heard) < PEER_LIFE;
         let live = self.aggregators.values().filter(|peer| is_fresh(peer.heard));
@@ -362,7 +372,7 @@
     }
 }
 
-/// What a departure says beside [`Departure::Stays`].
+/// Returns the departure to report, unless the daemon moves to another aggregator.
 fn departure(own: &OwnReading) -> Departure {
     if own.has_left { Departure::Left } else { Departure::Stays }
 }
