--- a/src/traffic/fleet_exchange/wire.rs
+++ b/src/traffic/fleet_exchange/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons: what they hold, and the tag that proves the fleet's key.
+//! Encoding of datagrams between daemons, and the tag that authenticates them with the fleet's key.
 
 use crate::fleet_state::{FleetMessage, MessageRefusal};
 use crate::policy::{ListChange, ListPart};
@@ -7,51 +7,54 @@
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 
-/// The version of these messages: a daemon that speaks another one is not understood, and both go on with what they know.
+/// Version of the message format. Messages of other versions are dropped, and both daemons continue
+/// with the state that they have.
 const VERSION: u8 = 6;
-/// Bytes of the tag that proves the fleet's key.
+/// Length of the authentication tag in bytes.
 const TAG_BYTES: usize = 8;
 
-/// What one daemon sends another.
+/// A message from one daemon to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum DaemonMessage {
     /// The fleet's state, or a part of it.
     State(FleetMessage),
     /// What a reading of the platform's list changed.
     ListChanged {
-        /// The daemon that read it, or passes it on.
+        /// The daemon that read the list or forwards the change.
         daemon: DaemonName,
-        /// Where it hears messages.
+        /// The address at which that daemon receives messages.
         address: SocketAddr,
         /// The change.
         change: ListChange,
     },
-    /// It knows no list, or another one than was read, and asks for the whole.
+    /// A request for the full list from a daemon that has no list, or one that differs from the
+    /// last reading.
     ListWanted {
-        /// The daemon that asks.
+        /// The daemon that requests the list.
         daemon: DaemonName,
-        /// Where it hears messages.
+        /// The address at which that daemon receives messages.
         address: SocketAddr,
     },
-    /// A part of the list that was asked for.
+    /// A part of a list that was requested.
     ListPart(ListPart),
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageFault {
-    /// It is shorter than its tag, or was made without the fleet's key, or was damaged on its way.
+    /// The datagram is shorter than its tag, was made without the fleet's key, or was damaged in
+    /// transit.
     BadTag,
-    /// It was made by a daemon that speaks another version.
+    /// The datagram has another version of the message format.
     OtherVersion,
-    /// It was made with the key and cannot be read.
+    /// The tag is valid, but the message cannot be decoded.
     Unreadable,
-    /// It says what cannot be.
+    /// The message was decoded but refused.
     Refused(MessageRefusal),
 }
 
 impl MessageFault {
-    /// Its name in logs and metrics.
+    /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             MessageFault::BadTag => "bad-tag",
@@ -69,7 +72,7 @@
     tag
 }
 
-/// The datagram of a message.
+/// Encodes a message as a datagram.
 pub fn write_message(message: &DaemonMessage, key: &str) -> Vec<u8> {
     let body = postcard::to_extend(message, vec![VERSION]).unwrap_or_default();
     let mut bytes = tag(&body, key).to_vec();
@@ -77,7 +80,7 @@
     bytes
 }
 
-/// The message in a datagram.
+/// Verifies and decodes a datagram.
 pub fn read_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, MessageFault> {
     let (given, body) = bytes.split_at_checked(TAG_BYTES).ok_or(MessageFault::BadTag)?;
     if given != tag(body, key) {
