--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -1,4 +1,5 @@
-//! The platform's list among daemons: one reads it, and sends the others what each reading changed.
+//! Distribution of the platform's list: one daemon reads it and sends the others what each reading
+//! changed.
 
 use super::wire::DaemonMessage;
 use super::{ListStamp, MessageSocket, lock};
@@ -13,30 +14,32 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A change is sent this many times: datagrams are lost, and whoever misses all asks for the whole list.
+/// Number of times that a change is sent, since datagrams are lost. A daemon that misses all of
+/// them requests the full list.
 const CHANGE_SENT: u32 = 2;
-/// Pause between two sendings of one change.
+/// Pause between two transmissions of one change.
 const CHANGE_PAUSE: Duration = Duration::from_millis(120);
-/// Whole lists sent within [`WHOLE_PAUSE`] at most: one of 143 upstreams takes 5 ms of a link of 10 Mbit/s, and after a
-/// restart of all daemons everyone asks at once.
+/// Maximum number of full lists sent within [`WHOLE_PAUSE`]. A list of 143 upstreams occupies a
+/// link of 10 Mbit/s for 5 ms, and after a restart of all daemons each one requests the list at
+/// once.
 const MOST_WHOLE: u32 = 8;
 /// See [`MOST_WHOLE`].
 const WHOLE_PAUSE: Duration = Duration::from_millis(250);
 
-/// The list as this daemon knows it, and what it knows of the others' readings.
+/// This daemon's copy of the list, and what it knows of the readings by other daemons.
 #[derive(Debug, Default)]
 pub struct ListExchange {
     list: Mutex<SharedList>,
     freshness: Mutex<ListFreshness>,
-    /// Changes to be sent.
+    /// Changes waiting to be sent.
     changes: Mutex<Vec<ListChange>>,
     news: Notify,
-    /// Whole lists sent since the time named.
+    /// Start of the current rate-limit window, and the number of full lists requested in it.
     sent: Mutex<(Moment, u32)>,
 }
 
 impl ListExchange {
-    /// Begins to listen; `place` is drawn from 0.0..1.0.
+    /// Initialises the freshness state; `place` is drawn from 0.0..1.0.
     pub fn begin(&self, place: f64) {
         *lock(&self.freshness) = ListFreshness::new(place);
     }
@@ -46,24 +49,24 @@
         lock(&self.freshness).is_overdue(daemons, has_table, now)
     }
 
-    /// The last reading that agrees with this daemon's list.
+    /// Returns the last reading that agrees with this daemon's list.
     pub fn stamp(&self, now: Moment) -> Option<ListStamp> {
         let digest = lock(&self.list).digest()?;
         let age = lock(&self.freshness).age(now)?;
         Some(ListStamp { digest, age_ms: age.as_millis() as u32 })
     }
 
-    /// True unless this daemon failed to read the list lately.
+    /// Returns true unless this daemon failed to read the list recently.
     pub fn can_read(&self, now: Moment) -> bool {
         lock(&self.freshness).can_read(now)
     }
 
-    /// Notes that the list could not be read.
+    /// Records that the list could not be read.
     pub fn note_failure(&self, now: Moment) {
         lock(&self.freshness).fail(now);
     }
 
-    /// Takes the list that this daemon just read, and has what changed sent.
+    /// Stores a list that this daemon has read, and queues the change for sending.
     pub fn take_reading(&self, list: &PlatformList, now: Moment) {
         let change = lock(&self.list).replace(list.vms.iter().map(listed));
         lock(&self.freshness).read(now);
@@ -85,7 +88,7 @@
         lock(&self.freshness).may_ask(now)
     }
 
-    /// True if this daemon may send one more whole list now.
+    /// Returns true if this daemon may send another full list now.
     fn may_send_whole(&self, now: Moment) -> bool {
         let mut sent = lock(&self.sent);
         if now.since(sent.0) >= WHOLE_PAUSE {
@@ -121,7 +124,8 @@
     PlatformList { vms: vms.collect() }
 }
 
-/// Sends each change on: from the reader to the aggregators, and from those to their groups.
+/// Sends queued changes: from the reader to the aggregators, and from the aggregators to their
+/// groups.
 pub async fn send_changes(state: Arc<TrafficState>, socket: MessageSocket) {
     let exchange = &state.fleet.list;
     loop {
@@ -142,7 +146,8 @@
     }
 }
 
-/// Asks another daemon for the list while none is known: a daemon that was just started must not wait for the platform.
+/// Requests the list from another daemon while none is known, so that a daemon that has just
+/// started need not wait for the platform.
 pub fn ask_while_unknown(state: &TrafficState, socket: &MessageSocket) {
     let exchange = &state.fleet.list;
     let now = state.clock.now();
@@ -163,7 +168,7 @@
     socket.send(&DaemonMessage::ListWanted { daemon, address: socket.own }, &[address]);
 }
 
-/// Takes what another daemon says of the last reading that it knows of.
+/// Handles another daemon's statement of the last reading that it knows of.
 pub fn take_stamp(
     state: &TrafficState,
     socket: &MessageSocket,
@@ -181,7 +186,7 @@
     }
 }
 
-/// Takes a change of the list.
+/// Applies a change of the list.
 pub fn take_change(
     state: &TrafficState,
     socket: &MessageSocket,
@@ -212,7 +217,7 @@
     }
 }
 
-/// Answers a daemon that asks for the whole list.
+/// Sends the full list to a daemon that requested it.
 pub fn answer_wanted(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
     let exchange = &state.fleet.list;
     let parts = lock(&exchange.list).parts();
@@ -222,7 +227,7 @@
     parts.into_iter().for_each(|part| socket.send(&DaemonMessage::ListPart(part), &[address]));
 }
 
-/// Takes a part of a list that was asked for.
+/// Stores a part of a list that this daemon requested, and applies the list once it is complete.
 pub fn take_part(state: &TrafficState, part: ListPart) {
     let exchange = &state.fleet.list;
     let whole = {
