--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet's state over UDP: reads what this daemon did, sends and takes messages, and puts what they say in force.
+//! Exchange of the fleet's state over UDP: collects this daemon's own state, sends and receives
+//! messages, and applies what they report to limits and pools.
 
 mod list;
 mod wire;
@@ -27,16 +28,16 @@
 
 /// Pause after a socket error.
 const FAULT_PAUSE: Duration = Duration::from_millis(40);
-/// Largest datagram, in bytes.
+/// Maximum length of a datagram, in bytes.
 const DATAGRAM_LIMIT: usize = 60 << 10;
 
-/// What one daemon knows of the fleet, and reports to it.
+/// This daemon's view of the fleet, and the state of its message exchange.
 #[derive(Debug, Default)]
 pub struct FleetExchange {
-    /// None while this daemon sends nothing.
+    /// None until the exchange is started.
     fleet: OnceLock<Mutex<FleetState>>,
     list: ListExchange,
-    /// Faults of datagrams that were logged: each is logged once and counted always.
+    /// Kinds of datagram faults already logged. Each kind is logged once and always counted.
     faults: Mutex<BTreeSet<MessageFault>>,
     daemons: AtomicUsize,
 }
@@ -50,27 +51,28 @@
         self.fleet.get().map(lock)
     }
 
-    /// Takes the leader's list of daemons that serve callers.
+    /// Sets the leader's list of daemons that serve callers.
     pub fn set_named(&self, named: Vec<SocketAddr>, now: Moment) {
         if let Some(mut fleet) = self.fleet() {
             fleet.set_named(named, now);
         }
     }
 
-    /// The leader's list is still the same.
+    /// Records that the leader's list is unchanged.
     pub fn confirm_named(&self, now: Moment) {
         if let Some(mut fleet) = self.fleet() {
             fleet.confirm_named(now);
         }
     }
 
-    /// Daemons of the fleet as far as is known, this one among them.
+    /// Returns the number of known daemons in the fleet, including this one.
     pub fn daemons(&self) -> usize {
         self.daemons.load(Ordering::Relaxed).max(1)
     }
 
-    /// True if this daemon should read the platform's list itself: it reads for all, or has not known for long that its
-    /// list agrees with a reading. `has_table`: it could serve callers if it had one.
+    /// Returns true if this daemon should read the platform's list itself: it is the reader for the
+    /// fleet, or its list has not been confirmed for too long. `has_table` is true if it could
+    /// serve callers once it has a list.
     pub fn must_read_list(&self, has_table: bool, now: Moment) -> bool {
         let Some(fleet) = self.fleet() else { return true };
         if fleet.is_informed() && fleet.is_reader(now) {
@@ -81,18 +83,19 @@
         self.list.is_overdue(daemons, has_table, now)
     }
 
-    /// Takes the list that this daemon just read, and has what changed sent to the others.
+    /// Stores a list that this daemon has read, and sends the change to the others.
     pub fn take_reading(&self, list: &PlatformList, now: Moment) {
         self.list.take_reading(list, now);
     }
 
-    /// Notes that the platform did not let this daemon read the list: another one should.
+    /// Records that the platform did not let this daemon read the list, so that another daemon
+    /// takes over.
     pub fn note_unread_list(&self, now: Moment) {
         self.list.note_failure(now);
     }
 }
 
-/// The socket over which messages go.
+/// The UDP socket for messages between daemons.
 #[derive(Clone)]
 pub struct MessageSocket {
     socket: Arc<UdpSocket>,
@@ -101,7 +104,7 @@
 }
 
 impl MessageSocket {
-    /// Sends a message. Lost ones are made good by later ones.
+    /// Sends a message. Send errors are ignored, since later messages make up for lost ones.
     fn send(&self, message: &DaemonMessage, addresses: &[SocketAddr]) {
         if addresses.is_empty() {
             return;
@@ -115,7 +118,7 @@
     }
 }
 
-/// Starts to send and to listen on a bound socket.
+/// Starts sending and receiving messages on a bound socket.
 pub fn start_exchange(
     state: Arc<TrafficState>,
     socket: UdpSocket,
@@ -138,7 +141,8 @@
     let mut buffer = vec![0; DATAGRAM_LIMIT];
     loop {
         let Ok((length, from)) = socket.socket.recv_from(&mut buffer).await else {
-            // A peer that does not listen shows up here as a refused connection; there is nothing to do.
+            // The peer of an earlier send may not be listening, which is reported here as a refused
+            // connection. There is nothing to do.
             tokio::time::sleep(FAULT_PAUSE).await;
             continue;
         };
@@ -149,7 +153,7 @@
     }
 }
 
-/// Counts a datagram that was dropped, and logs each cause once.
+/// Counts a dropped datagram, and logs each kind of fault once.
 fn note_fault(state: &TrafficState, fault: MessageFault, from: SocketAddr) {
     metrics::counter!("fleet_messages_dropped", "cause" => fault.name()).increment(1);
     let is_usual = fault == MessageFault::Refused(MessageRefusal::Overtaken);
@@ -172,7 +176,7 @@
             list::answer_wanted(state, socket, address)
         }
         DaemonMessage::ListPart(part) => list::take_part(state, part),
-        // Its own message, come back.
+        // This daemon's own message, received back.
         DaemonMessage::State(_)
         | DaemonMessage::ListChanged { .. }
         | DaemonMessage::ListWanted { .. } => {}
@@ -199,14 +203,15 @@
     state.quarantine.take(state, &daemon, &suspects);
     charge(state, &charges);
     level(state, &estimates);
-    // An aggregator hears many messages in one pause, and looks at them together when it sends its own.
+    // An aggregator receives many messages per interval, and applies them together when it sends
+    // its own.
     if is_summary || is_mesh {
         refresh(state);
     }
     Ok(())
 }
 
-/// Charges what others have let through.
+/// Charges the limits with the tokens that other daemons admitted.
 fn charge(state: &TrafficState, charges: &[(OrganisationHash, i64)]) {
     if charges.is_empty() {
         return;
@@ -221,7 +226,7 @@
     }
 }
 
-/// Moves the buckets towards what another daemon estimates.
+/// Moves the buckets towards the estimates of another daemon.
 fn level(state: &TrafficState, estimates: &BucketEstimates) {
     let snapshot = state.snapshot();
     let now = state.clock.now();
@@ -234,7 +239,7 @@
     }
 }
 
-/// Gives the limits and each pool what is known of the others.
+/// Passes the known state of the other daemons to the limits and to each pool.
 fn refresh(state: &TrafficState) {
     let now = state.clock.now();
     let snapshot = state.snapshot();
@@ -279,7 +284,7 @@
     changed.map(|(name, _, work)| (name.clone(), work)).collect()
 }
 
-/// What was logged last of the fleet's state.
+/// The last logged values of the fleet's state.
 #[derive(Debug, Default, PartialEq)]
 struct LoggedState {
     role: Option<FleetRole>,
@@ -288,7 +293,7 @@
     is_partial: bool,
 }
 
-/// Sends what the others need of this daemon, again and again.
+/// Sends this daemon's messages periodically.
 async fn run(state: Arc<TrafficState>, socket: MessageSocket) {
     let mut logged = LoggedState::default();
     let mut read_at = Moment::default();
@@ -315,7 +320,8 @@
     }
 }
 
-/// One line for each change of what this daemon does for the fleet, and of how much it knows.
+/// Updates the metrics, and logs a line when this daemon's role or the coverage of its sums
+/// changes.
 fn log_changes(state: &TrafficState, fleet: &FleetState, logged: &mut LoggedState, now: Moment) {
     let (covers, daemons) = (fleet.coverage(now), fleet.addresses().len());
     let age = fleet.sums_age(now);
@@ -333,7 +339,7 @@
     }
 }
 
-/// What this daemon did; speeds are those learned since `since`.
+/// Collects this daemon's local state; speeds are those learned since `since`.
 fn own_reading(state: &TrafficState, since: Moment) -> OwnReading {
     let now = state.clock.now();
     OwnReading {
@@ -367,7 +373,7 @@
     limited.filter_map(|(hash, index)| Some((hash, limits.rate(index)?))).collect()
 }
 
-/// What waits here.
+/// Collects the requests waiting at this daemon.
 fn own_waiting(state: &TrafficState) -> Vec<WaitingRow> {
     let pools = state.pools();
     let rows = pools.iter().flat_map(|(service, pool)| {
@@ -379,7 +385,7 @@
     rows.collect()
 }
 
-/// What this daemon has at each upstream, and the speeds that it learned since `since`.
+/// Collects this daemon's requests at each upstream, and the speeds learned since `since`.
 fn own_work(state: &TrafficState, since: Moment) -> Vec<WorkRow> {
     let mut rows = Vec::new();
     for pool in state.pools().values() {
