--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -16,7 +16,6 @@
 /// Tokens that a source admitted and that were requested of it since its previous message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowDelta {
-    /// The organisation.
     pub organisation: OrganisationHash,
     /// Tokens admitted; negative if tokens were refunded.
     pub taken: i64,
@@ -137,7 +136,6 @@
         deltas
     }
 
-    /// Removes a source.
     pub fn remove(&mut self, daemon: &DaemonName) {
         self.sources.remove(daemon);
     }
--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -45,7 +45,6 @@
         &self.addresses
     }
 
-    /// Returns the number of groups.
     pub fn groups(&self) -> usize {
         self.groups.max(1)
     }
--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -13,7 +13,6 @@
 pub struct OrganisationHash(u32);
 
 impl OrganisationHash {
-    /// Hashes an organisation's name.
     pub fn of(organisation: &OrganisationName) -> Self {
         OrganisationHash(xxh3_64(organisation.as_str().as_bytes()) as u32)
     }
@@ -22,7 +21,6 @@
 /// Token counters of one organisation, cumulative since the source of the row began to count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowRow {
-    /// The organisation.
     pub organisation: OrganisationHash,
     /// Tokens admitted, less those refunded.
     pub taken: i64,
@@ -37,7 +35,6 @@
 pub struct ServiceHash(u32);
 
 impl ServiceHash {
-    /// Hashes a service's name.
     pub fn of(service: &ServiceName) -> Self {
         ServiceHash(xxh3_64(service.as_str().as_bytes()) as u32)
     }
@@ -46,11 +43,9 @@
 /// A number of waiting requests of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRow {
-    /// The service.
     pub service: ServiceHash,
     /// Their worth per unit of cost.
     pub level: WorthLevel,
-    /// The number of requests.
     pub count: u32,
 }
 
@@ -60,7 +55,6 @@
 /// The sender of a message, and the position of the message among those of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageSource {
-    /// The name of the daemon.
     pub daemon: DaemonName,
     /// The number of the daemon's process start. Its counters begin at zero with each start.
     pub boot: u64,
@@ -73,7 +67,6 @@
 /// A reading of the platform's list, as known to a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStamp {
-    /// Digest of the list that was read.
     pub digest: u64,
     /// Milliseconds since the list was read.
     pub age_ms: u32,
@@ -94,7 +87,6 @@
 /// The report of one daemon to its aggregator, or to all other daemons in a mesh.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The reporting daemon.
     pub source: MessageSource,
     /// Its token counters; rows that have not changed recently may be left out.
     pub flows: Vec<FlowRow>,
@@ -171,16 +163,12 @@
 /// Any message between daemons about the fleet's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// A daemon's own state.
     Report(MemberReport),
-    /// The sums of a group.
     Sum(GroupSum),
-    /// The sums of the fleet.
     Summary(FleetSummary),
 }
 
 impl FleetMessage {
-    /// Returns the sender.
     pub fn source(&self) -> &MessageSource {
         match self {
             FleetMessage::Report(report) => &report.source,
--- a/src/fleet_state/own_history.rs
+++ b/src/fleet_state/own_history.rs
@@ -8,7 +8,6 @@
 /// Number of reports kept: 4 s at 15 reports per second, far longer than the age of any sum.
 const REMEMBERED: usize = 64;
 
-/// A report that was sent.
 #[derive(Clone, Debug)]
 struct PastReport {
     sequence: u64,
@@ -26,7 +25,6 @@
 }
 
 impl OwnHistory {
-    /// Records a sent report.
     pub fn push(&mut self, sequence: u64, own: &OwnReading) {
         let report = PastReport {
             sequence,
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -45,10 +45,8 @@
 /// are added to it.
 const NAMED_LIFE: Duration = Duration::from_secs(5);
 
-/// The identity of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonIdentity {
-    /// The daemon's name.
     pub daemon: DaemonName,
     /// The number of the daemon's process start.
     pub boot: u64,
@@ -81,7 +79,6 @@
 pub struct OutgoingMessage {
     /// Addresses of the receivers.
     pub to: Vec<SocketAddr>,
-    /// The message.
     pub message: FleetMessage,
 }
 
--- a/src/fleet_state/state/parts.rs
+++ b/src/fleet_state/state/parts.rs
@@ -10,7 +10,6 @@
 #[derive(Clone, Debug)]
 pub struct Reporter {
     pub address: SocketAddr,
-    /// Hash of the daemon's name.
     pub hash: u32,
     pub work: Vec<WorkRow>,
     pub waiting: Vec<WaitingRow>,
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -12,7 +12,6 @@
 /// The bucket estimates that a message carries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BucketEstimates {
-    /// The rows of the message.
     pub rows: Vec<FlowRow>,
     /// Number of daemons that send such estimates to this one.
     pub senders: usize,
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -31,7 +31,6 @@
 }
 
 impl FleetState {
-    /// Returns this daemon's role.
     pub fn role(&self, now: Moment) -> FleetRole {
         let own = self.identity.address;
         match self.choice.chosen() {
@@ -41,7 +40,6 @@
         }
     }
 
-    /// Returns the group of this daemon.
     pub fn group(&self) -> FleetGroup {
         self.layout.group_of(self.identity.address)
     }
--- a/src/fleet_state/waiting_table.rs
+++ b/src/fleet_state/waiting_table.rs
@@ -7,14 +7,12 @@
 /// Numbers of waiting requests, by service and by worth per unit of cost.
 pub type WaitingTable = BTreeMap<ServiceHash, WaitingLevels>;
 
-/// Adds the counts of `rows` to `table`.
 pub fn add_waiting(table: &mut WaitingTable, rows: &[WaitingRow]) {
     for row in rows {
         table.entry(row.service).or_default().add(row.level, row.count);
     }
 }
 
-/// Subtracts the counts of `rows` from `table`.
 pub fn subtract_waiting(table: &mut WaitingTable, rows: &[WaitingRow]) {
     for row in rows {
         table.entry(row.service).or_default().subtract(row.level, row.count);
--- a/src/fleet_state/work_tables.rs
+++ b/src/fleet_state/work_tables.rs
@@ -15,7 +15,6 @@
 /// Maximum number of rows of other groups in one message, about 500 bytes.
 const AWAY_ROWS: usize = 40;
 
-/// Adds rows to sums by upstream.
 pub fn add_work(
     sums: &mut BTreeMap<UpstreamHash, OthersWork>,
     rows: impl IntoIterator<Item = WorkRow>,
@@ -29,7 +28,6 @@
     }
 }
 
-/// Subtracts rows from sums by upstream.
 pub fn subtract_work(sums: &mut BTreeMap<UpstreamHash, OthersWork>, rows: &[WorkRow]) {
     for (upstream, work) in rows {
         let Some(sum) = sums.get_mut(upstream) else { continue };
--- a/src/traffic/fleet_exchange/wire.rs
+++ b/src/traffic/fleet_exchange/wire.rs
@@ -24,7 +24,6 @@
         daemon: DaemonName,
         /// The address at which that daemon receives messages.
         address: SocketAddr,
-        /// The change.
         change: ListChange,
     },
     /// A request for the full list from a daemon that has no list, or one that differs from the
