--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetLayout {
     addresses: Vec<SocketAddr>,
-    groups: usize,
+    group_count: usize,
 }
 
 impl FleetLayout {
@@ -33,11 +33,11 @@
     pub fn new(mut addresses: Vec<SocketAddr>) -> Self {
         addresses.sort_unstable();
         addresses.dedup();
-        let groups = match addresses.len() {
+        let group_count = match addresses.len() {
             0..=MESH_SIZE => 1,
             total => (total as f64).sqrt().round() as usize,
         };
-        FleetLayout { addresses, groups }
+        FleetLayout { addresses, group_count }
     }
 
     /// Returns all addresses in ascending order.
@@ -45,26 +45,26 @@
         &self.addresses
     }
 
-    pub fn groups(&self) -> usize {
-        self.groups.max(1)
+    pub fn group_count(&self) -> usize {
+        self.group_count.max(1)
     }
 
     /// Returns true if the fleet uses no aggregators.
     pub fn is_mesh(&self) -> bool {
-        self.groups() == 1
+        self.group_count() == 1
     }
 
     /// Returns the group of the daemon at `address`.
     pub fn group_of(&self, address: SocketAddr) -> FleetGroup {
         let position = self.addresses.binary_search(&address).unwrap_or(0);
-        let index = FleetGroup::of(position, self.addresses.len(), self.groups());
-        FleetGroup { index, count: self.groups() }
+        let index = FleetGroup::of(position, self.addresses.len(), self.group_count());
+        FleetGroup { index, count: self.group_count() }
     }
 
     /// Returns the daemons of a group in ascending order of address.
     pub fn members(&self, group: usize) -> &[SocketAddr] {
         let total = self.addresses.len();
-        let start = |group: usize| (group * total).div_ceil(self.groups()).min(total);
+        let start = |group: usize| (group * total).div_ceil(self.group_count()).min(total);
         let range: Range<usize> = start(group)..start(group + 1);
         &self.addresses[range]
     }
@@ -76,7 +76,7 @@
             let others = total.saturating_sub(1) as f64;
             return Duration::from_secs_f64(others / MESH_SENDS_A_SECOND).max(LEAST_MESH_PAUSE);
         }
-        let sends = (total.div_ceil(self.groups()) + self.groups()) as f64;
+        let sends = (total.div_ceil(self.group_count()) + self.group_count()) as f64;
         Duration::from_secs_f64(sends / AGGREGATOR_SENDS_A_SECOND).max(LEAST_GROUP_PAUSE)
     }
 }
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -296,7 +296,7 @@
         let members = self.members.assume_silent(limits, &self.taken_rates, (equal, after), now);
         self.count(&members, (true, false), now);
         self.drop_replaced(now);
-        let group = 1.0 / self.layout.groups() as f64;
+        let group = 1.0 / self.layout.group_count() as f64;
         let peers = self.peers.assume_silent(limits, &self.taken_rates, (group, after), now);
         self.count(&peers, (false, false), now);
         self.assume_upward(limits, now);
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -183,7 +183,7 @@
         let mut addresses: Vec<SocketAddr> = live.map(|peer| peer.address).collect();
         let known: Vec<usize> =
             addresses.iter().map(|address| self.layout.group_of(*address).index).collect();
-        let unknown = (0..self.layout.groups()).filter(|group| *group != own);
+        let unknown = (0..self.layout.group_count()).filter(|group| *group != own);
         for group in unknown.filter(|group| !known.contains(group)) {
             let members = self.layout.members(group);
             addresses.extend(members.iter().take(TRIED_CANDIDATES));
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -28,7 +28,7 @@
     let layout = FleetLayout::new((0..count).rev().map(address).collect());
     let members: Vec<_> = (0..groups).map(|group| layout.members(group).to_vec()).collect();
 
-    assert_eq!(layout.groups(), groups);
+    assert_eq!(layout.group_count(), groups);
     assert_eq!(members.concat(), layout.addresses());
     assert!(members.iter().all(|members| (1..=largest).contains(&members.len())));
     let at = |group: usize| members[group].iter().map(|at| layout.group_of(*at).index);
