--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns the interval between two messages from one daemon to another.
-    pub fn pause(&self) -> Duration {
+    pub fn send_interval(&self) -> Duration {
         let total = self.addresses.len();
         if self.is_mesh() {
             let others = total.saturating_sub(1) as f64;
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -286,7 +286,7 @@
     }
 
     fn silent_after(&self) -> Duration {
-        SILENT_AFTER.max(self.layout.pause() * SILENT_PAUSES)
+        SILENT_AFTER.max(self.layout.send_interval() * SILENT_PAUSES)
     }
 
     /// Adds the estimated usage of silent daemons.
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -55,7 +55,7 @@
         let own = self.identity.address;
         let candidates = self.candidates(now);
         let before = self.choice.chosen();
-        let aggregator = self.choice.choose(&candidates, own, self.layout.pause(), now);
+        let aggregator = self.choice.choose(&candidates, own, self.layout.send_interval(), now);
         if before != Some(aggregator) {
             self.history.start_over();
             let left = before.filter(|before| *before != own);
@@ -126,7 +126,7 @@
     }
 
     pub(super) fn work_life(&self) -> Duration {
-        WORK_LIFE.max(self.layout.pause() * super::SILENT_PAUSES)
+        WORK_LIFE.max(self.layout.send_interval() * super::SILENT_PAUSES)
     }
 
     fn group_sum(&mut self, work: &BTreeMap<UpstreamHash, OthersWork>, now: Moment) -> GroupSum {
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -50,8 +50,8 @@
     }
 
     /// Returns the interval between two messages.
-    pub fn pause(&self) -> Duration {
-        self.layout.pause()
+    pub fn send_interval(&self) -> Duration {
+        self.layout.send_interval()
     }
 
     /// Returns the share of the organisations' limits that this daemon may use: the whole limit,
@@ -109,7 +109,7 @@
         let age = self.sums_age(now) / 2;
         let counted_until = Moment(now.0.saturating_sub(age.as_micros() as u64));
         let steps = if self.is_mesh(now) { 1 } else { STEPS };
-        let horizon = self.pause() * steps;
+        let horizon = self.send_interval() * steps;
         move |organisation| {
             let taken = self.taken_rates.rate(organisation, now);
             let own = self.own_rates.rate(organisation, now);
@@ -128,7 +128,7 @@
             return false;
         }
         let own = (!self.own.can_read_list, self.identity.address);
-        let life = PEER_LIFE.max(self.layout.pause() * super::SILENT_PAUSES);
+        let life = PEER_LIFE.max(self.layout.send_interval() * super::SILENT_PAUSES);
         let is_fresh = |heard: Moment| now.since(heard) < life;
         let members = self.reporters.values().filter(|_| self.is_mesh(now));
         let members = members.map(|member| (member.heard, member.can_read_list, member.address));
@@ -182,7 +182,7 @@
     /// Returns the time until the rest of the group knows the present state of this daemon.
     pub fn group_horizon(&self, now: Moment) -> Duration {
         let steps = if self.counts_itself(now) { 1 } else { GROUP_STEPS };
-        self.pause() * steps
+        self.send_interval() * steps
     }
 
     /// Returns the requests of all other daemons at each upstream, and the latest speed that one of
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -306,7 +306,7 @@
             let outgoing = fleet.tick(reading, &rates, now);
             state.fleet.daemons.store(fleet.addresses().len(), Ordering::Relaxed);
             log_changes(&state, &fleet, &mut logged, now);
-            (outgoing, fleet.drain_charges(), fleet.pause())
+            (outgoing, fleet.drain_charges(), fleet.send_interval())
         }) else {
             return;
         };
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -233,7 +233,7 @@
         let reading = daemon.reading(now);
         let outgoing = daemon.fleet.tick(reading, &[(hot(), rate)], now);
         daemon.settle(now);
-        let pause = daemon.fleet.pause();
+        let pause = daemon.fleet.send_interval();
         let mut deliveries = Vec::new();
         for out in outgoing {
             let bytes = postcard::to_stdvec(&out.message).expect("written").len() as u64;
