--- a/src/fleet_state/aggregator_choice.rs
+++ b/src/fleet_state/aggregator_choice.rs
@@ -25,7 +25,7 @@
 pub struct AggregatorChoice {
     chosen: Option<SocketAddr>,
     /// When the current aggregator was selected or last heard.
-    heard: Moment,
+    last_heard: Moment,
     given_up: BTreeMap<SocketAddr, Moment>,
     /// Aggregators that failed since one was last heard.
     in_row: u32,
@@ -42,7 +42,7 @@
     ) -> SocketAddr {
         self.given_up.retain(|_, until| *until > now);
         let patience = if self.in_row == 0 { GIVEN_UP_AFTER } else { NEXT_GIVEN_UP_AFTER };
-        let is_silent = now.since(self.heard) >= patience.max(pause * GIVEN_UP_PAUSES);
+        let is_silent = now.since(self.last_heard) >= patience.max(pause * GIVEN_UP_PAUSES);
         if let Some(chosen) = self.chosen.filter(|chosen| *chosen != own && is_silent) {
             self.give_up(chosen, now);
         }
@@ -50,7 +50,7 @@
         let choice = candidates.iter().find(is_sound).copied().unwrap_or(own);
         if self.chosen != Some(choice) {
             self.chosen = Some(choice);
-            self.heard = now;
+            self.last_heard = now;
         }
         choice
     }
@@ -61,10 +61,10 @@
     }
 
     /// Records a summary from an aggregator.
-    pub fn hear(&mut self, from: SocketAddr, now: Moment) {
+    pub fn record_summary(&mut self, from: SocketAddr, now: Moment) {
         self.given_up.remove(&from);
         if self.chosen == Some(from) {
-            self.heard = now;
+            self.last_heard = now;
             self.in_row = 0;
         }
     }
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -121,7 +121,7 @@
             self.choice.give_up(address, now);
             return Ok(false);
         }
-        self.choice.hear(address, now);
+        self.choice.record_summary(address, now);
         let is_first = self.choice.chosen().is_none();
         if !is_first && self.choice.chosen() != Some(address) {
             return Ok(false);
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -166,7 +166,7 @@
     let patient = choice.choose(&candidates, address(2), pause, at(1_300));
     let second = choice.choose(&candidates, address(2), pause, at(1_450));
     let third = choice.choose(&candidates, address(2), pause, at(1_750));
-    choice.hear(address(0), at(1_800));
+    choice.record_summary(address(0), at(1_800));
     let back = choice.choose(&candidates, address(2), pause, at(1_810));
 
     assert_eq!((first, patient, second), (address(0), address(0), address(1)));
