--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -75,7 +75,7 @@
 impl FlowLedger {
     /// Applies a message and returns the increases, unless the message was overtaken or a counter
     /// has fallen. Rows left out have not changed, or are zero if `is_whole`.
-    pub fn take(
+    pub fn apply(
         &mut self,
         daemon: &DaemonName,
         stamp: SourceStamp,
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -73,7 +73,7 @@
             return Ok(());
         }
         let rows = (flows.as_slice(), is_whole);
-        let deltas = self.members.take(daemon, stamp(&source), rows, now)?;
+        let deltas = self.members.apply(daemon, stamp(&source), rows, now)?;
         let is_own = *daemon == self.identity.daemon;
         self.count(&deltas, (true, is_own), now);
         if departure != Departure::Stays {
@@ -91,7 +91,7 @@
     fn take_sum(&mut self, sum: GroupSum, now: Moment) -> Result<(), MessageRefusal> {
         let MessageSource { daemon, address, .. } = &sum.source;
         let rows = (sum.flows.as_slice(), false);
-        let deltas = self.peers.take(daemon, stamp(&sum.source), rows, now)?;
+        let deltas = self.peers.apply(daemon, stamp(&sum.source), rows, now)?;
         self.count(&deltas, (false, false), now);
         if sum.is_leaving {
             self.remove_peer(daemon);
@@ -128,7 +128,7 @@
         }
         let daemon = &summary.source.daemon;
         let rows = (summary.flows.as_slice(), false);
-        let deltas = self.upward.take(daemon, stamp(&summary.source), rows, now)?;
+        let deltas = self.upward.apply(daemon, stamp(&summary.source), rows, now)?;
         // The estimate for the previous aggregator ends here.
         self.upward.retain(|source, _| source == daemon);
         for delta in deltas {
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -58,7 +58,7 @@
         let mut take = |at: usize| {
             let rows = [row(totals[at])];
             let now = Moment::from_millis(at as u64 * 50);
-            let deltas = ledger.take(&daemon, stamp(1, at as u64 + 1), (&rows, true), now);
+            let deltas = ledger.apply(&daemon, stamp(1, at as u64 + 1), (&rows, true), now);
             sum += deltas.into_iter().flatten().map(|delta| delta.taken).sum::<i64>();
         };
         take(0);
@@ -75,10 +75,10 @@
     let daemon = DaemonName::from("entry-1");
     let mut ledger = FlowLedger::default();
     let now = Moment::from_millis(1_000);
-    ledger.take(&daemon, stamp(1, 9), (&[row(50_000)], true), now).expect("the first message");
+    ledger.apply(&daemon, stamp(1, 9), (&[row(50_000)], true), now).expect("the first message");
 
-    let restarted = ledger.take(&daemon, stamp(2, 1), (&[row(700)], true), now);
-    let late = ledger.take(&daemon, stamp(2, 1), (&[row(700)], true), now);
+    let restarted = ledger.apply(&daemon, stamp(2, 1), (&[row(700)], true), now);
+    let late = ledger.apply(&daemon, stamp(2, 1), (&[row(700)], true), now);
 
     assert_eq!(restarted.map(|deltas| deltas[0].taken), Ok(700));
     assert_eq!(late, Err(MessageRefusal::Overtaken));
@@ -92,9 +92,9 @@
     let daemon = DaemonName::from("entry-1");
     let mut ledger = FlowLedger::default();
     let now = Moment::from_millis(1_000);
-    let first = ledger.take(&daemon, stamp(1, 8), (&[], false), now);
-    let second = ledger.take(&daemon, stamp(1, 9), (&[row(900_000)], false), now);
-    let third = ledger.take(&daemon, stamp(1, 10), (&[row(900_500)], false), now);
+    let first = ledger.apply(&daemon, stamp(1, 8), (&[], false), now);
+    let second = ledger.apply(&daemon, stamp(1, 9), (&[row(900_000)], false), now);
+    let third = ledger.apply(&daemon, stamp(1, 10), (&[row(900_500)], false), now);
 
     assert_eq!((first, second), (Ok(vec![]), Ok(vec![])));
     assert_eq!(third.map(|deltas| deltas[0].taken), Ok(500));
@@ -113,7 +113,7 @@
     for sequence in 1..=40 {
         now = Moment::from_millis(sequence * 50);
         let rows = [row(sequence as i64 * 1_000)];
-        ledger.take(&daemon, stamp(1, sequence), (&rows, true), now).expect("a new message");
+        ledger.apply(&daemon, stamp(1, sequence), (&rows, true), now).expect("a new message");
         rates.add(hot(), 2_000, now);
     }
     let after = Duration::from_millis(600);
@@ -122,7 +122,7 @@
     let heard_soon = ledger.assume_silent(&limits, &rates, (0.1, after), soon);
     rates.add(hot(), 200_000, later);
     let assumed = ledger.assume_silent(&limits, &rates, (0.1, after), later);
-    let back = ledger.take(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
+    let back = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
 
     assert_eq!(heard_soon, []);
     assert!(assumed[0].taken > 0, "{assumed:?}");
