--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -118,7 +118,7 @@
     /// so that partitions of a fleet still keep to the limit between them. `fleet` holds the rates
     /// of the whole fleet; a source without a known rate has the share `equal`. A source counts as
     /// silent once it has not been heard for the duration `after`.
-    pub fn assume_silent(
+    pub fn estimate_silent(
         &mut self,
         limits: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -194,7 +194,7 @@
         if self.acts(now) {
             self.send_sums(now, &mut outgoing);
         }
-        self.assume_silent(limits, now);
+        self.estimate_silent(limits, now);
         self.forget(now);
         outgoing
     }
@@ -290,14 +290,14 @@
     }
 
     /// Adds the estimated usage of silent daemons.
-    fn assume_silent(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
+    fn estimate_silent(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
         let after = self.silent_after();
         let equal = 1.0 / self.layout.addresses().len().max(1) as f64;
-        let members = self.members.assume_silent(limits, &self.taken_rates, (equal, after), now);
+        let members = self.members.estimate_silent(limits, &self.taken_rates, (equal, after), now);
         self.count(&members, (true, false), now);
         self.drop_replaced(now);
         let group = 1.0 / self.layout.group_count() as f64;
-        let peers = self.peers.assume_silent(limits, &self.taken_rates, (group, after), now);
+        let peers = self.peers.estimate_silent(limits, &self.taken_rates, (group, after), now);
         self.count(&peers, (false, false), now);
         self.assume_upward(limits, now);
     }
@@ -315,7 +315,7 @@
         let is_given_up = address.is_some() && self.choice.chosen() != address;
         let after = if is_given_up { Duration::ZERO } else { self.silent_after() };
         let rest = 1.0 - 1.0 / self.layout.addresses().len().max(1) as f64;
-        let deltas = self.upward.assume_silent(limits, &self.taken_rates, (rest, after), now);
+        let deltas = self.upward.estimate_silent(limits, &self.taken_rates, (rest, after), now);
         for delta in deltas {
             self.charge(delta.organisation, delta.taken);
         }
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -119,9 +119,9 @@
     let after = Duration::from_millis(600);
     let soon = now + Duration::from_millis(500);
     let later = now + Duration::from_secs(5);
-    let heard_soon = ledger.assume_silent(&limits, &rates, (0.1, after), soon);
+    let heard_soon = ledger.estimate_silent(&limits, &rates, (0.1, after), soon);
     rates.add(hot(), 200_000, later);
-    let assumed = ledger.assume_silent(&limits, &rates, (0.1, after), later);
+    let assumed = ledger.estimate_silent(&limits, &rates, (0.1, after), later);
     let back = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
 
     assert_eq!(heard_soon, []);
