--- a/src/fleet_state/row_rotation.rs
+++ b/src/fleet_state/row_rotation.rs
@@ -30,7 +30,7 @@
 
 impl RowRotation {
     /// Updates the counters to `current` and returns the rows to send now.
-    pub fn choose(&mut self, current: impl IntoIterator<Item = FlowRow>) -> Vec<FlowRow> {
+    pub fn select_rows(&mut self, current: impl IntoIterator<Item = FlowRow>) -> Vec<FlowRow> {
         self.round += 1;
         for row in current {
             let round = self.round;
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -24,7 +24,7 @@
     fn report(&mut self, is_whole: bool, departure: Departure) -> MemberReport {
         let flows = match is_whole {
             true => self.own.flows.clone(),
-            false => self.report_rows.choose(self.own.flows.iter().copied()),
+            false => self.report_rows.select_rows(self.own.flows.iter().copied()),
         };
         MemberReport {
             source: self.source(),
@@ -136,7 +136,7 @@
             source: self.source(),
             members: self.reporters.values().map(|reporter| reporter.hash).collect(),
             age_ms: self.members_age(now).as_millis() as u32,
-            flows: self.group_rows.choose(flows),
+            flows: self.group_rows.select_rows(flows),
             is_whole: chosen.len() == work.len(),
             work: chosen,
             list: self.own.list,
@@ -165,7 +165,7 @@
             covers: self.coverage(now) as u32,
             age_ms: self.sums_age(now).as_millis() as u32,
             included: included.collect(),
-            flows: self.fleet_rows.choose(flows),
+            flows: self.fleet_rows.select_rows(flows),
             work: work_rows(work),
             waiting: waiting_rows(&self.members_waiting(true, now)),
             away: self.away_turn.next_rows(&away),
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -146,9 +146,9 @@
     let mut rotation = RowRotation::default();
     let mut seen = BTreeSet::new();
     for _ in 0..60 {
-        seen.extend(rotation.choose(rows(None, 1)).iter().map(|row| row.organisation));
+        seen.extend(rotation.select_rows(rows(None, 1)).iter().map(|row| row.organisation));
     }
-    let sends: Vec<Vec<FlowRow>> = (0..6).map(|_| rotation.choose(rows(Some(7), 2))).collect();
+    let sends: Vec<Vec<FlowRow>> = (0..6).map(|_| rotation.select_rows(rows(Some(7), 2))).collect();
 
     assert_eq!(seen.len(), 300);
     let has = |rows: &[FlowRow]| rows.iter().any(|row| row.organisation == hash(7));
