--- a/src/fleet_state/list_freshness.rs
+++ b/src/fleet_state/list_freshness.rs
@@ -79,13 +79,13 @@
     }
 
     /// Records that this daemon has read the list.
-    pub fn read(&mut self, now: Moment) {
+    pub fn record_read(&mut self, now: Moment) {
         self.confirm(now);
         self.failed = None;
     }
 
     /// Records that this daemon failed to read the list.
-    pub fn fail(&mut self, now: Moment) {
+    pub fn record_failure(&mut self, now: Moment) {
         self.failed = Some(now);
     }
 
@@ -98,7 +98,7 @@
     /// Records that a reading at `read_at` gave a different list. Returns true if the full list
     /// should be requested now: the reading is newer than this daemon's list, and the change has
     /// not arrived in time.
-    pub fn hear_of_another(&mut self, read_at: Moment, now: Moment) -> bool {
+    pub fn record_mismatch(&mut self, read_at: Moment, now: Moment) -> bool {
         if self.confirmed.is_some_and(|at| at >= read_at) {
             return false;
         }
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -63,13 +63,13 @@
 
     /// Records that the list could not be read.
     pub fn note_failure(&self, now: Moment) {
-        lock(&self.freshness).fail(now);
+        lock(&self.freshness).record_failure(now);
     }
 
     /// Stores a list that this daemon has read, and queues the change for sending.
     pub fn take_reading(&self, list: &PlatformList, now: Moment) {
         let change = lock(&self.list).replace(list.vms.iter().map(listed));
-        lock(&self.freshness).read(now);
+        lock(&self.freshness).record_read(now);
         if change.base != change.digest {
             self.pass_on(change);
         }
@@ -181,7 +181,7 @@
     if lock(&exchange.list).digest() == Some(stamp.digest) {
         return exchange.confirm(read_at);
     }
-    if lock(&exchange.freshness).hear_of_another(read_at, now) {
+    if lock(&exchange.freshness).record_mismatch(read_at, now) {
         ask(state, socket, from);
     }
 }
--- a/tests/test_list_freshness.rs
+++ b/tests/test_list_freshness.rs
@@ -53,10 +53,10 @@
 fn another_list_is_asked_for_only_if_it_is_newer_and_does_not_come_by_itself() {
     let mut freshness = ListFreshness::new(0.5);
     freshness.confirm(at(0));
-    let older = freshness.hear_of_another(at(0), at(300));
-    let at_once = freshness.hear_of_another(at(400), at(420));
-    let later = freshness.hear_of_another(at(400), at(700));
-    let again = freshness.hear_of_another(at(400), at(750));
+    let older = freshness.record_mismatch(at(0), at(300));
+    let at_once = freshness.record_mismatch(at(400), at(420));
+    let later = freshness.record_mismatch(at(400), at(700));
+    let again = freshness.record_mismatch(at(400), at(750));
 
     assert_eq!((older, at_once, later, again), (false, false, true, false));
 }
@@ -64,11 +64,11 @@
 #[test]
 fn a_daemon_that_cannot_read_says_so_for_a_while() {
     let mut freshness = ListFreshness::new(0.5);
-    freshness.fail(at(0));
+    freshness.record_failure(at(0));
     let soon = freshness.can_read(at(1_000));
     let later = freshness.can_read(at(5_000));
-    freshness.fail(at(6_000));
-    freshness.read(at(6_100));
+    freshness.record_failure(at(6_000));
+    freshness.record_read(at(6_100));
 
     assert_eq!((soon, later, freshness.can_read(at(6_100))), (false, true, true));
     assert_eq!(freshness.age(at(6_300)), Some(Duration::from_millis(200)));
