--- a/src/fleet_state/mod.rs
+++ b/src/fleet_state/mod.rs
@@ -43,6 +43,6 @@
 pub use own_history::OwnHistory;
 pub use row_rotation::RowRotation;
 pub use state::{
-    BucketEstimates, DaemonIdentity, FleetRole, FleetState, OutgoingMessage, OwnReading,
+    BucketEstimates, DaemonIdentity, FleetRole, FleetState, LocalState, OutgoingMessage,
 };
 pub use work_tables::WorkTable;
--- a/src/fleet_state/own_history.rs
+++ b/src/fleet_state/own_history.rs
@@ -2,7 +2,7 @@
 //! that an aggregator sends back.
 
 use super::flow_totals::{FlowTotals, differences, totals_of};
-use super::{FlowDelta, OwnReading, WaitingRow, WorkRow};
+use super::{FlowDelta, LocalState, WaitingRow, WorkRow};
 use std::collections::VecDeque;
 
 /// Number of reports kept: 4 s at 15 reports per second, far longer than the age of any sum.
@@ -25,7 +25,7 @@
 }
 
 impl OwnHistory {
-    pub fn push(&mut self, sequence: u64, own: &OwnReading) {
+    pub fn push(&mut self, sequence: u64, own: &LocalState) {
         let report = PastReport {
             sequence,
             totals: totals_of(&own.flows),
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -56,7 +56,7 @@
 
 /// The local state of this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OwnReading {
+pub struct LocalState {
     /// Token counters by organisation since the process start; organisations at zero may be left
     /// out.
     pub flows: Vec<FlowRow>,
@@ -108,7 +108,7 @@
     group_turn: RowTurn,
     away_turn: RowTurn,
     history: OwnHistory,
-    own: OwnReading,
+    own: LocalState,
     group_flows: FlowTotals,
     fleet_flows: FlowTotals,
     taken_rates: FlowRates,
@@ -142,7 +142,7 @@
             group_turn: RowTurn::default(),
             away_turn: RowTurn::default(),
             history: OwnHistory::default(),
-            own: OwnReading::default(),
+            own: LocalState::default(),
             group_flows: FlowTotals::new(),
             fleet_flows: FlowTotals::new(),
             taken_rates: FlowRates::default(),
@@ -177,7 +177,7 @@
     /// send. `limits` are the rates that the organisations' limits allow, in tokens per second.
     pub fn tick(
         &mut self,
-        own: OwnReading,
+        own: LocalState,
         limits: &[(OrganisationHash, f64)],
         now: Moment,
     ) -> Vec<OutgoingMessage> {
@@ -370,7 +370,7 @@
 }
 
 /// Returns the departure to report, unless the daemon moves to another aggregator.
-fn departure(own: &OwnReading) -> Departure {
+fn departure(own: &LocalState) -> Departure {
     if own.has_left { Departure::Left } else { Departure::Stays }
 }
 
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -9,7 +9,7 @@
 use super::state::TrafficState;
 use crate::fleet_state::{
     BucketEstimates, DaemonIdentity, FleetMessage, FleetRole, FleetState, FlowRow, ListStamp,
-    MessageRefusal, OrganisationHash, OutgoingMessage, OwnReading, ServiceHash, WaitingRow,
+    LocalState, MessageRefusal, OrganisationHash, OutgoingMessage, ServiceHash, WaitingRow,
     WorkRow,
 };
 use crate::policy::{
@@ -299,7 +299,7 @@
     let mut read_at = Moment::default();
     loop {
         let now = state.clock.now();
-        let reading = own_reading(&state, read_at);
+        let reading = local_state(&state, read_at);
         read_at = now;
         let rates = limit_rates(&state);
         let Some((outgoing, charges, pause)) = state.fleet.fleet().map(|mut fleet| {
@@ -340,9 +340,9 @@
 }
 
 /// Collects this daemon's local state; speeds are those learned since `since`.
-fn own_reading(state: &TrafficState, since: Moment) -> OwnReading {
+fn local_state(state: &TrafficState, since: Moment) -> LocalState {
     let now = state.clock.now();
-    OwnReading {
+    LocalState {
         flows: own_flows(state),
         work: own_work(state, since),
         waiting: own_waiting(state),
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tarragonknot::fleet_state::{
-    DaemonIdentity, FleetMessage, FleetState, FlowRow, OrganisationHash, OwnReading, WorkRow,
+    DaemonIdentity, FleetMessage, FleetState, FlowRow, LocalState, OrganisationHash, WorkRow,
 };
 use tarragonknot::policy::{LimitTable, Moment, OrganisationIndex, OrganisationLimit};
 use tarragonknot::quarantine::CrashTable;
@@ -77,14 +77,14 @@
         }
     }
 
-    fn reading(&mut self, now: Moment) -> OwnReading {
+    fn reading(&mut self, now: Moment) -> LocalState {
         let flow = FlowRow {
             organisation: hot(),
             taken: self.limits.taken(HOT),
             asked: self.limits.asked(HOT),
             refill_ms: self.limits.refilled_in(HOT, now).as_millis() as u32,
         };
-        OwnReading {
+        LocalState {
             flows: vec![flow],
             work: self.work.clone(),
             waiting: Vec::new(),
