--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -75,7 +75,7 @@
         self.history.push(self.sequence, &self.own);
         if aggregator == own {
             // A daemon's own report is never overtaken.
-            let _ = self.take_report(MemberReport { departure: Departure::Stays, ..report }, now);
+            let _ = self.apply_report(MemberReport { departure: Departure::Stays, ..report }, now);
         } else {
             let message = FleetMessage::Report(report);
             outgoing.push(OutgoingMessage { to: vec![aggregator], message });
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -20,7 +20,7 @@
 impl FleetState {
     /// Applies a message from another daemon. Returns its estimates of the organisations' buckets,
     /// which this daemon's buckets are moved towards, or the reason why the message is ignored.
-    pub fn take(
+    pub fn receive(
         &mut self,
         message: FleetMessage,
         now: Moment,
@@ -33,26 +33,26 @@
         match message {
             FleetMessage::Report(report) => {
                 let rows = report.flows.clone();
-                self.take_report(report, now)?;
+                self.apply_report(report, now)?;
                 // Outside a mesh, members take their estimates from the aggregator, which also
                 // hears the other groups.
                 Ok(BucketEstimates::new(rows, self.reporters.len(), self.is_mesh(now)))
             }
             FleetMessage::Sum(sum) => {
                 let rows = sum.flows.clone();
-                self.take_sum(sum, now)?;
+                self.apply_sum(sum, now)?;
                 Ok(BucketEstimates::new(rows, self.aggregators.len(), self.counts_itself(now)))
             }
             FleetMessage::Summary(summary) => {
                 let rows = summary.flows.clone();
-                let is_taken = self.take_summary(summary, now)?;
+                let is_taken = self.apply_summary(summary, now)?;
                 Ok(BucketEstimates::new(rows, 1, is_taken))
             }
         }
     }
 
     /// Applies a report, which may be this daemon's own.
-    pub(super) fn take_report(
+    pub(super) fn apply_report(
         &mut self,
         report: MemberReport,
         now: Moment,
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    fn take_sum(&mut self, sum: GroupSum, now: Moment) -> Result<(), MessageRefusal> {
+    fn apply_sum(&mut self, sum: GroupSum, now: Moment) -> Result<(), MessageRefusal> {
         let MessageSource { daemon, address, .. } = &sum.source;
         let rows = (sum.flows.as_slice(), false);
         let deltas = self.peers.apply(daemon, stamp(&sum.source), rows, now)?;
@@ -115,7 +115,11 @@
     }
 
     /// Applies a summary. Returns false if it is not from this daemon's current aggregator.
-    fn take_summary(&mut self, summary: FleetSummary, now: Moment) -> Result<bool, MessageRefusal> {
+    fn apply_summary(
+        &mut self,
+        summary: FleetSummary,
+        now: Moment,
+    ) -> Result<bool, MessageRefusal> {
         let address = summary.source.address;
         if summary.is_leaving {
             self.choice.give_up(address, now);
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -193,7 +193,7 @@
     let (daemon, suspects) = (message.source().daemon.clone(), message.suspects().clone());
     let is_summary = matches!(message, FleetMessage::Summary(_));
     let Some(mut fleet) = state.fleet.fleet() else { return Ok(()) };
-    let estimates = fleet.take(message, now)?;
+    let estimates = fleet.receive(message, now)?;
     let charges = fleet.drain_charges();
     let is_mesh = fleet.role(now) == FleetRole::Mesh;
     drop(fleet);
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -275,7 +275,7 @@
         daemon.heard += 1;
         daemon.bytes += postcard::to_stdvec(&message).expect("written").len() as u64;
         let (from, suspects) = (message.source().daemon.clone(), message.suspects().clone());
-        let taken = daemon.fleet.take(message, self.now);
+        let taken = daemon.fleet.receive(message, self.now);
         if taken.is_ok() {
             daemon.crashes.take(&from, &suspects, self.now);
         }
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -97,7 +97,7 @@
     let daemon = &mut play.daemons[0];
     let before = daemon.fleet.coverage(play.now);
 
-    let refusal = daemon.fleet.take(FleetMessage::Report(absurd), play.now);
+    let refusal = daemon.fleet.receive(FleetMessage::Report(absurd), play.now);
 
     assert_eq!(refusal.err(), Some(MessageRefusal::Implausible));
     assert_eq!(daemon.fleet.coverage(play.now), before);
@@ -112,7 +112,7 @@
     play.run(800, true);
     let daemon = &mut play.daemons[0];
     let mut take = |sequence, flow| {
-        let word = daemon.fleet.take(FleetMessage::Report(report(sequence, flow)), play.now);
+        let word = daemon.fleet.receive(FleetMessage::Report(report(sequence, flow)), play.now);
         (word.err(), daemon.fleet.drain_charges())
     };
     let first = take(1, flow(500, 900));
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -421,7 +421,7 @@
     let daemon = &mut play.daemons[0];
     let before = daemon.fleet.coverage(play.now);
     let outgoing = daemon.fleet.tick(Default::default(), &[], play.now);
-    outgoing.into_iter().for_each(|out| _ = daemon.fleet.take(out.message, play.now));
+    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, play.now));
 
     assert_eq!(daemon.fleet.coverage(play.now), before);
     assert!(name(0).starts_with("entry"));
