--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -162,7 +162,7 @@
         });
         FleetSummary {
             source: self.source(),
-            covers: self.coverage(now) as u32,
+            covers: self.covered_daemons(now) as u32,
             age_ms: self.sums_age(now).as_millis() as u32,
             included: included.collect(),
             flows: self.fleet_rows.select_rows(flows),
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns the number of daemons that the sums cover, including this one.
-    pub fn coverage(&self, now: Moment) -> usize {
+    pub fn covered_daemons(&self, now: Moment) -> usize {
         let life = self.silent_after();
         let is_fresh = |heard: Moment| now.since(heard) < life;
         if !self.counts_itself(now) {
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -323,7 +323,7 @@
 /// Updates the metrics, and logs a line when this daemon's role or the coverage of its sums
 /// changes.
 fn log_changes(state: &TrafficState, fleet: &FleetState, logged: &mut LoggedState, now: Moment) {
-    let (covers, daemons) = (fleet.coverage(now), fleet.addresses().len());
+    let (covers, daemons) = (fleet.covered_daemons(now), fleet.addresses().len());
     let age = fleet.sums_age(now);
     metrics::gauge!("fleet_sums_daemons").set(covers as f64);
     metrics::gauge!("fleet_sums_age_seconds").set(age.as_secs_f64());
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -95,12 +95,12 @@
     absurd.work[0].1.requests = requests;
     absurd.source.address = address;
     let daemon = &mut play.daemons[0];
-    let before = daemon.fleet.coverage(play.now);
+    let before = daemon.fleet.covered_daemons(play.now);
 
     let refusal = daemon.fleet.receive(FleetMessage::Report(absurd), play.now);
 
     assert_eq!(refusal.err(), Some(MessageRefusal::Implausible));
-    assert_eq!(daemon.fleet.coverage(play.now), before);
+    assert_eq!(daemon.fleet.covered_daemons(play.now), before);
     assert_eq!(daemon.fleet.drain_charges(), []);
 }
 
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -197,7 +197,7 @@
     let mut play = FleetPlay::calm(count, 1);
     play.run(2_400, true);
     let covered: Vec<usize> =
-        play.daemons.iter().map(|daemon| daemon.fleet.coverage(play.now)).collect();
+        play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
     let tokens = (RATE as usize * 4 / 10 / count) as u32;
 
     let known = spread_tokens(&mut play, tokens);
@@ -277,7 +277,8 @@
 
     let alive = count - (aggregators.len() - 2);
     let covered = play.daemons.iter().filter(|daemon| daemon.is_running);
-    let covered: Vec<usize> = covered.map(|daemon| daemon.fleet.coverage(play.now)).collect();
+    let covered: Vec<usize> =
+        covered.map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
     assert!(covered.iter().all(|covers| *covers == alive), "{alive}: {covered:?}");
 }
 
@@ -296,7 +297,7 @@
     play.run_for(1_500);
 
     let fleet = &play.daemons[number].fleet;
-    assert!(fleet.coverage(play.now) >= 99, "{}", fleet.coverage(play.now));
+    assert!(fleet.covered_daemons(play.now) >= 99, "{}", fleet.covered_daemons(play.now));
     assert!(fleet.limit_share() >= 1.0);
 }
 
@@ -320,7 +321,7 @@
     (100..112).for_each(|number| play.start(number));
     play.run(3_200, true);
 
-    let covered = play.daemons.iter().map(|daemon| daemon.fleet.coverage(play.now));
+    let covered = play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now));
     let covered: Vec<usize> = covered.collect();
     let exact = covered.iter().filter(|covers| **covers == 112).count();
     assert!(exact >= 106, "{covered:?}");
@@ -419,10 +420,10 @@
     let mut play = FleetPlay::calm(3, 10);
     play.run(1_000, true);
     let daemon = &mut play.daemons[0];
-    let before = daemon.fleet.coverage(play.now);
+    let before = daemon.fleet.covered_daemons(play.now);
     let outgoing = daemon.fleet.tick(Default::default(), &[], play.now);
     outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, play.now));
 
-    assert_eq!(daemon.fleet.coverage(play.now), before);
+    assert_eq!(daemon.fleet.covered_daemons(play.now), before);
     assert!(name(0).starts_with("entry"));
 }
