--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -123,7 +123,7 @@
     /// the lowest address among those that are live and can read it, or in a mesh the daemon with
     /// the lowest one. Partitions of the fleet that cannot hear each other have one reader each.
     /// When the reader falls silent, the next one in order takes over.
-    pub fn is_reader(&self, now: Moment) -> bool {
+    pub fn is_list_reader(&self, now: Moment) -> bool {
         if !self.counts_itself(now) {
             return false;
         }
@@ -142,7 +142,7 @@
     /// they forward it to their groups.
     pub fn list_receivers(&self, now: Moment) -> Vec<SocketAddr> {
         let is_fresh = |heard: Moment| now.since(heard) < FORWARD_LIFE;
-        let reads = self.is_reader(now);
+        let reads = self.is_list_reader(now);
         let peers = self.aggregators.values().filter(|peer| reads && is_fresh(peer.heard));
         let group = self.layout.members(self.group().index).iter().copied();
         self.others_among(group.chain(peers.map(|peer| peer.address)))
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -75,7 +75,7 @@
     /// serve callers once it has a list.
     pub fn must_read_list(&self, has_table: bool, now: Moment) -> bool {
         let Some(fleet) = self.fleet() else { return true };
-        if fleet.is_informed() && fleet.is_reader(now) {
+        if fleet.is_informed() && fleet.is_list_reader(now) {
             return true;
         }
         let daemons = fleet.addresses().len();
@@ -288,7 +288,7 @@
 #[derive(Debug, Default, PartialEq)]
 struct LoggedState {
     role: Option<FleetRole>,
-    is_reader: bool,
+    is_list_reader: bool,
     /// True while less than half of the fleet is covered.
     is_partial: bool,
 }
@@ -329,11 +329,11 @@
     metrics::gauge!("fleet_sums_age_seconds").set(age.as_secs_f64());
     let current = LoggedState {
         role: Some(fleet.role(now)),
-        is_reader: fleet.is_informed() && fleet.is_reader(now),
+        is_list_reader: fleet.is_informed() && fleet.is_list_reader(now),
         is_partial: covers * 2 < daemons,
     };
     if current != *logged {
-        info!(state.log, "fleet state"; "role" => format!("{:?}", fleet.role(now)), "reads_list" => current.is_reader,
+        info!(state.log, "fleet state"; "role" => format!("{:?}", fleet.role(now)), "reads_list" => current.is_list_reader,
             "covers" => covers, "daemons" => daemons, "age_ms" => age.as_millis() as u64);
         *logged = current;
     }
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -338,7 +338,7 @@
             let now = play.now;
             let readers: Vec<usize> = (0..count)
                 .filter(|number| play.daemons[*number].is_running)
-                .filter(|number| play.daemons[*number].fleet.is_reader(now))
+                .filter(|number| play.daemons[*number].fleet.is_list_reader(now))
                 .collect();
             assert_eq!(readers.len(), 1, "{count}: {readers:?}");
             play.kill(readers[0]);
