--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -188,7 +188,7 @@
     /// Returns the requests of all other daemons at each upstream, and the latest speed that one of
     /// them measured. Only the requests of this daemon's own group are recent enough to count
     /// against an upstream's places; those of other groups are hints.
-    pub fn others(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
+    pub fn others_work(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
         let mut sums = BTreeMap::new();
         if self.counts_itself(now) {
             let life = self.work_life();
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -244,7 +244,7 @@
     let now = state.clock.now();
     let snapshot = state.snapshot();
     let Some(fleet) = state.fleet.fleet() else { return };
-    let (others, group) = (fleet.others(now), fleet.group());
+    let (others, group) = (fleet.others_work(now), fleet.group());
     let (waiting, horizon) = (fleet.others_waiting(now), fleet.group_horizon(now));
     let share = fleet.limit_share();
     let forecast = fleet.forecasts(now);
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -365,7 +365,7 @@
     play.daemons[60].work = vec![(engine(1), work(4, 0)), (engine(2), work(1, 0))];
     play.run(2_000, true);
 
-    let seen = |number: usize| play.daemons[number].fleet.others(play.now);
+    let seen = |number: usize| play.daemons[number].fleet.others_work(play.now);
     let places =
         |number: usize| (seen(number)[&engine(1)].requests, seen(number)[&engine(1)].hinted);
     assert_eq!((places(0), places(1), places(2)), ((5, 4), (3, 4), (2, 4)));
@@ -387,7 +387,7 @@
         play.run(2_000, true);
         let before = play.daemons[0].bytes;
         play.run(1_200, true);
-        let seen = play.daemons[5].fleet.others(play.now);
+        let seen = play.daemons[5].fleet.others_work(play.now);
         let far = seen.values().filter(|work| work.hinted > 0).count();
         assert!(far >= (64 - 8) * engines * 9 / 10, "{far} of {engines} a daemon are known");
         play.daemons[0].bytes - before
@@ -405,10 +405,10 @@
         let mut play = FleetPlay::calm(count, 9);
         play.daemons[1].work = vec![(engine(1), work(2, 0))];
         play.run(2_000, true);
-        let before = play.daemons[2].fleet.others(play.now)[&engine(1)].requests;
+        let before = play.daemons[2].fleet.others_work(play.now)[&engine(1)].requests;
         play.kill(1);
         play.run_for(2_500);
-        let after = play.daemons[2].fleet.others(play.now);
+        let after = play.daemons[2].fleet.others_work(play.now);
 
         assert_eq!(before, 2, "{count}");
         assert!(after.get(&engine(1)).is_none_or(|work| work.requests == 0), "{count}: {after:?}");
