--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -173,8 +173,8 @@
         let Some(moves) = self.member.take(orders, self.state.clock.now()) else { return };
         let now = self.state.clock.now();
         match &moves.serving {
-            Some(serving) => self.state.fleet.set_named(serving.addresses.clone(), now),
-            None => self.state.fleet.confirm_named(now),
+            Some(serving) => self.state.fleet.set_serving_list(serving.addresses.clone(), now),
+            None => self.state.fleet.confirm_serving_list(now),
         }
         self.leader.set_voters(moves.voters.clone());
         self.state.quarantine.take_rows(&self.state, &moves.suspects);
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -43,7 +43,7 @@
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
 /// Time for which the leader's list of daemons is used alone. After that, daemons that were heard
 /// are added to it.
-const NAMED_LIFE: Duration = Duration::from_secs(5);
+const SERVING_LIST_TTL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonIdentity {
@@ -89,7 +89,7 @@
     sequence: u64,
     /// The leader's list of daemons that serve callers, and when it was last confirmed; none before
     /// the first.
-    named: Option<(Vec<SocketAddr>, Moment)>,
+    serving_list: Option<(Vec<SocketAddr>, Moment)>,
     /// When a message was last received from each address.
     heard: BTreeMap<SocketAddr, Moment>,
     layout: FleetLayout,
@@ -128,7 +128,7 @@
         FleetState {
             identity,
             sequence: 0,
-            named: None,
+            serving_list: None,
             heard: BTreeMap::new(),
             layout,
             choice: AggregatorChoice::default(),
@@ -161,14 +161,14 @@
     }
 
     /// Sets the leader's list of daemons that serve callers.
-    pub fn set_named(&mut self, named: Vec<SocketAddr>, now: Moment) {
-        self.named = Some((named, now));
+    pub fn set_serving_list(&mut self, serving_list: Vec<SocketAddr>, now: Moment) {
+        self.serving_list = Some((serving_list, now));
         self.refresh_layout(now);
     }
 
     /// Records that the leader's list is unchanged.
-    pub fn confirm_named(&mut self, now: Moment) {
-        if let Some((_, at)) = &mut self.named {
+    pub fn confirm_serving_list(&mut self, now: Moment) {
+        if let Some((_, at)) = &mut self.serving_list {
             *at = now;
         }
     }
@@ -215,12 +215,14 @@
     }
 
     fn refresh_layout(&mut self, now: Moment) {
-        let is_fresh = |at: &Moment| now.since(*at) < NAMED_LIFE;
-        let named = self.named.as_ref().map_or(&[][..], |(named, _)| named.as_slice());
-        let trusts_leader = self.named.as_ref().is_some_and(|(_, at)| is_fresh(at));
+        let is_fresh = |at: &Moment| now.since(*at) < SERVING_LIST_TTL;
+        let serving_list =
+            self.serving_list.as_ref().map_or(&[][..], |(serving_list, _)| serving_list.as_slice());
+        let trusts_leader = self.serving_list.as_ref().is_some_and(|(_, at)| is_fresh(at));
         let heard = self.heard.keys().filter(|_| !trusts_leader);
         let own = [self.identity.address];
-        let addresses: Vec<SocketAddr> = named.iter().chain(heard).chain(&own).copied().collect();
+        let addresses: Vec<SocketAddr> =
+            serving_list.iter().chain(heard).chain(&own).copied().collect();
         self.layout = FleetLayout::new(addresses);
     }
 
@@ -355,9 +357,9 @@
     fn forget(&mut self, now: Moment) {
         let is_known = |heard: Moment| now.since(heard) < FORGOTTEN_AFTER;
         let layout = &self.layout;
-        let is_named = |address: SocketAddr| layout.addresses().binary_search(&address).is_ok();
+        let is_serving = |address: SocketAddr| layout.addresses().binary_search(&address).is_ok();
         self.heard.retain(|_, at| is_known(*at));
-        self.reporters.retain(|_, member| is_known(member.heard) || is_named(member.address));
+        self.reporters.retain(|_, member| is_known(member.heard) || is_serving(member.address));
         let reporters = &self.reporters;
         let own = &self.identity.daemon;
         self.members.retain(|daemon, _| daemon == own || reporters.contains_key(daemon));
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -59,13 +59,13 @@
     /// there is no leader for about a second and no daemon knows of any other. If each then
     /// admitted the whole limit, limits would be exceeded in the first seconds.
     pub fn limit_share(&self) -> f64 {
-        let is_informed = self.is_informed() || !self.heard.is_empty();
-        if is_informed { 1.0 } else { UNINFORMED_SHARE }
+        let has_serving_list = self.has_serving_list() || !self.heard.is_empty();
+        if has_serving_list { 1.0 } else { UNINFORMED_SHARE }
     }
 
     /// Returns true once the leader has named the daemons that serve callers.
-    pub fn is_informed(&self) -> bool {
-        self.named.as_ref().is_some_and(|(named, _)| !named.is_empty())
+    pub fn has_serving_list(&self) -> bool {
+        self.serving_list.as_ref().is_some_and(|(serving_list, _)| !serving_list.is_empty())
     }
 
     /// Returns the number of daemons that the sums cover, including this one.
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -52,16 +52,16 @@
     }
 
     /// Sets the leader's list of daemons that serve callers.
-    pub fn set_named(&self, named: Vec<SocketAddr>, now: Moment) {
+    pub fn set_serving_list(&self, serving_list: Vec<SocketAddr>, now: Moment) {
         if let Some(mut fleet) = self.fleet() {
-            fleet.set_named(named, now);
+            fleet.set_serving_list(serving_list, now);
         }
     }
 
     /// Records that the leader's list is unchanged.
-    pub fn confirm_named(&self, now: Moment) {
+    pub fn confirm_serving_list(&self, now: Moment) {
         if let Some(mut fleet) = self.fleet() {
-            fleet.confirm_named(now);
+            fleet.confirm_serving_list(now);
         }
     }
 
@@ -75,7 +75,7 @@
     /// serve callers once it has a list.
     pub fn must_read_list(&self, has_table: bool, now: Moment) -> bool {
         let Some(fleet) = self.fleet() else { return true };
-        if fleet.is_informed() && fleet.is_list_reader(now) {
+        if fleet.has_serving_list() && fleet.is_list_reader(now) {
             return true;
         }
         let daemons = fleet.addresses().len();
@@ -329,7 +329,7 @@
     metrics::gauge!("fleet_sums_age_seconds").set(age.as_secs_f64());
     let current = LoggedState {
         role: Some(fleet.role(now)),
-        is_list_reader: fleet.is_informed() && fleet.is_list_reader(now),
+        is_list_reader: fleet.has_serving_list() && fleet.is_list_reader(now),
         is_partial: covers * 2 < daemons,
     };
     if current != *logged {
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -171,7 +171,7 @@
             .collect();
         let now = self.now;
         let daemons = self.daemons.iter_mut().filter(|daemon| daemon.is_running);
-        daemons.for_each(|daemon| daemon.fleet.set_named(named.clone(), now));
+        daemons.for_each(|daemon| daemon.fleet.set_serving_list(named.clone(), now));
     }
 
     /// A daemon stops without a word.
--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -330,7 +330,7 @@
             fleets.push(fleet);
         }
         for fleet in &fleets {
-            fleet.state.fleet.set_named(addresses.clone(), fleet.state.clock.now());
+            fleet.state.fleet.set_serving_list(addresses.clone(), fleet.state.clock.now());
         }
         fleets
     }
--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -172,7 +172,10 @@
     }
     let state = &mut fleet[0].0;
     let share = state.limit_share();
-    state.set_named(vec![SocketAddr::from(([127, 0, 0, 1], 1_000))], Moment::from_millis(3_000));
+    state.set_serving_list(
+        vec![SocketAddr::from(([127, 0, 0, 1], 1_000))],
+        Moment::from_millis(3_000),
+    );
 
     assert!(passed <= 4 * RATE, "{passed}");
     assert!(share < 1.0);
