--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -4,7 +4,7 @@
 mod list;
 mod wire;
 
-pub use wire::{DaemonMessage, MessageFault, read_message, write_message};
+pub use wire::{DaemonMessage, DropCause, read_message, write_message};
 
 use super::state::TrafficState;
 use crate::fleet_state::{
@@ -27,7 +27,7 @@
 use tokio::net::UdpSocket;
 
 /// Pause after a socket error.
-const FAULT_PAUSE: Duration = Duration::from_millis(40);
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(40);
 /// Maximum length of a datagram, in bytes.
 const DATAGRAM_LIMIT: usize = 60 << 10;
 
@@ -38,7 +38,7 @@
     fleet: OnceLock<Mutex<FleetState>>,
     list: ListExchange,
     /// Kinds of datagram faults already logged. Each kind is logged once and always counted.
-    faults: Mutex<BTreeSet<MessageFault>>,
+    logged_causes: Mutex<BTreeSet<DropCause>>,
     daemons: AtomicUsize,
 }
 
@@ -143,22 +143,22 @@
         let Ok((length, from)) = socket.socket.recv_from(&mut buffer).await else {
             // The peer of an earlier send may not be listening, which is reported here as a refused
             // connection. There is nothing to do.
-            tokio::time::sleep(FAULT_PAUSE).await;
+            tokio::time::sleep(SOCKET_ERROR_DELAY).await;
             continue;
         };
         match read_message(&buffer[..length], &socket.key) {
             Ok(message) => take(&state, &socket, message, from),
-            Err(fault) => note_fault(&state, fault, from),
+            Err(cause) => record_drop(&state, cause, from),
         }
     }
 }
 
 /// Counts a dropped datagram, and logs each kind of fault once.
-fn note_fault(state: &TrafficState, fault: MessageFault, from: SocketAddr) {
-    metrics::counter!("fleet_messages_dropped", "cause" => fault.name()).increment(1);
-    let is_usual = fault == MessageFault::Refused(MessageRefusal::Overtaken);
-    if !is_usual && lock(&state.fleet.faults).insert(fault) {
-        warn!(state.log, "message of a daemon dropped"; "cause" => fault.name(), "from" => from.to_string());
+fn record_drop(state: &TrafficState, cause: DropCause, from: SocketAddr) {
+    metrics::counter!("fleet_messages_dropped", "cause" => cause.name()).increment(1);
+    let is_usual = cause == DropCause::Refused(MessageRefusal::Overtaken);
+    if !is_usual && lock(&state.fleet.logged_causes).insert(cause) {
+        warn!(state.log, "message of a daemon dropped"; "cause" => cause.name(), "from" => from.to_string());
     }
 }
 
@@ -166,7 +166,7 @@
     match message {
         DaemonMessage::State(message) if message.source().daemon != state.daemon => {
             if let Err(refusal) = take_state(state, socket, message) {
-                note_fault(state, MessageFault::Refused(refusal), from);
+                record_drop(state, DropCause::Refused(refusal), from);
             }
         }
         DaemonMessage::ListChanged { daemon, address, change } if daemon != state.daemon => {
--- a/src/traffic/fleet_exchange/wire.rs
+++ b/src/traffic/fleet_exchange/wire.rs
@@ -40,7 +40,7 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum MessageFault {
+pub enum DropCause {
     /// The datagram is shorter than its tag, was made without the fleet's key, or was damaged in
     /// transit.
     BadTag,
@@ -52,14 +52,14 @@
     Refused(MessageRefusal),
 }
 
-impl MessageFault {
+impl DropCause {
     /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            MessageFault::BadTag => "bad-tag",
-            MessageFault::OtherVersion => "other-version",
-            MessageFault::Unreadable => "unreadable",
-            MessageFault::Refused(refusal) => refusal.name(),
+            DropCause::BadTag => "bad-tag",
+            DropCause::OtherVersion => "other-version",
+            DropCause::Unreadable => "unreadable",
+            DropCause::Refused(refusal) => refusal.name(),
         }
     }
 }
@@ -80,14 +80,14 @@
 }
 
 /// Verifies and decodes a datagram.
-pub fn read_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, MessageFault> {
-    let (given, body) = bytes.split_at_checked(TAG_BYTES).ok_or(MessageFault::BadTag)?;
+pub fn read_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, DropCause> {
+    let (given, body) = bytes.split_at_checked(TAG_BYTES).ok_or(DropCause::BadTag)?;
     if given != tag(body, key) {
-        return Err(MessageFault::BadTag);
+        return Err(DropCause::BadTag);
     }
-    let (version, body) = body.split_first().ok_or(MessageFault::Unreadable)?;
+    let (version, body) = body.split_first().ok_or(DropCause::Unreadable)?;
     if *version != VERSION {
-        return Err(MessageFault::OtherVersion);
+        return Err(DropCause::OtherVersion);
     }
-    postcard::from_bytes(body).map_err(|_| MessageFault::Unreadable)
+    postcard::from_bytes(body).map_err(|_| DropCause::Unreadable)
 }
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -8,7 +8,7 @@
 };
 use tarragonknot::policy::{OthersWork, UpstreamHash};
 use tarragonknot::quarantine::SuspectNews;
-use tarragonknot::traffic::{DaemonMessage, MessageFault, read_message, write_message};
+use tarragonknot::traffic::{DaemonMessage, DropCause, read_message, write_message};
 
 const KEY: &str = "the fleet's key";
 
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_message_of_a_stranger_is_dropped() {
-    assert_eq!(read_message(&bytes(), "another key").err(), Some(MessageFault::BadTag));
+    assert_eq!(read_message(&bytes(), "another key").err(), Some(DropCause::BadTag));
 }
 
 proptest! {
@@ -59,8 +59,8 @@
         let at = at % changed.len();
         changed[at] ^= 1 << bit;
 
-        prop_assert_eq!(read_message(cut, KEY).err(), Some(MessageFault::BadTag));
-        prop_assert_eq!(read_message(&changed, KEY).err(), Some(MessageFault::BadTag));
+        prop_assert_eq!(read_message(cut, KEY).err(), Some(DropCause::BadTag));
+        prop_assert_eq!(read_message(&changed, KEY).err(), Some(DropCause::BadTag));
     }
 
     /// What is made with the key by a program that is not ours is refused or read, and never ends the process.
@@ -73,7 +73,7 @@
         let is_ours = body.first() == Some(&4);
         match read {
             Ok(_) => prop_assert!(is_ours),
-            Err(fault) => prop_assert_ne!(fault, MessageFault::BadTag),
+            Err(fault) => prop_assert_ne!(fault, DropCause::BadTag),
         }
     }
 }
