--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -4,7 +4,7 @@
 mod list;
 mod wire;
 
-pub use wire::{DaemonMessage, DropCause, read_message, write_message};
+pub use wire::{DaemonMessage, DropCause, decode_message, encode_message};
 
 use super::state::TrafficState;
 use crate::fleet_state::{
@@ -109,7 +109,7 @@
         if addresses.is_empty() {
             return;
         }
-        let bytes = write_message(message, &self.key);
+        let bytes = encode_message(message, &self.key);
         for address in addresses {
             let _ = self.socket.try_send_to(&bytes, *address);
         }
@@ -146,7 +146,7 @@
             tokio::time::sleep(SOCKET_ERROR_DELAY).await;
             continue;
         };
-        match read_message(&buffer[..length], &socket.key) {
+        match decode_message(&buffer[..length], &socket.key) {
             Ok(message) => take(&state, &socket, message, from),
             Err(cause) => record_drop(&state, cause, from),
         }
--- a/src/traffic/fleet_exchange/wire.rs
+++ b/src/traffic/fleet_exchange/wire.rs
@@ -72,7 +72,7 @@
 }
 
 /// Encodes a message as a datagram.
-pub fn write_message(message: &DaemonMessage, key: &str) -> Vec<u8> {
+pub fn encode_message(message: &DaemonMessage, key: &str) -> Vec<u8> {
     let body = postcard::to_extend(message, vec![VERSION]).unwrap_or_default();
     let mut bytes = tag(&body, key).to_vec();
     bytes.extend_from_slice(&body);
@@ -80,7 +80,7 @@
 }
 
 /// Verifies and decodes a datagram.
-pub fn read_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, DropCause> {
+pub fn decode_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, DropCause> {
     let (given, body) = bytes.split_at_checked(TAG_BYTES).ok_or(DropCause::BadTag)?;
     if given != tag(body, key) {
         return Err(DropCause::BadTag);
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -19,7 +19,7 @@
 pub use access::{AccessIndex, CallerIdentity, OrganisationNumbers};
 pub use drain::{DrainAction, DrainEvent, DrainState, drain_chart};
 pub use fleet_exchange::{
-    DaemonMessage, DropCause, FleetExchange, read_message, start_exchange, write_message,
+    DaemonMessage, DropCause, FleetExchange, decode_message, encode_message, start_exchange,
 };
 pub use front::{FrontHandle, front_router, readiness_router, start_front, without_front};
 pub use pool_runtime::{PoolRuntime, RequestGuard};
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -8,7 +8,7 @@
 };
 use tarragonknot::policy::{OthersWork, UpstreamHash};
 use tarragonknot::quarantine::SuspectNews;
-use tarragonknot::traffic::{DaemonMessage, DropCause, read_message, write_message};
+use tarragonknot::traffic::{DaemonMessage, DropCause, decode_message, encode_message};
 
 const KEY: &str = "the fleet's key";
 
@@ -33,12 +33,12 @@
 
 fn bytes() -> Vec<u8> {
     let report = FleetMessage::Report(report(1, flow(5, 9)));
-    write_message(&DaemonMessage::State(report), KEY)
+    encode_message(&DaemonMessage::State(report), KEY)
 }
 
 #[test]
 fn a_message_is_read_as_it_was_written() {
-    let read = read_message(&bytes(), KEY).expect("a message");
+    let read = decode_message(&bytes(), KEY).expect("a message");
 
     let DaemonMessage::State(FleetMessage::Report(read)) = read else { panic!("{read:?}") };
     assert_eq!(read, report(1, flow(5, 9)));
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_message_of_a_stranger_is_dropped() {
-    assert_eq!(read_message(&bytes(), "another key").err(), Some(DropCause::BadTag));
+    assert_eq!(decode_message(&bytes(), "another key").err(), Some(DropCause::BadTag));
 }
 
 proptest! {
@@ -59,8 +59,8 @@
         let at = at % changed.len();
         changed[at] ^= 1 << bit;
 
-        prop_assert_eq!(read_message(cut, KEY).err(), Some(DropCause::BadTag));
-        prop_assert_eq!(read_message(&changed, KEY).err(), Some(DropCause::BadTag));
+        prop_assert_eq!(decode_message(cut, KEY).err(), Some(DropCause::BadTag));
+        prop_assert_eq!(decode_message(&changed, KEY).err(), Some(DropCause::BadTag));
     }
 
     /// What is made with the key by a program that is not ours is refused or read, and never ends the process.
@@ -69,7 +69,7 @@
         use sha2::{Digest, Sha256};
         let tag = Sha256::new().chain_update(KEY).chain_update(&body).chain_update(KEY).finalize();
         let bytes: Vec<u8> = tag[..8].iter().chain(&body).copied().collect();
-        let read = read_message(&bytes, KEY);
+        let read = decode_message(&bytes, KEY);
         let is_ours = body.first() == Some(&4);
         match read {
             Ok(_) => prop_assert!(is_ours),
