--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -160,7 +160,7 @@
     let mut causes = BTreeSet::new();
     loop {
         let has_table = state.snapshot().version > 0;
-        if !state.fleet.must_read_list(has_table, state.clock.now()) {
+        if !state.fleet.is_list_read_due(has_table, state.clock.now()) {
             // What another daemon told may differ from what this one read last.
             last = None;
             tokio::time::sleep(READER_CHECK).await;
@@ -178,14 +178,14 @@
                     info!(state.log, "platform list read again");
                 }
                 was_read = true;
-                state.fleet.take_reading(&list, state.clock.now());
+                state.fleet.store_reading(&list, state.clock.now());
                 if last.as_ref() != Some(&list) {
                     state.apply_platform(list.clone());
                     last = Some(list);
                 }
             }
             Err(fault) => {
-                state.fleet.note_unread_list(state.clock.now());
+                state.fleet.record_read_failure(state.clock.now());
                 // Once for a row of failures: the list is asked for every second.
                 if was_read {
                     warn!(state.log, "platform list not read"; "fault" => fault.detail);
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -62,12 +62,12 @@
     }
 
     /// Records that the list could not be read.
-    pub fn note_failure(&self, now: Moment) {
+    pub fn record_failure(&self, now: Moment) {
         lock(&self.freshness).record_failure(now);
     }
 
     /// Stores a list that this daemon has read, and queues the change for sending.
-    pub fn take_reading(&self, list: &PlatformList, now: Moment) {
+    pub fn store_reading(&self, list: &PlatformList, now: Moment) {
         let change = lock(&self.list).replace(list.vms.iter().map(listed));
         lock(&self.freshness).record_read(now);
         if change.base != change.digest {
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -73,7 +73,7 @@
     /// Returns true if this daemon should read the platform's list itself: it is the reader for the
     /// fleet, or its list has not been confirmed for too long. `has_table` is true if it could
     /// serve callers once it has a list.
-    pub fn must_read_list(&self, has_table: bool, now: Moment) -> bool {
+    pub fn is_list_read_due(&self, has_table: bool, now: Moment) -> bool {
         let Some(fleet) = self.fleet() else { return true };
         if fleet.has_serving_list() && fleet.is_list_reader(now) {
             return true;
@@ -84,14 +84,14 @@
     }
 
     /// Stores a list that this daemon has read, and sends the change to the others.
-    pub fn take_reading(&self, list: &PlatformList, now: Moment) {
-        self.list.take_reading(list, now);
+    pub fn store_reading(&self, list: &PlatformList, now: Moment) {
+        self.list.store_reading(list, now);
     }
 
     /// Records that the platform did not let this daemon read the list, so that another daemon
     /// takes over.
-    pub fn note_unread_list(&self, now: Moment) {
-        self.list.note_failure(now);
+    pub fn record_read_failure(&self, now: Moment) {
+        self.list.record_failure(now);
     }
 }
 
