--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -39,7 +39,7 @@
     list: ListExchange,
     /// Kinds of datagram faults already logged. Each kind is logged once and always counted.
     logged_causes: Mutex<BTreeSet<DropCause>>,
-    daemons: AtomicUsize,
+    daemon_count: AtomicUsize,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -66,8 +66,8 @@
     }
 
     /// Returns the number of known daemons in the fleet, including this one.
-    pub fn daemons(&self) -> usize {
-        self.daemons.load(Ordering::Relaxed).max(1)
+    pub fn daemon_count(&self) -> usize {
+        self.daemon_count.load(Ordering::Relaxed).max(1)
     }
 
     /// Returns true if this daemon should read the platform's list itself: it is the reader for the
@@ -304,7 +304,7 @@
         let rates = limit_rates(&state);
         let Some((outgoing, charges, pause)) = state.fleet.fleet().map(|mut fleet| {
             let outgoing = fleet.tick(reading, &rates, now);
-            state.fleet.daemons.store(fleet.addresses().len(), Ordering::Relaxed);
+            state.fleet.daemon_count.store(fleet.addresses().len(), Ordering::Relaxed);
             log_changes(&state, &fleet, &mut logged, now);
             (outgoing, fleet.drain_charges(), fleet.send_interval())
         }) else {
--- a/src/traffic/routed/carry.rs
+++ b/src/traffic/routed/carry.rs
@@ -372,7 +372,7 @@
         let service = placed.pool.service.clone();
         let name = placed.name.clone();
         if count.sent == 0 {
-            let daemons = request.state.fleet.daemons();
+            let daemons = request.state.fleet.daemon_count();
             request.state.with_repeats(&service, |budget| budget.earn(daemons));
         }
         request.count_as_run(true);
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -283,7 +283,7 @@
         let mut repeats = self.repeats.lock().unwrap_or_else(PoisonError::into_inner);
         let budget = repeats.entry(service.clone()).or_insert_with(|| {
             let bound = self.repeat_bound.get().copied().unwrap_or_default();
-            RepeatBudget::new(bound, self.fleet.daemons())
+            RepeatBudget::new(bound, self.fleet.daemon_count())
         });
         change(budget)
     }
