--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -7,19 +7,19 @@
 
 /// Largest fleet in which daemons report to each other without aggregators: 15 reports per 150 ms
 /// cost each daemon less than the two additional hops through aggregators.
-pub const MESH_SIZE: usize = 16;
+pub const MAX_MESH_SIZE: usize = 16;
 /// Maximum rate at which one daemon of a mesh sends reports, over all receivers. A report costs
 /// about 20 us at either end, so this is 0.4 % of a core.
-const MESH_SENDS_A_SECOND: f64 = 100.0;
+const MAX_MESH_SENDS_PER_SECOND: f64 = 100.0;
 /// Maximum rate at which an aggregator sends messages. It receives as many, which together takes 2
 /// % of a core on one daemon of each group. The resulting interval is 68 ms for 291 daemons and 126
 /// ms for 1,000.
-const AGGREGATOR_SENDS_A_SECOND: f64 = 500.0;
+const MAX_AGGREGATOR_SENDS_PER_SECOND: f64 = 500.0;
 /// Minimum interval between two reports in a mesh. Changes in between are batched into one report.
-const LEAST_MESH_PAUSE: Duration = Duration::from_millis(40);
+const MIN_MESH_INTERVAL: Duration = Duration::from_millis(40);
 /// Minimum interval in a fleet with aggregators, where a change takes three hops to reach all
 /// members.
-const LEAST_GROUP_PAUSE: Duration = Duration::from_millis(50);
+const MIN_GROUP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The daemons that serve callers, sorted by address and partitioned into groups.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -34,7 +34,7 @@
         addresses.sort_unstable();
         addresses.dedup();
         let group_count = match addresses.len() {
-            0..=MESH_SIZE => 1,
+            0..=MAX_MESH_SIZE => 1,
             total => (total as f64).sqrt().round() as usize,
         };
         FleetLayout { addresses, group_count }
@@ -74,9 +74,10 @@
         let total = self.addresses.len();
         if self.is_mesh() {
             let others = total.saturating_sub(1) as f64;
-            return Duration::from_secs_f64(others / MESH_SENDS_A_SECOND).max(LEAST_MESH_PAUSE);
+            return Duration::from_secs_f64(others / MAX_MESH_SENDS_PER_SECOND)
+                .max(MIN_MESH_INTERVAL);
         }
         let sends = (total.div_ceil(self.group_count()) + self.group_count()) as f64;
-        Duration::from_secs_f64(sends / AGGREGATOR_SENDS_A_SECOND).max(LEAST_GROUP_PAUSE)
+        Duration::from_secs_f64(sends / MAX_AGGREGATOR_SENDS_PER_SECOND).max(MIN_GROUP_INTERVAL)
     }
 }
--- a/src/fleet_state/mod.rs
+++ b/src/fleet_state/mod.rs
@@ -11,7 +11,7 @@
 //! member sends its cumulative counters ([`MemberReport`]) to the aggregator of its group,
 //! aggregators exchange the sums of their groups ([`GroupSum`]), and each member receives the sums
 //! of the whole fleet ([`FleetSummary`]). The number of messages per daemon grows no faster than
-//! the square root of the fleet size. Fleets of up to [`MESH_SIZE`] daemons use no aggregators:
+//! the square root of the fleet size. Fleets of up to [`MAX_MESH_SIZE`] daemons use no aggregators:
 //! every daemon reports to all others.
 //!
 //! Counters are cumulative and tied to one start of the process, so lost, duplicated and reordered
@@ -34,7 +34,7 @@
 pub use aggregator_choice::AggregatorChoice;
 pub use flow_ledger::{FlowDelta, FlowLedger, SourceStamp};
 pub use flow_rates::FlowRates;
-pub use layout::{FleetLayout, MESH_SIZE};
+pub use layout::{FleetLayout, MAX_MESH_SIZE};
 pub use list_freshness::ListFreshness;
 pub use messages::{
     Departure, FleetMessage, FleetSummary, FlowRow, GroupSum, ListStamp, MemberReport,
