--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -314,8 +314,8 @@
             self.upward = FlowLedger::default();
         }
         let address = self.summary.as_ref().map(|summary| summary.address);
-        let is_given_up = address.is_some() && self.choice.chosen() != address;
-        let after = if is_given_up { Duration::ZERO } else { self.silent_after() };
+        let is_excluded = address.is_some() && self.choice.chosen() != address;
+        let after = if is_excluded { Duration::ZERO } else { self.silent_after() };
         let rest = 1.0 - 1.0 / self.layout.addresses().len().max(1) as f64;
         let deltas = self.upward.estimate_silent(limits, &self.taken_rates, (rest, after), now);
         for delta in deltas {
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -122,7 +122,7 @@
     ) -> Result<bool, MessageRefusal> {
         let address = summary.source.address;
         if summary.is_leaving {
-            self.choice.give_up(address, now);
+            self.choice.exclude(address, now);
             return Ok(false);
         }
         self.choice.record_summary(address, now);
