--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -9,9 +9,9 @@
 
 /// If a silent source turns out to have admitted less than was estimated, the excess is refunded,
 /// up to this many seconds' worth. After a longer silence the bucket has refilled in the meantime.
-const REFUND_SECONDS: f64 = 2.0;
+const MAX_REFUND_SECONDS: f64 = 2.0;
 /// A rate in tokens per second below which a source's share is not derived from it.
-const LEAST_RATE: f64 = 1.0;
+const MIN_SHARE_RATE: f64 = 1.0;
 
 /// Tokens that a source admitted and that were requested of it since its previous message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,26 +38,26 @@
     stamp: SourceStamp,
     totals: FlowTotals,
     rates: FlowRates,
-    heard: Moment,
-    silence: Option<SourceSilence>,
+    last_heard: Moment,
+    silence: Option<SilentPeriod>,
     /// True if rows that were never received are known to be zero. Otherwise their baseline is
     /// unknown and the first value received becomes the baseline.
-    is_complete: bool,
+    has_zero_baseline: bool,
 }
 
 /// The state of a source that has exceeded the silence timeout.
 #[derive(Clone, Debug)]
-struct SourceSilence {
+struct SilentPeriod {
     /// The source's share of all admitted tokens when it was last heard, by organisation.
-    parts: BTreeMap<OrganisationHash, f64>,
+    shares: BTreeMap<OrganisationHash, f64>,
     /// The time up to which estimates have been added.
-    until: Moment,
-    assumed: BTreeMap<OrganisationHash, AssumedTokens>,
+    estimated_until: Moment,
+    estimated: BTreeMap<OrganisationHash, EstimatedTokens>,
 }
 
 /// Tokens estimated for a silent source.
 #[derive(Clone, Copy, Debug, Default)]
-struct AssumedTokens {
+struct EstimatedTokens {
     sum: f64,
     /// The part of `sum` that may be refunded.
     refundable: f64,
@@ -87,51 +87,51 @@
                 stamp,
                 totals: totals_of(rows),
                 rates: FlowRates::default(),
-                heard: now,
+                last_heard: now,
                 silence: None,
-                is_complete: is_whole,
+                has_zero_baseline: is_whole,
             };
             self.sources.insert(daemon.clone(), source);
             return Ok(Vec::new());
         };
-        let is_same_start = source.stamp.boot == stamp.boot;
-        if is_same_start && source.stamp.sequence >= stamp.sequence {
+        let is_same_boot = source.stamp.boot == stamp.boot;
+        if is_same_boot && source.stamp.sequence >= stamp.sequence {
             return Err(MessageRefusal::Overtaken);
         }
-        if is_same_start && rows.iter().any(|row| source.asked(row.organisation) > row.asked) {
+        if is_same_boot && rows.iter().any(|row| source.asked(row.organisation) > row.asked) {
             return Err(MessageRefusal::FallingCounter);
         }
-        if !is_same_start {
+        if !is_same_boot {
             source.totals.clear();
-            source.is_complete = true;
+            source.has_zero_baseline = true;
         }
         source.stamp = stamp;
-        source.heard = now;
+        source.last_heard = now;
         let silence = source.silence.take();
         let deltas = source.deltas(rows, silence, now);
-        source.is_complete |= is_whole;
+        source.has_zero_baseline |= is_whole;
         Ok(deltas)
     }
 
     /// Estimates the tokens that silent sources have admitted since the previous call. `limits` are
     /// the rates that the limits allow. Each source is assumed to use its own share of the limit,
     /// so that partitions of a fleet still keep to the limit between them. `fleet` holds the rates
-    /// of the whole fleet; a source without a known rate has the share `equal`. A source counts as
-    /// silent once it has not been heard for the duration `after`.
+    /// of the whole fleet; a source without a known rate has the share `equal_share`. A source counts as
+    /// silent once it has not been heard for the duration `timeout`.
     pub fn estimate_silent(
         &mut self,
         limits: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
-        (equal, after): (f64, Duration),
+        (equal_share, timeout): (f64, Duration),
         now: Moment,
     ) -> Vec<FlowDelta> {
         let mut deltas = Vec::new();
         for source in self.sources.values_mut() {
-            if now.since(source.heard) < after {
+            if now.since(source.last_heard) < timeout {
                 continue;
             }
-            source.fall_silent(limits, fleet, equal, now);
-            deltas.extend(source.assume(limits, now));
+            source.begin_silence(limits, fleet, equal_share, now);
+            deltas.extend(source.estimate(limits, now));
         }
         deltas
     }
@@ -143,7 +143,7 @@
     /// Keeps the sources for which `keep` returns true, given the daemon and when it was last
     /// heard.
     pub fn retain(&mut self, keep: impl Fn(&DaemonName, Moment) -> bool) {
-        self.sources.retain(|daemon, source| keep(daemon, source.heard));
+        self.sources.retain(|daemon, source| keep(daemon, source.last_heard));
     }
 
     /// Returns the stamp of the last message applied from a source.
@@ -160,67 +160,75 @@
     fn deltas(
         &mut self,
         rows: &[FlowRow],
-        silence: Option<SourceSilence>,
+        silence: Option<SilentPeriod>,
         now: Moment,
     ) -> Vec<FlowDelta> {
-        let mut assumed = silence.map(|silence| silence.assumed).unwrap_or_default();
+        let mut estimated = silence.map(|silence| silence.estimated).unwrap_or_default();
         let mut deltas = Vec::new();
         for row in rows {
             let new = (row.taken, row.asked);
-            let first = if self.is_complete { (0, 0) } else { new };
-            let before = self.totals.insert(row.organisation, new).unwrap_or(first);
+            let baseline = if self.has_zero_baseline { (0, 0) } else { new };
+            let before = self.totals.insert(row.organisation, new).unwrap_or(baseline);
             let taken = row.taken - before.0;
             self.rates.add(row.organisation, taken, now);
-            let assumed = assumed.remove(&row.organisation).unwrap_or_default();
-            let taken = (taken - assumed.sum as i64).max(-(assumed.refundable as i64));
+            let estimated = estimated.remove(&row.organisation).unwrap_or_default();
+            let taken = (taken - estimated.sum as i64).max(-(estimated.refundable as i64));
             let asked = row.asked.saturating_sub(before.1);
             if taken != 0 || asked != 0 {
                 deltas.push(FlowDelta { organisation: row.organisation, taken, asked });
             }
         }
         // The message has no row for these organisations, so the source admitted nothing of theirs.
-        let rest = assumed.into_iter().map(|(organisation, assumed)| FlowDelta {
+        let rest = estimated.into_iter().map(|(organisation, estimated)| FlowDelta {
             organisation,
-            taken: -(assumed.refundable as i64),
+            taken: -(estimated.refundable as i64),
             asked: 0,
         });
         deltas.extend(rest.filter(|delta| delta.taken != 0));
         deltas
     }
 
-    fn fall_silent(
+    fn begin_silence(
         &mut self,
         limits: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
-        equal: f64,
+        equal_share: f64,
         now: Moment,
     ) {
         if self.silence.is_some() {
             return;
         }
-        let part = |organisation: OrganisationHash| {
+        let share = |organisation: OrganisationHash| {
             let whole = fleet.rate(organisation, now);
-            let own = self.rates.rate(organisation, self.heard);
-            if whole.max(own) > LEAST_RATE { (own / whole.max(own)).min(1.0) } else { equal }
+            let own = self.rates.rate(organisation, self.last_heard);
+            if whole.max(own) > MIN_SHARE_RATE {
+                (own / whole.max(own)).min(1.0)
+            } else {
+                equal_share
+            }
         };
-        let parts = limits.iter().map(|(organisation, _)| (*organisation, part(*organisation)));
-        let parts = parts.collect();
-        self.silence = Some(SourceSilence { parts, until: self.heard, assumed: BTreeMap::new() });
+        let shares = limits.iter().map(|(organisation, _)| (*organisation, share(*organisation)));
+        let shares = shares.collect();
+        self.silence = Some(SilentPeriod {
+            shares,
+            estimated_until: self.last_heard,
+            estimated: BTreeMap::new(),
+        });
     }
 
-    fn assume(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) -> Vec<FlowDelta> {
+    fn estimate(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) -> Vec<FlowDelta> {
         let Some(silence) = &mut self.silence else { return Vec::new() };
-        let seconds = now.since(silence.until).as_secs_f64();
-        silence.until = now;
+        let seconds = now.since(silence.estimated_until).as_secs_f64();
+        silence.estimated_until = now;
         let mut deltas = Vec::new();
         for (organisation, limit) in limits {
-            let rate = limit * silence.parts.get(organisation).copied().unwrap_or(0.0);
+            let rate = limit * silence.shares.get(organisation).copied().unwrap_or(0.0);
             let tokens = rate * seconds;
-            let assumed = silence.assumed.entry(*organisation).or_default();
-            let before = assumed.sum as i64;
-            assumed.sum += tokens;
-            assumed.refundable = assumed.sum.min(rate * REFUND_SECONDS);
-            let taken = assumed.sum as i64 - before;
+            let estimated = silence.estimated.entry(*organisation).or_default();
+            let before = estimated.sum as i64;
+            estimated.sum += tokens;
+            estimated.refundable = estimated.sum.min(rate * MAX_REFUND_SECONDS);
+            let taken = estimated.sum as i64 - before;
             if taken != 0 {
                 deltas.push(FlowDelta { organisation: *organisation, taken, asked: 0 });
             }
