--- a/src/fleet_state/flow_totals.rs
+++ b/src/fleet_state/flow_totals.rs
@@ -13,7 +13,7 @@
 
 /// Returns the non-zero increases from `before` to `after`. Organisations missing from `before`
 /// count from zero.
-pub fn differences(before: &FlowTotals, after: &FlowTotals) -> Vec<FlowDelta> {
+pub fn flow_deltas(before: &FlowTotals, after: &FlowTotals) -> Vec<FlowDelta> {
     let deltas = after.iter().map(|(organisation, (taken, asked))| {
         let (taken_before, asked_before) = before.get(organisation).copied().unwrap_or_default();
         FlowDelta {
--- a/src/fleet_state/own_history.rs
+++ b/src/fleet_state/own_history.rs
@@ -1,7 +1,7 @@
 //! History of this daemon's own reports. It is used to subtract this daemon's share from the sums
 //! that an aggregator sends back.
 
-use super::flow_totals::{FlowTotals, differences, totals_of};
+use super::flow_totals::{FlowTotals, flow_deltas, totals_of};
 use super::{FlowDelta, LocalState, WaitingRow, WorkRow};
 use std::collections::VecDeque;
 
@@ -51,7 +51,7 @@
         }
         let report = self.reports[at].clone();
         let before = self.included.replace(report.clone());
-        before.map_or_else(Vec::new, |before| differences(&before.totals, &report.totals))
+        before.map_or_else(Vec::new, |before| flow_deltas(&before.totals, &report.totals))
     }
 
     /// Forgets the included report, since the sums of a new aggregator include none of this daemon
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -9,7 +9,7 @@
 pub use taking::BucketEstimates;
 pub use view::FleetRole;
 
-use super::flow_totals::{FlowTotals, differences, totals_of};
+use super::flow_totals::{FlowTotals, flow_deltas, totals_of};
 use super::messages::daemon_hash;
 use super::work_tables::RowTurn;
 use super::{
@@ -228,7 +228,7 @@
 
     fn learn_own(&mut self, flows: &[FlowRow], now: Moment) {
         let is_mesh = self.is_mesh(now);
-        for delta in differences(&totals_of(&self.own.flows), &totals_of(flows)) {
+        for delta in flow_deltas(&totals_of(&self.own.flows), &totals_of(flows)) {
             self.own_rates.add(delta.organisation, delta.taken, now);
             if is_mesh {
                 self.learn_rates(&delta, now);
