--- a/src/fleet_state/own_history.rs
+++ b/src/fleet_state/report_history.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 
 /// Number of reports kept: 4 s at 15 reports per second, far longer than the age of any sum.
-const REMEMBERED: usize = 64;
+const MAX_REPORTS: usize = 64;
 
 #[derive(Clone, Debug)]
-struct PastReport {
+struct SentReport {
     sequence: u64,
     totals: FlowTotals,
     work: Vec<WorkRow>,
@@ -19,21 +19,21 @@
 /// The most recent reports of this daemon, and the one that the aggregator's sums currently
 /// include.
 #[derive(Clone, Debug, Default)]
-pub struct OwnHistory {
-    reports: VecDeque<PastReport>,
-    included: Option<PastReport>,
+pub struct ReportHistory {
+    reports: VecDeque<SentReport>,
+    included: Option<SentReport>,
 }
 
-impl OwnHistory {
+impl ReportHistory {
     pub fn push(&mut self, sequence: u64, own: &LocalState) {
-        let report = PastReport {
+        let report = SentReport {
             sequence,
             totals: totals_of(&own.flows),
             work: own.work.clone(),
             waiting: own.waiting.clone(),
         };
         self.reports.push_back(report);
-        if self.reports.len() > REMEMBERED {
+        if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
         }
     }
@@ -41,22 +41,22 @@
     /// Notes that the aggregator's sums include the report `sequence`, and returns the increase of
     /// this daemon's own counters since the report included before. The first included report is
     /// the baseline and returns no increase.
-    pub fn include(&mut self, sequence: u64) -> Vec<FlowDelta> {
+    pub fn mark_included(&mut self, sequence: u64) -> Vec<FlowDelta> {
         let is_new = self.included.as_ref().is_none_or(|report| report.sequence < sequence);
-        let Some(at) = self.reports.iter().position(|report| report.sequence == sequence) else {
+        let Some(idx) = self.reports.iter().position(|report| report.sequence == sequence) else {
             return Vec::new();
         };
         if !is_new {
             return Vec::new();
         }
-        let report = self.reports[at].clone();
+        let report = self.reports[idx].clone();
         let before = self.included.replace(report.clone());
         before.map_or_else(Vec::new, |before| flow_deltas(&before.totals, &report.totals))
     }
 
     /// Forgets the included report, since the sums of a new aggregator include none of this daemon
     /// yet.
-    pub fn start_over(&mut self) {
+    pub fn clear_included(&mut self) {
         self.included = None;
     }
 
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -14,7 +14,7 @@
 use super::work_tables::RowTurn;
 use super::{
     AggregatorChoice, Departure, FleetLayout, FleetMessage, FlowDelta, FlowLedger, FlowRates,
-    FlowRow, ListStamp, MessageSource, OrganisationHash, OwnHistory, RowRotation, WaitingRow,
+    FlowRow, ListStamp, MessageSource, OrganisationHash, ReportHistory, RowRotation, WaitingRow,
     WorkRow, WorkTable,
 };
 use crate::policy::Moment;
@@ -107,7 +107,7 @@
     /// Round-robin positions in the group's rows and in those of other groups.
     group_turn: RowTurn,
     away_turn: RowTurn,
-    history: OwnHistory,
+    history: ReportHistory,
     own: LocalState,
     group_flows: FlowTotals,
     fleet_flows: FlowTotals,
@@ -141,7 +141,7 @@
             away: WorkTable::default(),
             group_turn: RowTurn::default(),
             away_turn: RowTurn::default(),
-            history: OwnHistory::default(),
+            history: ReportHistory::default(),
             own: LocalState::default(),
             group_flows: FlowTotals::new(),
             fleet_flows: FlowTotals::new(),
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -57,7 +57,7 @@
         let before = self.choice.chosen();
         let aggregator = self.choice.choose(&candidates, own, self.layout.send_interval(), now);
         if before != Some(aggregator) {
-            self.history.start_over();
+            self.history.clear_included();
             let left = before.filter(|before| *before != own);
             if let Some(left) = left {
                 let report = self.report(true, Departure::Moved);
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -141,7 +141,8 @@
         }
         let own = self.own_hash();
         let included = summary.included.iter().find(|(hash, _)| *hash == own);
-        let own = included.map_or_else(Vec::new, |(_, sequence)| self.history.include(*sequence));
+        let own =
+            included.map_or_else(Vec::new, |(_, sequence)| self.history.mark_included(*sequence));
         for delta in own {
             self.charge(delta.organisation, -delta.taken);
         }
