--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -11,7 +11,7 @@
 
 use super::flow_totals::{FlowTotals, flow_deltas, totals_of};
 use super::messages::daemon_hash;
-use super::work_tables::RowTurn;
+use super::work_tables::RowCursor;
 use super::{
     AggregatorChoice, Departure, FleetLayout, FleetMessage, FlowDelta, FlowLedger, FlowRates,
     FlowRow, ListStamp, MessageSource, OrganisationHash, ReportHistory, RowRotation, WaitingRow,
@@ -103,10 +103,10 @@
     /// Token counters of the fleet, as reported by this daemon's aggregator.
     upward: FlowLedger,
     summary: Option<SummaryView>,
-    away: WorkTable,
+    other_groups: WorkTable,
     /// Round-robin positions in the group's rows and in those of other groups.
-    group_turn: RowTurn,
-    away_turn: RowTurn,
+    group_cursor: RowCursor,
+    other_groups_cursor: RowCursor,
     history: ReportHistory,
     own: LocalState,
     group_flows: FlowTotals,
@@ -138,9 +138,9 @@
             aggregators: BTreeMap::new(),
             upward: FlowLedger::default(),
             summary: None,
-            away: WorkTable::default(),
-            group_turn: RowTurn::default(),
-            away_turn: RowTurn::default(),
+            other_groups: WorkTable::default(),
+            group_cursor: RowCursor::default(),
+            other_groups_cursor: RowCursor::default(),
             history: ReportHistory::default(),
             own: LocalState::default(),
             group_flows: FlowTotals::new(),
@@ -367,7 +367,7 @@
         let aggregators = &self.aggregators;
         self.peers.retain(|daemon, _| aggregators.contains_key(daemon));
         self.upward.retain(|_, heard| is_known(heard));
-        self.away.forget(now);
+        self.other_groups.remove_expired(now);
     }
 }
 
--- a/src/fleet_state/state/parts.rs
+++ b/src/fleet_state/state/parts.rs
@@ -1,6 +1,6 @@
 //! State kept for each daemon that sends messages to this one.
 
-use crate::fleet_state::work_tables::TimedRows;
+use crate::fleet_state::work_tables::ExpiringRows;
 use crate::fleet_state::{WaitingRow, WorkRow};
 use crate::policy::Moment;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub address: SocketAddr,
     /// The daemons that its sums cover, by hash of their names.
     pub members: Vec<u32>,
-    pub work: TimedRows,
+    pub work: ExpiringRows,
     pub heard: Moment,
     /// Age of the oldest report in its sums when they arrived.
     pub age: Duration,
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/sending.rs
@@ -131,7 +131,7 @@
 
     fn group_sum(&mut self, work: &BTreeMap<UpstreamHash, OthersWork>, now: Moment) -> GroupSum {
         let flows = rows(&self.group_flows, &self.own.flows);
-        let chosen = self.group_turn.next_rows(work);
+        let chosen = self.group_cursor.next_rows(work);
         GroupSum {
             source: self.source(),
             members: self.reporters.values().map(|reporter| reporter.hash).collect(),
@@ -168,7 +168,7 @@
             flows: self.fleet_rows.select_rows(flows),
             work: work_rows(work),
             waiting: waiting_rows(&self.members_waiting(true, now)),
-            away: self.away_turn.next_rows(&away),
+            away: self.other_groups_cursor.next_rows(&away),
             list: self.own.list,
             is_leaving: self.own.has_left,
             suspects: self.own.suspects.clone(),
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -81,7 +81,7 @@
             self.heard.remove(address);
             return Ok(());
         }
-        self.away.learn_speeds(&work, now);
+        self.other_groups.record_speeds(&work, now);
         let (hash, address) = (daemon_hash(daemon), *address);
         let reporter = Reporter { address, hash, work, waiting, heard: now, can_read_list };
         self.reporters.insert(daemon.clone(), reporter);
@@ -97,11 +97,11 @@
             self.remove_peer(daemon);
             return Ok(());
         }
-        self.away.take(&sum.work, now);
+        self.other_groups.insert(&sum.work, now);
         let known = self.aggregators.remove(daemon);
         let mut work = known.map(|peer| peer.work).unwrap_or_default();
-        work.take(&sum.work, sum.is_whole, now);
-        work.forget(now);
+        work.insert(&sum.work, sum.is_whole, now);
+        work.remove_expired(now);
         let peer = PeerAggregator {
             address: *address,
             members: sum.members,
@@ -146,8 +146,8 @@
         for delta in own {
             self.charge(delta.organisation, -delta.taken);
         }
-        self.away.take(&summary.away, now);
-        self.away.learn_speeds(&summary.work, now);
+        self.other_groups.insert(&summary.away, now);
+        self.other_groups.record_speeds(&summary.work, now);
         self.summary = Some(SummaryView {
             address,
             covers: summary.covers,
--- a/src/fleet_state/state/view.rs
+++ b/src/fleet_state/state/view.rs
@@ -201,9 +201,9 @@
             subtract_work(&mut sums, self.history.included_work());
         }
         if !self.is_mesh(now) {
-            add_hints(&mut sums, self.away.away());
+            add_hints(&mut sums, self.other_groups.rows());
         }
-        self.away.add_speeds(&mut sums);
+        self.other_groups.add_speeds(&mut sums);
         sums
     }
 }
--- a/src/fleet_state/work_tables.rs
+++ b/src/fleet_state/work_tables.rs
@@ -9,11 +9,11 @@
 /// Time to live of a row of another group; requests seldom run longer. At 40 rows per message the
 /// rows of 1,000 upstreams are all sent within it. With more upstreams some rows are missing, which
 /// occasionally leads to a worse choice of upstream.
-const AWAY_LIFE: Duration = Duration::from_millis(1_500);
+const OTHER_GROUP_ROW_TTL: Duration = Duration::from_millis(1_500);
 /// Time to live of a measured upstream speed. Upstreams come and go, so old entries have to expire.
-const SPEED_LIFE: Duration = Duration::from_secs(60);
+const SPEED_TTL: Duration = Duration::from_secs(60);
 /// Maximum number of rows of other groups in one message, about 500 bytes.
-const AWAY_ROWS: usize = 40;
+const MAX_OTHER_GROUP_ROWS: usize = 40;
 
 pub fn add_work(
     sums: &mut BTreeMap<UpstreamHash, OthersWork>,
@@ -49,15 +49,15 @@
     }
 }
 
-/// Rows that arrive a few at a time and expire after [`AWAY_LIFE`].
+/// Rows that arrive a few at a time and expire after [`OTHER_GROUP_ROW_TTL`].
 #[derive(Clone, Debug, Default)]
-pub struct TimedRows {
+pub struct ExpiringRows {
     rows: BTreeMap<UpstreamHash, (OthersWork, Moment)>,
 }
 
-impl TimedRows {
+impl ExpiringRows {
     /// Inserts rows. If `is_whole`, they replace all earlier rows.
-    pub fn take(&mut self, rows: &[WorkRow], is_whole: bool, now: Moment) {
+    pub fn insert(&mut self, rows: &[WorkRow], is_whole: bool, now: Moment) {
         if is_whole {
             self.rows.clear();
         }
@@ -65,8 +65,8 @@
     }
 
     /// Removes expired rows.
-    pub fn forget(&mut self, now: Moment) {
-        self.rows.retain(|_, (_, at)| now.since(*at) < AWAY_LIFE);
+    pub fn remove_expired(&mut self, now: Moment) {
+        self.rows.retain(|_, (_, at)| now.since(*at) < OTHER_GROUP_ROW_TTL);
     }
 
     /// Returns the rows that have not been removed.
@@ -78,50 +78,50 @@
 /// Rows of other groups, and the measured speed of each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct WorkTable {
-    away: TimedRows,
+    other_groups: ExpiringRows,
     speeds: BTreeMap<UpstreamHash, (u32, Moment)>,
 }
 
 /// Position of a round-robin over rows that are sent a few at a time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RowTurn {
-    last: Option<UpstreamHash>,
+pub struct RowCursor {
+    last_sent: Option<UpstreamHash>,
 }
 
-impl RowTurn {
+impl RowCursor {
     /// Returns the next rows of `sums`, least recently sent first.
     pub fn next_rows(&mut self, sums: &BTreeMap<UpstreamHash, OthersWork>) -> Vec<WorkRow> {
-        let start = self.last.map_or(Bound::Unbounded, Bound::Excluded);
+        let start = self.last_sent.map_or(Bound::Unbounded, Bound::Excluded);
         let later = sums.range((start, Bound::Unbounded));
-        let chosen = later.chain(sums.iter()).take(AWAY_ROWS.min(sums.len()));
-        let chosen: Vec<WorkRow> = chosen.map(|(upstream, work)| (*upstream, *work)).collect();
-        self.last = chosen.last().map(|(upstream, _)| *upstream);
-        chosen
+        let selected = later.chain(sums.iter()).take(MAX_OTHER_GROUP_ROWS.min(sums.len()));
+        let selected: Vec<WorkRow> = selected.map(|(upstream, work)| (*upstream, *work)).collect();
+        self.last_sent = selected.last().map(|(upstream, _)| *upstream);
+        selected
     }
 }
 
 impl WorkTable {
     /// Inserts rows of other groups and records their speeds.
-    pub fn take(&mut self, rows: &[WorkRow], now: Moment) {
-        self.away.take(rows, false, now);
-        self.learn_speeds(rows, now);
+    pub fn insert(&mut self, rows: &[WorkRow], now: Moment) {
+        self.other_groups.insert(rows, false, now);
+        self.record_speeds(rows, now);
     }
 
     /// Records the speeds of `rows` only.
-    pub fn learn_speeds(&mut self, rows: &[WorkRow], now: Moment) {
-        let learned = rows.iter().filter(|(_, work)| work.gap_micros > 0);
-        self.speeds.extend(learned.map(|(upstream, work)| (*upstream, (work.gap_micros, now))));
+    pub fn record_speeds(&mut self, rows: &[WorkRow], now: Moment) {
+        let measured = rows.iter().filter(|(_, work)| work.gap_micros > 0);
+        self.speeds.extend(measured.map(|(upstream, work)| (*upstream, (work.gap_micros, now))));
     }
 
     /// Removes expired rows and speeds.
-    pub fn forget(&mut self, now: Moment) {
-        self.away.forget(now);
-        self.speeds.retain(|_, (_, at)| now.since(*at) < SPEED_LIFE);
+    pub fn remove_expired(&mut self, now: Moment) {
+        self.other_groups.remove_expired(now);
+        self.speeds.retain(|_, (_, at)| now.since(*at) < SPEED_TTL);
     }
 
     /// Returns the rows of other groups.
-    pub fn away(&self) -> impl Iterator<Item = WorkRow> {
-        self.away.rows()
+    pub fn rows(&self) -> impl Iterator<Item = WorkRow> {
+        self.other_groups.rows()
     }
 
     /// Sets the known speeds in `sums`.
