--- a/src/fleet_state/list_freshness.rs
+++ b/src/fleet_state/list_freshness.rs
@@ -7,28 +7,28 @@
 /// A list is fresh for this long after a reading that confirmed it. An upstream that is leaving
 /// must get no new work 3 s after the list shows it; the list is read every second, and a lost
 /// reader is replaced within 500 ms.
-const LIST_LIFE: Duration = Duration::from_millis(1_800);
+const CONFIRMED_TTL: Duration = Duration::from_millis(1_800);
 /// Delay before a daemon that has a table but no list reads the platform's list itself, to leave
 /// time for the list of other daemons. After the loss of the whole fleet there is no leader for one
 /// or two seconds to name the other daemons, and callers are already connected.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
+const INITIAL_READ_DELAY: Duration = Duration::from_millis(250);
 /// Daemons that have just started spread their first read evenly over this period, which begins
-/// after [`FIRST_WAIT`].
-const FIRST_SPREAD: Duration = Duration::from_millis(500);
+/// after [`INITIAL_READ_DELAY`].
+const INITIAL_READ_SPREAD: Duration = Duration::from_millis(500);
 /// Daemons whose list is overdue spread their reads evenly over this period for each 100 daemons,
 /// so that most learn of another daemon's reading first when the reader is lost. If the reads of
 /// the fleet took more than two such periods, they would exceed the platform's rate limit.
-const SPREAD_PER_HUNDRED: Duration = Duration::from_millis(1_000);
+const OVERDUE_SPREAD_PER_HUNDRED: Duration = Duration::from_millis(1_000);
 /// Maximum spread; a leaving upstream must not get work for longer than this.
-const MOST_SPREAD: Duration = Duration::from_millis(3_000);
+const MAX_OVERDUE_SPREAD: Duration = Duration::from_millis(3_000);
 /// A daemon that failed to read the list leaves it to other daemons for this long.
-const UNREAD_PAUSE: Duration = Duration::from_secs(5);
+const READ_FAILURE_BACKOFF: Duration = Duration::from_secs(5);
 /// Another daemon must report a different list for this long before the full list is requested,
 /// because the change is usually on its way.
-const DIFFERS_FOR: Duration = Duration::from_millis(250);
+const MISMATCH_GRACE: Duration = Duration::from_millis(250);
 /// Minimum interval between requests for the list from a daemon that has no list, or one that
 /// differs from the last reading.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Times of the last events that concern the list.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,33 +36,33 @@
     /// When this daemon first had a table, and so could serve callers.
     needed_since: Option<Moment>,
     /// Position of this daemon within the spread of overdue reads, 0.0 to 1.0.
-    place: f64,
+    jitter: f64,
     /// The last reading that agrees with this daemon's list.
-    confirmed: Option<Moment>,
+    confirmed_at: Option<Moment>,
     /// The last failed attempt of this daemon to read the list.
-    failed: Option<Moment>,
+    failed_at: Option<Moment>,
     /// When a newer reading of a different list was first reported.
-    differs_since: Option<Moment>,
-    asked: Option<Moment>,
+    mismatch_since: Option<Moment>,
+    requested_at: Option<Moment>,
 }
 
 impl ListFreshness {
-    /// Creates the state of a daemon without a list. `place` is drawn from 0.0..1.0.
-    pub fn new(place: f64) -> Self {
-        ListFreshness { place, ..ListFreshness::default() }
+    /// Creates the state of a daemon without a list. `jitter` is drawn from 0.0..1.0.
+    pub fn new(jitter: f64) -> Self {
+        ListFreshness { jitter, ..ListFreshness::default() }
     }
 
     /// Returns true if this daemon's list has not been confirmed by a reading for too long, in a
     /// fleet of `daemons`. A daemon without a table needs no list.
     pub fn is_overdue(&mut self, daemons: usize, has_table: bool, now: Moment) -> bool {
         self.needed_since = self.needed_since.or(has_table.then_some(now));
-        let spread = (SPREAD_PER_HUNDRED * daemons as u32 / 100).min(MOST_SPREAD);
-        match (self.confirmed, self.needed_since) {
-            (Some(at), _) => now.since(at) >= LIST_LIFE + spread.mul_f64(self.place),
+        let spread = (OVERDUE_SPREAD_PER_HUNDRED * daemons as u32 / 100).min(MAX_OVERDUE_SPREAD);
+        match (self.confirmed_at, self.needed_since) {
+            (Some(at), _) => now.since(at) >= CONFIRMED_TTL + spread.mul_f64(self.jitter),
             // The number of other daemons that have just started is unknown, so the spread does not
             // depend on the fleet size.
             (None, Some(since)) => {
-                now.since(since) >= FIRST_WAIT + FIRST_SPREAD.mul_f64(self.place)
+                now.since(since) >= INITIAL_READ_DELAY + INITIAL_READ_SPREAD.mul_f64(self.jitter)
             }
             (None, None) => false,
         }
@@ -70,48 +70,48 @@
 
     /// Returns the time since the last reading that agrees with this daemon's list.
     pub fn age(&self, now: Moment) -> Option<Duration> {
-        self.confirmed.map(|at| now.since(at))
+        self.confirmed_at.map(|at| now.since(at))
     }
 
     /// Returns true unless this daemon failed to read the list recently.
     pub fn can_read(&self, now: Moment) -> bool {
-        self.failed.is_none_or(|at| now.since(at) >= UNREAD_PAUSE)
+        self.failed_at.is_none_or(|at| now.since(at) >= READ_FAILURE_BACKOFF)
     }
 
     /// Records that this daemon has read the list.
     pub fn record_read(&mut self, now: Moment) {
         self.confirm(now);
-        self.failed = None;
+        self.failed_at = None;
     }
 
     /// Records that this daemon failed to read the list.
     pub fn record_failure(&mut self, now: Moment) {
-        self.failed = Some(now);
+        self.failed_at = Some(now);
     }
 
     /// Records that a reading at time `at` agrees with this daemon's list.
     pub fn confirm(&mut self, at: Moment) {
-        self.confirmed = self.confirmed.max(Some(at));
-        self.differs_since = None;
+        self.confirmed_at = self.confirmed_at.max(Some(at));
+        self.mismatch_since = None;
     }
 
     /// Records that a reading at `read_at` gave a different list. Returns true if the full list
     /// should be requested now: the reading is newer than this daemon's list, and the change has
     /// not arrived in time.
     pub fn record_mismatch(&mut self, read_at: Moment, now: Moment) -> bool {
-        if self.confirmed.is_some_and(|at| at >= read_at) {
+        if self.confirmed_at.is_some_and(|at| at >= read_at) {
             return false;
         }
-        let since = *self.differs_since.get_or_insert(now);
-        now.since(since) >= DIFFERS_FOR && self.may_ask(now)
+        let since = *self.mismatch_since.get_or_insert(now);
+        now.since(since) >= MISMATCH_GRACE && self.may_request(now)
     }
 
     /// Returns true if this daemon may request the list now, and if so records the request.
-    pub fn may_ask(&mut self, now: Moment) -> bool {
-        let may = self.asked.is_none_or(|at| now.since(at) >= ASK_PAUSE);
-        if may {
-            self.asked = Some(now);
+    pub fn may_request(&mut self, now: Moment) -> bool {
+        let is_allowed = self.requested_at.is_none_or(|at| now.since(at) >= MIN_REQUEST_INTERVAL);
+        if is_allowed {
+            self.requested_at = Some(now);
         }
-        may
+        is_allowed
     }
 }
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -84,8 +84,8 @@
         self.news.notify_one();
     }
 
-    fn may_ask(&self, now: Moment) -> bool {
-        lock(&self.freshness).may_ask(now)
+    fn may_request(&self, now: Moment) -> bool {
+        lock(&self.freshness).may_request(now)
     }
 
     /// Returns true if this daemon may send another full list now.
@@ -157,7 +157,7 @@
     let draw = state.jitter();
     let source = state.fleet.fleet().and_then(|fleet| fleet.list_source(draw, now));
     if let Some(address) = source
-        && exchange.may_ask(now)
+        && exchange.may_request(now)
     {
         ask(state, socket, address);
     }
@@ -212,7 +212,7 @@
                 exchange.pass_on(change.clone());
             }
         }
-        ChangeVerdict::Unknown if exchange.may_ask(now) => ask(state, socket, address),
+        ChangeVerdict::Unknown if exchange.may_request(now) => ask(state, socket, address),
         ChangeVerdict::Unknown => {}
     }
 }
