--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -221,31 +221,31 @@
 
 /// Maximum number of requests of one daemon or group at one upstream. An upstream works on tens of
 /// requests at once.
-const MOST_REQUESTS: u32 = 1 << 20;
+const MAX_REQUESTS: u32 = 1 << 20;
 /// Maximum number of tokens that a source counts for one organisation: a century at 12 million per
 /// second.
-const MOST_TOKENS: u64 = 1 << 55;
+const MAX_TOKENS: u64 = 1 << 55;
 
 impl FleetMessage {
     /// Rejects messages that report impossible values.
-    pub fn check(&self) -> Result<(), MessageRefusal> {
+    pub fn validate(&self) -> Result<(), MessageRefusal> {
         // Sums include estimates for silent daemons, so the tokens admitted may exceed those
         // requested.
-        let (flows, work, is_own) = match self {
+        let (flows, work, is_report) = match self {
             FleetMessage::Report(report) => (&report.flows, &report.work, true),
             FleetMessage::Sum(sum) => (&sum.flows, &sum.work, false),
             FleetMessage::Summary(summary) => (&summary.flows, &summary.work, false),
         };
         let address = self.source().address;
         let is_reachable = address.port() != 0 && !address.ip().is_unspecified();
-        let counts = |row: &FlowRow| {
-            let most = if is_own { row.asked } else { MOST_TOKENS };
-            row.asked <= MOST_TOKENS && row.taken.unsigned_abs() <= most
+        let is_valid_flow = |row: &FlowRow| {
+            let max_taken = if is_report { row.asked } else { MAX_TOKENS };
+            row.asked <= MAX_TOKENS && row.taken.unsigned_abs() <= max_taken
         };
-        let works = |row: &WorkRow| row.1.requests <= MOST_REQUESTS;
+        let is_valid_work = |row: &WorkRow| row.1.requests <= MAX_REQUESTS;
         let is_plausible = is_reachable
-            && flows.iter().all(counts)
-            && work.iter().all(works)
+            && flows.iter().all(is_valid_flow)
+            && work.iter().all(is_valid_work)
             && self.suspects().is_plausible();
         if is_plausible { Ok(()) } else { Err(MessageRefusal::Implausible) }
     }
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/taking.rs
@@ -28,7 +28,7 @@
         if message.source().daemon == self.identity.daemon {
             return Err(MessageRefusal::Overtaken);
         }
-        message.check()?;
+        message.validate()?;
         self.heard.insert(message.source().address, now);
         match message {
             FleetMessage::Report(report) => {
