--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -1,13 +1,13 @@
 //! The fleet's state as one daemon sees it: its role, the messages that it sends, and those that it
 //! receives.
 
-mod parts;
-mod sending;
-mod taking;
-mod view;
+mod peers;
+mod queries;
+mod receive;
+mod send;
 
-pub use taking::BucketEstimates;
-pub use view::FleetRole;
+pub use queries::FleetRole;
+pub use receive::BucketEstimates;
 
 use super::flow_totals::{FlowTotals, flow_deltas, totals_of};
 use super::messages::daemon_hash;
@@ -20,7 +20,7 @@
 use crate::policy::Moment;
 use crate::quarantine::SuspectNews;
 use crate::table::DaemonName;
-use parts::{PeerAggregator, Reporter, SummaryView};
+use peers::{PeerAggregator, Reporter, SummaryView};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
