--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -113,14 +113,14 @@
         Ok(deltas)
     }
 
-    /// Estimates the tokens that silent sources have admitted since the previous call. `limits` are
+    /// Estimates the tokens that silent sources have admitted since the previous call. `limit_rates` are
     /// the rates that the limits allow. Each source is assumed to use its own share of the limit,
     /// so that partitions of a fleet still keep to the limit between them. `fleet` holds the rates
     /// of the whole fleet; a source without a known rate has the share `equal_share`. A source counts as
     /// silent once it has not been heard for the duration `timeout`.
     pub fn estimate_silent(
         &mut self,
-        limits: &[(OrganisationHash, f64)],
+        limit_rates: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
         (equal_share, timeout): (f64, Duration),
         now: Moment,
@@ -130,8 +130,8 @@
             if now.since(source.last_heard) < timeout {
                 continue;
             }
-            source.begin_silence(limits, fleet, equal_share, now);
-            deltas.extend(source.estimate(limits, now));
+            source.begin_silence(limit_rates, fleet, equal_share, now);
+            deltas.extend(source.estimate(limit_rates, now));
         }
         deltas
     }
@@ -190,7 +190,7 @@
 
     fn begin_silence(
         &mut self,
-        limits: &[(OrganisationHash, f64)],
+        limit_rates: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
         equal_share: f64,
         now: Moment,
@@ -207,7 +207,8 @@
                 equal_share
             }
         };
-        let shares = limits.iter().map(|(organisation, _)| (*organisation, share(*organisation)));
+        let shares =
+            limit_rates.iter().map(|(organisation, _)| (*organisation, share(*organisation)));
         let shares = shares.collect();
         self.silence = Some(SilentPeriod {
             shares,
@@ -216,12 +217,12 @@
         });
     }
 
-    fn estimate(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) -> Vec<FlowDelta> {
+    fn estimate(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) -> Vec<FlowDelta> {
         let Some(silence) = &mut self.silence else { return Vec::new() };
         let seconds = now.since(silence.estimated_until).as_secs_f64();
         silence.estimated_until = now;
         let mut deltas = Vec::new();
-        for (organisation, limit) in limits {
+        for (organisation, limit) in limit_rates {
             let rate = limit * silence.shares.get(organisation).copied().unwrap_or(0.0);
             let tokens = rate * seconds;
             let estimated = silence.estimated.entry(*organisation).or_default();
--- a/src/fleet_state/report_history.rs
+++ b/src/fleet_state/report_history.rs
@@ -25,12 +25,12 @@
 }
 
 impl ReportHistory {
-    pub fn push(&mut self, sequence: u64, own: &LocalState) {
+    pub fn push(&mut self, sequence: u64, local: &LocalState) {
         let report = SentReport {
             sequence,
-            totals: totals_of(&own.flows),
-            work: own.work.clone(),
-            waiting: own.waiting.clone(),
+            totals: totals_of(&local.flows),
+            work: local.work.clone(),
+            waiting: local.waiting.clone(),
         };
         self.reports.push_back(report);
         if self.reports.len() > MAX_REPORTS {
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -20,27 +20,27 @@
 use crate::policy::Moment;
 use crate::quarantine::SuspectNews;
 use crate::table::DaemonName;
-use peers::{PeerAggregator, Reporter, SummaryView};
+use peers::{LastSummary, MemberState, PeerAggregator};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Share of each limit that a daemon uses while it knows of no other daemon, as in a small fleet.
-const UNINFORMED_SHARE: f64 = 1.0 / 8.0;
+const ISOLATED_SHARE: f64 = 1.0 / 8.0;
 /// Silence after which a daemon's usage is estimated from the organisations' limits. It may be cut
 /// off from this daemon and still serve callers.
-const SILENT_AFTER: Duration = Duration::from_millis(600);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Minimum of the silence and liveness timeouts, in message intervals.
-const SILENT_PAUSES: u32 = 4;
+const MIN_TIMEOUT_INTERVALS: u32 = 4;
 /// Time to live of a daemon's reported requests. The daemon may have died, and its requests with
 /// it.
-const WORK_LIFE: Duration = Duration::from_millis(1_000);
+const WORK_TTL: Duration = Duration::from_millis(1_000);
 /// An aggregator is considered live for this long after its last message.
-const PEER_LIFE: Duration = Duration::from_millis(500);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(500);
 /// A silent daemon is removed after this long, even if the leader has removed it earlier: a daemon
 /// that is cut off from the voters continues to serve, and cannot be told from a dead one. The time
 /// exceeds the usual duration of a network partition.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time for which the leader's list of daemons is used alone. After that, daemons that were heard
 /// are added to it.
 const SERVING_LIST_TTL: Duration = Duration::from_secs(5);
@@ -91,24 +91,24 @@
     /// the first.
     serving_list: Option<(Vec<SocketAddr>, Moment)>,
     /// When a message was last received from each address.
-    heard: BTreeMap<SocketAddr, Moment>,
+    last_heard: BTreeMap<SocketAddr, Moment>,
     layout: FleetLayout,
     choice: AggregatorChoice,
     /// Token counters of the daemons that report to this one.
-    members: FlowLedger,
-    reporters: BTreeMap<DaemonName, Reporter>,
+    member_flows: FlowLedger,
+    members: BTreeMap<DaemonName, MemberState>,
     /// Token counters of the other aggregators.
-    peers: FlowLedger,
+    peer_flows: FlowLedger,
     aggregators: BTreeMap<DaemonName, PeerAggregator>,
     /// Token counters of the fleet, as reported by this daemon's aggregator.
-    upward: FlowLedger,
-    summary: Option<SummaryView>,
+    summary_flows: FlowLedger,
+    summary: Option<LastSummary>,
     other_groups: WorkTable,
     /// Round-robin positions in the group's rows and in those of other groups.
     group_cursor: RowCursor,
     other_groups_cursor: RowCursor,
     history: ReportHistory,
-    own: LocalState,
+    local: LocalState,
     group_flows: FlowTotals,
     fleet_flows: FlowTotals,
     taken_rates: FlowRates,
@@ -129,20 +129,20 @@
             identity,
             sequence: 0,
             serving_list: None,
-            heard: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             layout,
             choice: AggregatorChoice::default(),
-            members: FlowLedger::default(),
-            reporters: BTreeMap::new(),
-            peers: FlowLedger::default(),
+            member_flows: FlowLedger::default(),
+            members: BTreeMap::new(),
+            peer_flows: FlowLedger::default(),
             aggregators: BTreeMap::new(),
-            upward: FlowLedger::default(),
+            summary_flows: FlowLedger::default(),
             summary: None,
             other_groups: WorkTable::default(),
             group_cursor: RowCursor::default(),
             other_groups_cursor: RowCursor::default(),
             history: ReportHistory::default(),
-            own: LocalState::default(),
+            local: LocalState::default(),
             group_flows: FlowTotals::new(),
             fleet_flows: FlowTotals::new(),
             taken_rates: FlowRates::default(),
@@ -174,28 +174,28 @@
     }
 
     /// Advances the state to `now`: records this daemon's own activity and returns the messages to
-    /// send. `limits` are the rates that the organisations' limits allow, in tokens per second.
+    /// send. `limit_rates` are the rates that the organisations' limits allow, in tokens per second.
     pub fn tick(
         &mut self,
-        own: LocalState,
-        limits: &[(OrganisationHash, f64)],
+        local: LocalState,
+        limit_rates: &[(OrganisationHash, f64)],
         now: Moment,
     ) -> Vec<OutgoingMessage> {
         self.sequence += 1;
         self.refresh_layout(now);
-        self.learn_own(&own.flows, now);
-        self.own = own;
+        self.record_own_flows(&local.flows, now);
+        self.local = local;
         let mut outgoing = Vec::new();
         if self.is_mesh(now) {
             self.report_to_all(&mut outgoing);
         } else {
-            self.report_upward(now, &mut outgoing);
+            self.report_to_aggregator(now, &mut outgoing);
         }
-        if self.acts(now) {
+        if self.is_aggregating(now) {
             self.send_sums(now, &mut outgoing);
         }
-        self.estimate_silent(limits, now);
-        self.forget(now);
+        self.estimate_silent(limit_rates, now);
+        self.remove_expired(now);
         outgoing
     }
 
@@ -219,161 +219,177 @@
         let serving_list =
             self.serving_list.as_ref().map_or(&[][..], |(serving_list, _)| serving_list.as_slice());
         let trusts_leader = self.serving_list.as_ref().is_some_and(|(_, at)| is_fresh(at));
-        let heard = self.heard.keys().filter(|_| !trusts_leader);
+        let heard_addresses = self.last_heard.keys().filter(|_| !trusts_leader);
         let own = [self.identity.address];
         let addresses: Vec<SocketAddr> =
-            serving_list.iter().chain(heard).chain(&own).copied().collect();
+            serving_list.iter().chain(heard_addresses).chain(&own).copied().collect();
         self.layout = FleetLayout::new(addresses);
     }
 
-    fn learn_own(&mut self, flows: &[FlowRow], now: Moment) {
+    fn record_own_flows(&mut self, flows: &[FlowRow], now: Moment) {
         let is_mesh = self.is_mesh(now);
-        for delta in flow_deltas(&totals_of(&self.own.flows), &totals_of(flows)) {
+        for delta in flow_deltas(&totals_of(&self.local.flows), &totals_of(flows)) {
             self.own_rates.add(delta.organisation, delta.taken, now);
             if is_mesh {
-                self.learn_rates(&delta, now);
+                self.record_rates(&delta, now);
             }
         }
     }
 
     /// Adds tokens of any daemon to the fleet's rates.
-    fn learn_rates(&mut self, delta: &FlowDelta, now: Moment) {
+    fn record_rates(&mut self, delta: &FlowDelta, now: Moment) {
         self.taken_rates.add(delta.organisation, delta.taken, now);
         self.asked_rates.add(delta.organisation, delta.asked as i64, now);
     }
 
     /// Queues tokens of other daemons to be charged to this daemon's limits.
-    fn charge(&mut self, organisation: OrganisationHash, tokens: i64) {
+    fn queue_charge(&mut self, organisation: OrganisationHash, tokens: i64) {
         *self.charges.entry(organisation).or_default() += tokens;
     }
 
     /// Returns true if this daemon sums the reports of other daemons itself, instead of receiving
     /// the sums from an aggregator.
-    fn counts_itself(&self, now: Moment) -> bool {
+    fn has_direct_view(&self, now: Moment) -> bool {
         self.is_mesh(now) || self.choice.chosen() == Some(self.identity.address)
     }
 
     /// Returns true if the fleet uses no aggregators, as far as this daemon knows.
     fn is_mesh(&self, now: Moment) -> bool {
         let hears_summaries =
-            self.summary.as_ref().is_some_and(|summary| now.since(summary.heard) < WORK_LIFE);
+            self.summary.as_ref().is_some_and(|summary| now.since(summary.last_heard) < WORK_TTL);
         self.layout.is_mesh() && !hears_summaries
     }
 
     /// Returns true if this daemon aggregates for its group or for any daemon that reports to it.
-    fn acts(&self, now: Moment) -> bool {
+    fn is_aggregating(&self, now: Moment) -> bool {
         if self.is_mesh(now) {
             return false;
         }
-        let is_fresh = |reporter: &Reporter| now.since(reporter.heard) < PEER_LIFE;
-        self.choice.chosen() == Some(self.identity.address) || self.reporters.values().any(is_fresh)
+        let is_fresh = |member: &MemberState| now.since(member.last_heard) < LIVENESS_TIMEOUT;
+        self.choice.chosen() == Some(self.identity.address) || self.members.values().any(is_fresh)
     }
 
     /// Adds tokens to the sums. `is_member` is set if they come from a daemon that reports here,
     /// `is_own` if they are this daemon's own.
-    fn count(&mut self, deltas: &[FlowDelta], (is_member, is_own): (bool, bool), now: Moment) {
-        let counts_itself = self.counts_itself(now);
+    fn add_deltas(&mut self, deltas: &[FlowDelta], (is_member, is_own): (bool, bool), now: Moment) {
+        let has_direct_view = self.has_direct_view(now);
         for delta in deltas {
             if is_member {
                 add_to(&mut self.group_flows, delta);
             }
             add_to(&mut self.fleet_flows, delta);
-            if counts_itself {
-                self.learn_rates(delta, now);
+            if has_direct_view {
+                self.record_rates(delta, now);
             }
-            if counts_itself && !is_own {
-                self.charge(delta.organisation, delta.taken);
+            if has_direct_view && !is_own {
+                self.queue_charge(delta.organisation, delta.taken);
             }
         }
     }
 
-    fn silent_after(&self) -> Duration {
-        SILENT_AFTER.max(self.layout.send_interval() * SILENT_PAUSES)
+    fn silence_timeout(&self) -> Duration {
+        SILENCE_TIMEOUT.max(self.layout.send_interval() * MIN_TIMEOUT_INTERVALS)
     }
 
     /// Adds the estimated usage of silent daemons.
-    fn estimate_silent(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
-        let after = self.silent_after();
-        let equal = 1.0 / self.layout.addresses().len().max(1) as f64;
-        let members = self.members.estimate_silent(limits, &self.taken_rates, (equal, after), now);
-        self.count(&members, (true, false), now);
-        self.drop_replaced(now);
-        let group = 1.0 / self.layout.group_count() as f64;
-        let peers = self.peers.estimate_silent(limits, &self.taken_rates, (group, after), now);
-        self.count(&peers, (false, false), now);
-        self.assume_upward(limits, now);
+    fn estimate_silent(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) {
+        let timeout = self.silence_timeout();
+        let equal_share = 1.0 / self.layout.addresses().len().max(1) as f64;
+        let members = self.member_flows.estimate_silent(
+            limit_rates,
+            &self.taken_rates,
+            (equal_share, timeout),
+            now,
+        );
+        self.add_deltas(&members, (true, false), now);
+        self.remove_covered(now);
+        let group_share = 1.0 / self.layout.group_count() as f64;
+        let peers = self.peer_flows.estimate_silent(
+            limit_rates,
+            &self.taken_rates,
+            (group_share, timeout),
+            now,
+        );
+        self.add_deltas(&peers, (false, false), now);
+        self.estimate_silent_aggregator(limit_rates, now);
     }
 
     /// Adds the estimated usage behind a silent aggregator, either the current one or one that was
     /// given up. It stands for all other daemons until another source of their counters is
     /// available.
-    fn assume_upward(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
-        let is_replaced = self.counts_itself(now)
-            && self.aggregators.values().any(|peer| now.since(peer.heard) < PEER_LIFE);
+    fn estimate_silent_aggregator(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) {
+        let is_replaced = self.has_direct_view(now)
+            && self.aggregators.values().any(|peer| now.since(peer.last_heard) < LIVENESS_TIMEOUT);
         if is_replaced {
-            self.upward = FlowLedger::default();
+            self.summary_flows = FlowLedger::default();
         }
         let address = self.summary.as_ref().map(|summary| summary.address);
         let is_excluded = address.is_some() && self.choice.chosen() != address;
-        let after = if is_excluded { Duration::ZERO } else { self.silent_after() };
-        let rest = 1.0 - 1.0 / self.layout.addresses().len().max(1) as f64;
-        let deltas = self.upward.estimate_silent(limits, &self.taken_rates, (rest, after), now);
+        let timeout = if is_excluded { Duration::ZERO } else { self.silence_timeout() };
+        let others_share = 1.0 - 1.0 / self.layout.addresses().len().max(1) as f64;
+        let deltas = self.summary_flows.estimate_silent(
+            limit_rates,
+            &self.taken_rates,
+            (others_share, timeout),
+            now,
+        );
         for delta in deltas {
-            self.charge(delta.organisation, delta.taken);
+            self.queue_charge(delta.organisation, delta.taken);
         }
     }
 
     /// Removes silent sources whose daemons are covered by another source by now.
-    fn drop_replaced(&mut self, now: Moment) {
-        let is_fresh = |heard: Moment| now.since(heard) < PEER_LIFE;
-        let live = self.aggregators.values().filter(|peer| is_fresh(peer.heard));
+    fn remove_covered(&mut self, now: Moment) {
+        let is_fresh = |last_heard: Moment| now.since(last_heard) < LIVENESS_TIMEOUT;
+        let live = self.aggregators.values().filter(|peer| is_fresh(peer.last_heard));
         let mut covered: BTreeSet<u32> =
             live.flat_map(|peer| peer.members.iter().copied()).collect();
-        let moved = self
-            .reporters
-            .iter()
-            .filter(|(_, reporter)| !is_fresh(reporter.heard) && covered.contains(&reporter.hash));
+        let moved = self.members.iter().filter(|(_, member)| {
+            !is_fresh(member.last_heard) && covered.contains(&member.daemon_hash)
+        });
         let moved: Vec<DaemonName> = moved.map(|(daemon, _)| daemon.clone()).collect();
         moved.iter().for_each(|daemon| self.remove_member(daemon));
-        covered.extend(self.reporters.values().map(|reporter| reporter.hash));
+        covered.extend(self.members.values().map(|member| member.daemon_hash));
         let is_covered =
             |peer: &PeerAggregator| peer.members.iter().any(|hash| covered.contains(hash));
-        let replaced =
-            self.aggregators.iter().filter(|(_, peer)| !is_fresh(peer.heard) && is_covered(peer));
+        let replaced = self
+            .aggregators
+            .iter()
+            .filter(|(_, peer)| !is_fresh(peer.last_heard) && is_covered(peer));
         let replaced: Vec<DaemonName> = replaced.map(|(daemon, _)| daemon.clone()).collect();
         replaced.iter().for_each(|daemon| self.remove_peer(daemon));
     }
 
     fn remove_member(&mut self, daemon: &DaemonName) {
+        self.member_flows.remove(daemon);
         self.members.remove(daemon);
-        self.reporters.remove(daemon);
     }
 
     fn remove_peer(&mut self, daemon: &DaemonName) {
-        self.peers.remove(daemon);
+        self.peer_flows.remove(daemon);
         self.aggregators.remove(daemon);
     }
 
-    fn forget(&mut self, now: Moment) {
-        let is_known = |heard: Moment| now.since(heard) < FORGOTTEN_AFTER;
+    fn remove_expired(&mut self, now: Moment) {
+        let is_known = |last_heard: Moment| now.since(last_heard) < REMOVAL_TIMEOUT;
         let layout = &self.layout;
         let is_serving = |address: SocketAddr| layout.addresses().binary_search(&address).is_ok();
-        self.heard.retain(|_, at| is_known(*at));
-        self.reporters.retain(|_, member| is_known(member.heard) || is_serving(member.address));
-        let reporters = &self.reporters;
+        self.last_heard.retain(|_, at| is_known(*at));
+        self.members.retain(|_, member| is_known(member.last_heard) || is_serving(member.address));
+        let members = &self.members;
         let own = &self.identity.daemon;
-        self.members.retain(|daemon, _| daemon == own || reporters.contains_key(daemon));
-        self.aggregators.retain(|_, peer| is_known(peer.heard));
+        self.member_flows.retain(|daemon, _| daemon == own || members.contains_key(daemon));
+        self.aggregators.retain(|_, peer| is_known(peer.last_heard));
         let aggregators = &self.aggregators;
-        self.peers.retain(|daemon, _| aggregators.contains_key(daemon));
-        self.upward.retain(|_, heard| is_known(heard));
+        self.peer_flows.retain(|daemon, _| aggregators.contains_key(daemon));
+        self.summary_flows.retain(|_, last_heard| is_known(last_heard));
         self.other_groups.remove_expired(now);
     }
 }
 
 /// Returns the departure to report, unless the daemon moves to another aggregator.
-fn departure(own: &LocalState) -> Departure {
-    if own.has_left { Departure::Left } else { Departure::Stays }
+fn departure(local: &LocalState) -> Departure {
+    if local.has_left { Departure::Left } else { Departure::Stays }
 }
 
 fn add_to(sums: &mut FlowTotals, delta: &FlowDelta) {
--- a/src/fleet_state/state/peers.rs
+++ b/src/fleet_state/state/peers.rs
@@ -8,12 +8,12 @@
 
 /// A daemon that reports to this one.
 #[derive(Clone, Debug)]
-pub struct Reporter {
+pub struct MemberState {
     pub address: SocketAddr,
-    pub hash: u32,
+    pub daemon_hash: u32,
     pub work: Vec<WorkRow>,
     pub waiting: Vec<WaitingRow>,
-    pub heard: Moment,
+    pub last_heard: Moment,
     pub can_read_list: bool,
 }
 
@@ -24,7 +24,7 @@
     /// The daemons that its sums cover, by hash of their names.
     pub members: Vec<u32>,
     pub work: ExpiringRows,
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// Age of the oldest report in its sums when they arrived.
     pub age: Duration,
     pub can_read_list: bool,
@@ -32,12 +32,12 @@
 
 /// The last summary from this daemon's aggregator.
 #[derive(Clone, Debug)]
-pub struct SummaryView {
+pub struct LastSummary {
     pub address: SocketAddr,
     pub covers: u32,
     /// Age of the oldest report in the summary when it arrived.
     pub age: Duration,
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// Requests of the whole group, including those of this daemon.
     pub work: Vec<WorkRow>,
     pub waiting: Vec<WaitingRow>,
--- a/src/fleet_state/state/queries.rs
+++ b/src/fleet_state/state/queries.rs
@@ -1,6 +1,6 @@
 //! Queries on the fleet's state by the traffic layer.
 
-use super::{FleetState, PEER_LIFE, UNINFORMED_SHARE};
+use super::{FleetState, ISOLATED_SHARE, LIVENESS_TIMEOUT};
 use crate::fleet_state::OrganisationHash;
 use crate::fleet_state::waiting_table::{WaitingTable, add_waiting, subtract_waiting};
 use crate::fleet_state::work_tables::{add_hints, add_work, subtract_work};
@@ -11,13 +11,13 @@
 
 /// Number of hops until the whole fleet knows the present state of this daemon: its report, its
 /// group's sum, and the summaries.
-const STEPS: u32 = 3;
+const FLEET_HOPS: u32 = 3;
 
 /// Number of hops within a group: the report and the summary.
-const GROUP_STEPS: u32 = 2;
+const GROUP_HOPS: u32 = 2;
 
 /// Changes of the list are forwarded to aggregators heard within this time.
-const FORWARD_LIFE: Duration = Duration::from_secs(1);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The role of a daemon in the exchange of the fleet's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,8 +59,8 @@
     /// there is no leader for about a second and no daemon knows of any other. If each then
     /// admitted the whole limit, limits would be exceeded in the first seconds.
     pub fn limit_share(&self) -> f64 {
-        let has_serving_list = self.has_serving_list() || !self.heard.is_empty();
-        if has_serving_list { 1.0 } else { UNINFORMED_SHARE }
+        let has_known_daemons = self.has_serving_list() || !self.last_heard.is_empty();
+        if has_known_daemons { 1.0 } else { ISOLATED_SHARE }
     }
 
     /// Returns true once the leader has named the daemons that serve callers.
@@ -70,36 +70,36 @@
 
     /// Returns the number of daemons that the sums cover, including this one.
     pub fn covered_daemons(&self, now: Moment) -> usize {
-        let life = self.silent_after();
-        let is_fresh = |heard: Moment| now.since(heard) < life;
-        if !self.counts_itself(now) {
-            let fresh = self.summary.as_ref().filter(|summary| is_fresh(summary.heard));
+        let ttl = self.silence_timeout();
+        let is_fresh = |last_heard: Moment| now.since(last_heard) < ttl;
+        if !self.has_direct_view(now) {
+            let fresh = self.summary.as_ref().filter(|summary| is_fresh(summary.last_heard));
             return fresh.map_or(1, |summary| summary.covers as usize);
         }
         let own = &self.identity.daemon;
-        let others = self.reporters.iter().filter(|(daemon, _)| *daemon != own);
-        let members = others.filter(|(_, member)| is_fresh(member.heard)).count();
-        let peers = self.aggregators.values().filter(|peer| is_fresh(peer.heard));
+        let others = self.members.iter().filter(|(daemon, _)| *daemon != own);
+        let members = others.filter(|(_, member)| is_fresh(member.last_heard)).count();
+        let peers = self.aggregators.values().filter(|peer| is_fresh(peer.last_heard));
         1 + members + peers.map(|peer| peer.members.len()).sum::<usize>()
     }
 
     /// Returns the age of the oldest part of the fleet's sums, excluding silent daemons.
     pub fn sums_age(&self, now: Moment) -> Duration {
-        if !self.counts_itself(now) {
+        if !self.has_direct_view(now) {
             return self.summary.as_ref().map_or(Duration::ZERO, |summary| {
-                (now.since(summary.heard) + summary.age).min(self.silent_after())
+                (now.since(summary.last_heard) + summary.age).min(self.silence_timeout())
             });
         }
-        let life = self.silent_after();
-        let live = self.aggregators.values().filter(|peer| now.since(peer.heard) < life);
-        let peers = live.map(|peer| now.since(peer.heard) + peer.age).max();
+        let ttl = self.silence_timeout();
+        let live = self.aggregators.values().filter(|peer| now.since(peer.last_heard) < ttl);
+        let peers = live.map(|peer| now.since(peer.last_heard) + peer.age).max();
         peers.unwrap_or_default().max(self.members_age(now))
     }
 
     pub(super) fn members_age(&self, now: Moment) -> Duration {
-        let life = self.silent_after();
-        let ages = self.reporters.values().map(|member| now.since(member.heard));
-        ages.filter(|age| *age < life).max().unwrap_or_default()
+        let ttl = self.silence_timeout();
+        let ages = self.members.values().map(|member| now.since(member.last_heard));
+        ages.filter(|age| *age < ttl).max().unwrap_or_default()
     }
 
     /// Returns a function that gives the forecast of what the other daemons admit against an
@@ -108,8 +108,8 @@
         // The ages of the parts range from zero to that of the oldest, so half of it is the mean.
         let age = self.sums_age(now) / 2;
         let counted_until = Moment(now.0.saturating_sub(age.as_micros() as u64));
-        let steps = if self.is_mesh(now) { 1 } else { STEPS };
-        let horizon = self.send_interval() * steps;
+        let hops = if self.is_mesh(now) { 1 } else { FLEET_HOPS };
+        let horizon = self.send_interval() * hops;
         move |organisation| {
             let taken = self.taken_rates.rate(organisation, now);
             let own = self.own_rates.rate(organisation, now);
@@ -124,32 +124,34 @@
     /// the lowest one. Partitions of the fleet that cannot hear each other have one reader each.
     /// When the reader falls silent, the next one in order takes over.
     pub fn is_list_reader(&self, now: Moment) -> bool {
-        if !self.counts_itself(now) {
+        if !self.has_direct_view(now) {
             return false;
         }
-        let own = (!self.own.can_read_list, self.identity.address);
-        let life = PEER_LIFE.max(self.layout.send_interval() * super::SILENT_PAUSES);
-        let is_fresh = |heard: Moment| now.since(heard) < life;
-        let members = self.reporters.values().filter(|_| self.is_mesh(now));
-        let members = members.map(|member| (member.heard, member.can_read_list, member.address));
+        let own = (!self.local.can_read_list, self.identity.address);
+        let ttl = LIVENESS_TIMEOUT.max(self.layout.send_interval() * super::MIN_TIMEOUT_INTERVALS);
+        let is_fresh = |last_heard: Moment| now.since(last_heard) < ttl;
+        let members = self.members.values().filter(|_| self.is_mesh(now));
+        let members =
+            members.map(|member| (member.last_heard, member.can_read_list, member.address));
         let peers = self.aggregators.values();
-        let peers = peers.map(|peer| (peer.heard, peer.can_read_list, peer.address));
-        let others = members.chain(peers).filter(|(heard, ..)| is_fresh(*heard));
+        let peers = peers.map(|peer| (peer.last_heard, peer.can_read_list, peer.address));
+        let others = members.chain(peers).filter(|(last_heard, ..)| is_fresh(*last_heard));
         others.map(|(_, can_read, address)| (!can_read, address)).all(|other| own <= other)
     }
 
     /// Returns the receivers of a change of the list: the reader sends it to the aggregators, and
     /// they forward it to their groups.
     pub fn list_receivers(&self, now: Moment) -> Vec<SocketAddr> {
-        let is_fresh = |heard: Moment| now.since(heard) < FORWARD_LIFE;
-        let reads = self.is_list_reader(now);
-        let peers = self.aggregators.values().filter(|peer| reads && is_fresh(peer.heard));
+        let is_fresh = |last_heard: Moment| now.since(last_heard) < FORWARD_TIMEOUT;
+        let is_list_reader = self.is_list_reader(now);
+        let peers =
+            self.aggregators.values().filter(|peer| is_list_reader && is_fresh(peer.last_heard));
         let group = self.layout.members(self.group().index).iter().copied();
         self.others_among(group.chain(peers.map(|peer| peer.address)))
     }
 
     /// Returns true if this daemon forwards changes of the list to its group.
-    pub fn passes_on(&self, now: Moment) -> bool {
+    pub fn is_list_forwarder(&self, now: Moment) -> bool {
         self.role(now) == FleetRole::Aggregator
     }
 
@@ -167,11 +169,12 @@
 
     /// Returns the waiting requests of the other daemons of the group.
     pub fn others_waiting(&self, now: Moment) -> WaitingTable {
-        if self.counts_itself(now) {
+        if self.has_direct_view(now) {
             return self.members_waiting(false, now);
         }
         let mut table = WaitingTable::new();
-        let fresh = self.summary.as_ref().filter(|view| now.since(view.heard) < PEER_LIFE);
+        let fresh =
+            self.summary.as_ref().filter(|view| now.since(view.last_heard) < LIVENESS_TIMEOUT);
         if let Some(summary) = fresh {
             add_waiting(&mut table, &summary.waiting);
             subtract_waiting(&mut table, self.history.included_waiting());
@@ -180,9 +183,9 @@
     }
 
     /// Returns the time until the rest of the group knows the present state of this daemon.
-    pub fn group_horizon(&self, now: Moment) -> Duration {
-        let steps = if self.counts_itself(now) { 1 } else { GROUP_STEPS };
-        self.send_interval() * steps
+    pub fn group_delay(&self, now: Moment) -> Duration {
+        let hops = if self.has_direct_view(now) { 1 } else { GROUP_HOPS };
+        self.send_interval() * hops
     }
 
     /// Returns the requests of all other daemons at each upstream, and the latest speed that one of
@@ -190,11 +193,11 @@
     /// against an upstream's places; those of other groups are hints.
     pub fn others_work(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
         let mut sums = BTreeMap::new();
-        if self.counts_itself(now) {
-            let life = self.work_life();
+        if self.has_direct_view(now) {
+            let ttl = self.work_ttl();
             let own = &self.identity.daemon;
-            let others = self.reporters.iter().filter(|(daemon, _)| *daemon != own);
-            let fresh = others.filter(|(_, member)| now.since(member.heard) < life);
+            let others = self.members.iter().filter(|(daemon, _)| *daemon != own);
+            let fresh = others.filter(|(_, member)| now.since(member.last_heard) < ttl);
             fresh.for_each(|(_, member)| add_work(&mut sums, member.work.iter().copied()));
         } else if let Some(summary) = &self.summary {
             add_work(&mut sums, summary.work.iter().copied());
--- a/src/fleet_state/state/receive.rs
+++ b/src/fleet_state/state/receive.rs
@@ -1,6 +1,6 @@
 //! Handling of messages from other daemons.
 
-use super::{FleetState, PeerAggregator, Reporter, SummaryView};
+use super::{FleetState, LastSummary, MemberState, PeerAggregator};
 use crate::fleet_state::messages::daemon_hash;
 use crate::fleet_state::{
     Departure, FleetMessage, FleetSummary, FlowRow, GroupSum, MemberReport, MessageRefusal,
@@ -29,19 +29,19 @@
             return Err(MessageRefusal::Overtaken);
         }
         message.validate()?;
-        self.heard.insert(message.source().address, now);
+        self.last_heard.insert(message.source().address, now);
         match message {
             FleetMessage::Report(report) => {
                 let rows = report.flows.clone();
                 self.apply_report(report, now)?;
                 // Outside a mesh, members take their estimates from the aggregator, which also
                 // hears the other groups.
-                Ok(BucketEstimates::new(rows, self.reporters.len(), self.is_mesh(now)))
+                Ok(BucketEstimates::new(rows, self.members.len(), self.is_mesh(now)))
             }
             FleetMessage::Sum(sum) => {
                 let rows = sum.flows.clone();
                 self.apply_sum(sum, now)?;
-                Ok(BucketEstimates::new(rows, self.aggregators.len(), self.counts_itself(now)))
+                Ok(BucketEstimates::new(rows, self.aggregators.len(), self.has_direct_view(now)))
             }
             FleetMessage::Summary(summary) => {
                 let rows = summary.flows.clone();
@@ -69,30 +69,31 @@
             suspects: _,
         } = report;
         let MessageSource { daemon, address, .. } = &source;
-        if departure != Departure::Stays && self.members.stamp(daemon).is_none() {
+        if departure != Departure::Stays && self.member_flows.stamp(daemon).is_none() {
             return Ok(());
         }
         let rows = (flows.as_slice(), is_whole);
-        let deltas = self.members.apply(daemon, stamp(&source), rows, now)?;
+        let deltas = self.member_flows.apply(daemon, stamp(&source), rows, now)?;
         let is_own = *daemon == self.identity.daemon;
-        self.count(&deltas, (true, is_own), now);
+        self.add_deltas(&deltas, (true, is_own), now);
         if departure != Departure::Stays {
             self.remove_member(daemon);
-            self.heard.remove(address);
+            self.last_heard.remove(address);
             return Ok(());
         }
         self.other_groups.record_speeds(&work, now);
-        let (hash, address) = (daemon_hash(daemon), *address);
-        let reporter = Reporter { address, hash, work, waiting, heard: now, can_read_list };
-        self.reporters.insert(daemon.clone(), reporter);
+        let (daemon_hash, address) = (daemon_hash(daemon), *address);
+        let member =
+            MemberState { address, daemon_hash, work, waiting, last_heard: now, can_read_list };
+        self.members.insert(daemon.clone(), member);
         Ok(())
     }
 
     fn apply_sum(&mut self, sum: GroupSum, now: Moment) -> Result<(), MessageRefusal> {
         let MessageSource { daemon, address, .. } = &sum.source;
         let rows = (sum.flows.as_slice(), false);
-        let deltas = self.peers.apply(daemon, stamp(&sum.source), rows, now)?;
-        self.count(&deltas, (false, false), now);
+        let deltas = self.peer_flows.apply(daemon, stamp(&sum.source), rows, now)?;
+        self.add_deltas(&deltas, (false, false), now);
         if sum.is_leaving {
             self.remove_peer(daemon);
             return Ok(());
@@ -106,7 +107,7 @@
             address: *address,
             members: sum.members,
             work,
-            heard: now,
+            last_heard: now,
             age: Duration::from_millis(u64::from(sum.age_ms)),
             can_read_list: sum.can_read_list,
         };
@@ -132,27 +133,27 @@
         }
         let daemon = &summary.source.daemon;
         let rows = (summary.flows.as_slice(), false);
-        let deltas = self.upward.apply(daemon, stamp(&summary.source), rows, now)?;
+        let deltas = self.summary_flows.apply(daemon, stamp(&summary.source), rows, now)?;
         // The estimate for the previous aggregator ends here.
-        self.upward.retain(|source, _| source == daemon);
+        self.summary_flows.retain(|source, _| source == daemon);
         for delta in deltas {
-            self.learn_rates(&delta, now);
-            self.charge(delta.organisation, delta.taken);
+            self.record_rates(&delta, now);
+            self.queue_charge(delta.organisation, delta.taken);
         }
         let own = self.own_hash();
         let included = summary.included.iter().find(|(hash, _)| *hash == own);
         let own =
             included.map_or_else(Vec::new, |(_, sequence)| self.history.mark_included(*sequence));
         for delta in own {
-            self.charge(delta.organisation, -delta.taken);
+            self.queue_charge(delta.organisation, -delta.taken);
         }
         self.other_groups.insert(&summary.away, now);
         self.other_groups.record_speeds(&summary.work, now);
-        self.summary = Some(SummaryView {
+        self.summary = Some(LastSummary {
             address,
             covers: summary.covers,
             age: Duration::from_millis(u64::from(summary.age_ms)),
-            heard: now,
+            last_heard: now,
             work: summary.work,
             waiting: summary.waiting,
         });
--- a/src/fleet_state/state/send.rs
+++ b/src/fleet_state/state/send.rs
@@ -1,7 +1,7 @@
 //! Composition of outgoing messages: reports of this daemon, sums of its group, and sums of the
 //! fleet.
 
-use super::{FleetState, OutgoingMessage, PEER_LIFE, WORK_LIFE, departure};
+use super::{FleetState, LIVENESS_TIMEOUT, OutgoingMessage, WORK_TTL, departure};
 use crate::fleet_state::flow_totals::FlowTotals;
 use crate::fleet_state::waiting_table::{WaitingTable, add_waiting, waiting_rows};
 use crate::fleet_state::work_tables::add_work;
@@ -16,26 +16,26 @@
 
 /// Number of candidates that sums are sent to in a group without a known aggregator: the first one
 /// and its replacement.
-const TRIED_CANDIDATES: usize = 2;
+const CANDIDATES_PER_GROUP: usize = 2;
 
 impl FleetState {
     /// Builds this daemon's report. `is_whole` is set if the receiver may have no state of this
     /// daemon.
     fn report(&mut self, is_whole: bool, departure: Departure) -> MemberReport {
         let flows = match is_whole {
-            true => self.own.flows.clone(),
-            false => self.report_rows.select_rows(self.own.flows.iter().copied()),
+            true => self.local.flows.clone(),
+            false => self.report_rows.select_rows(self.local.flows.iter().copied()),
         };
         MemberReport {
             source: self.source(),
             flows,
             is_whole,
-            work: self.own.work.clone(),
-            waiting: self.own.waiting.clone(),
-            list: self.own.list,
-            can_read_list: self.own.can_read_list,
+            work: self.local.work.clone(),
+            waiting: self.local.waiting.clone(),
+            list: self.local.list,
+            can_read_list: self.local.can_read_list,
             departure,
-            suspects: self.own.suspects.clone(),
+            suspects: self.local.suspects.clone(),
         }
     }
 
@@ -44,14 +44,18 @@
         let own = self.identity.address;
         let others = self.layout.addresses().iter().copied().filter(|address| *address != own);
         let to: Vec<SocketAddr> = others.collect();
-        let report = self.report(true, departure(&self.own));
+        let report = self.report(true, departure(&self.local));
         if !to.is_empty() {
             outgoing.push(OutgoingMessage { to, message: FleetMessage::Report(report) });
         }
     }
 
     /// Sends the report to the aggregator of the group, which may be this daemon.
-    pub(super) fn report_upward(&mut self, now: Moment, outgoing: &mut Vec<OutgoingMessage>) {
+    pub(super) fn report_to_aggregator(
+        &mut self,
+        now: Moment,
+        outgoing: &mut Vec<OutgoingMessage>,
+    ) {
         let own = self.identity.address;
         let candidates = self.candidates(now);
         let before = self.choice.chosen();
@@ -71,8 +75,8 @@
                 self.remove_member(&daemon);
             }
         }
-        let report = self.report(!self.history.is_included(), departure(&self.own));
-        self.history.push(self.sequence, &self.own);
+        let report = self.report(!self.history.is_included(), departure(&self.local));
+        self.history.push(self.sequence, &self.local);
         if aggregator == own {
             // A daemon's own report is never overtaken.
             let _ = self.apply_report(MemberReport { departure: Departure::Stays, ..report }, now);
@@ -88,9 +92,9 @@
     fn candidates(&self, now: Moment) -> Vec<SocketAddr> {
         let group = self.layout.group_of(self.identity.address);
         let members = self.layout.members(group.index);
-        let heard = self.summary.as_ref().filter(|_| self.layout.is_mesh());
-        let heard = heard.filter(|summary| now.since(summary.heard) < WORK_LIFE);
-        heard.map(|summary| summary.address).into_iter().chain(members.iter().copied()).collect()
+        let recent = self.summary.as_ref().filter(|_| self.layout.is_mesh());
+        let recent = recent.filter(|summary| now.since(summary.last_heard) < WORK_TTL);
+        recent.map(|summary| summary.address).into_iter().chain(members.iter().copied()).collect()
     }
 
     /// As an aggregator, sends the group's sums to the other aggregators and the fleet's sums to
@@ -106,9 +110,9 @@
     }
 
     fn group_work(&self, now: Moment) -> BTreeMap<UpstreamHash, OthersWork> {
-        let life = self.work_life();
+        let ttl = self.work_ttl();
         let mut sums = BTreeMap::new();
-        let fresh = self.reporters.values().filter(|member| now.since(member.heard) < life);
+        let fresh = self.members.values().filter(|member| now.since(member.last_heard) < ttl);
         fresh.for_each(|member| add_work(&mut sums, member.work.iter().copied()));
         sums
     }
@@ -116,33 +120,33 @@
     /// Returns the waiting requests of the daemons that report here, including this one if
     /// `with_own`.
     pub(super) fn members_waiting(&self, with_own: bool, now: Moment) -> WaitingTable {
-        let life = self.work_life();
+        let ttl = self.work_ttl();
         let own = &self.identity.daemon;
-        let members = self.reporters.iter().filter(|(daemon, _)| with_own || *daemon != own);
-        let fresh = members.filter(|(_, member)| now.since(member.heard) < life);
+        let members = self.members.iter().filter(|(daemon, _)| with_own || *daemon != own);
+        let fresh = members.filter(|(_, member)| now.since(member.last_heard) < ttl);
         let mut table = WaitingTable::new();
         fresh.for_each(|(_, member)| add_waiting(&mut table, &member.waiting));
         table
     }
 
-    pub(super) fn work_life(&self) -> Duration {
-        WORK_LIFE.max(self.layout.send_interval() * super::SILENT_PAUSES)
+    pub(super) fn work_ttl(&self) -> Duration {
+        WORK_TTL.max(self.layout.send_interval() * super::MIN_TIMEOUT_INTERVALS)
     }
 
     fn group_sum(&mut self, work: &BTreeMap<UpstreamHash, OthersWork>, now: Moment) -> GroupSum {
-        let flows = rows(&self.group_flows, &self.own.flows);
+        let flows = rows(&self.group_flows, &self.local.flows);
         let chosen = self.group_cursor.next_rows(work);
         GroupSum {
             source: self.source(),
-            members: self.reporters.values().map(|reporter| reporter.hash).collect(),
+            members: self.members.values().map(|member| member.daemon_hash).collect(),
             age_ms: self.members_age(now).as_millis() as u32,
             flows: self.group_rows.select_rows(flows),
             is_whole: chosen.len() == work.len(),
             work: chosen,
-            list: self.own.list,
-            can_read_list: self.own.can_read_list,
-            is_leaving: self.own.has_left,
-            suspects: self.own.suspects.clone(),
+            list: self.local.list,
+            can_read_list: self.local.can_read_list,
+            is_leaving: self.local.has_left,
+            suspects: self.local.suspects.clone(),
         }
     }
 
@@ -151,14 +155,14 @@
         work: &BTreeMap<UpstreamHash, OthersWork>,
         now: Moment,
     ) -> FleetSummary {
-        let flows = rows(&self.fleet_flows, &self.own.flows);
+        let flows = rows(&self.fleet_flows, &self.local.flows);
         let mut away = BTreeMap::new();
-        let life = self.work_life();
-        let fresh = self.aggregators.values().filter(|peer| now.since(peer.heard) < life);
+        let ttl = self.work_ttl();
+        let fresh = self.aggregators.values().filter(|peer| now.since(peer.last_heard) < ttl);
         fresh.for_each(|peer| add_work(&mut away, peer.work.rows()));
-        let included = self.reporters.iter().filter_map(|(daemon, reporter)| {
-            let stamp = self.members.stamp(daemon)?;
-            Some((reporter.hash, stamp.sequence))
+        let included = self.members.iter().filter_map(|(daemon, member)| {
+            let stamp = self.member_flows.stamp(daemon)?;
+            Some((member.daemon_hash, stamp.sequence))
         });
         FleetSummary {
             source: self.source(),
@@ -169,9 +173,9 @@
             work: work_rows(work),
             waiting: waiting_rows(&self.members_waiting(true, now)),
             away: self.other_groups_cursor.next_rows(&away),
-            list: self.own.list,
-            is_leaving: self.own.has_left,
-            suspects: self.own.suspects.clone(),
+            list: self.local.list,
+            is_leaving: self.local.has_left,
+            suspects: self.local.suspects.clone(),
         }
     }
 
@@ -179,14 +183,15 @@
     /// one.
     fn peer_addresses(&self, now: Moment) -> Vec<SocketAddr> {
         let own = self.layout.group_of(self.identity.address).index;
-        let live = self.aggregators.values().filter(|peer| now.since(peer.heard) < PEER_LIFE);
+        let live =
+            self.aggregators.values().filter(|peer| now.since(peer.last_heard) < LIVENESS_TIMEOUT);
         let mut addresses: Vec<SocketAddr> = live.map(|peer| peer.address).collect();
         let known: Vec<usize> =
             addresses.iter().map(|address| self.layout.group_of(*address).index).collect();
         let unknown = (0..self.layout.group_count()).filter(|group| *group != own);
         for group in unknown.filter(|group| !known.contains(group)) {
             let members = self.layout.members(group);
-            addresses.extend(members.iter().take(TRIED_CANDIDATES));
+            addresses.extend(members.iter().take(CANDIDATES_PER_GROUP));
         }
         addresses.retain(|address| *address != self.identity.address);
         addresses
@@ -207,8 +212,8 @@
         &self,
         addresses: impl IntoIterator<Item = SocketAddr>,
     ) -> Vec<SocketAddr> {
-        let reporters = self.reporters.values().map(|reporter| reporter.address);
-        let mut others: Vec<SocketAddr> = reporters.chain(addresses).collect();
+        let members = self.members.values().map(|member| member.address);
+        let mut others: Vec<SocketAddr> = members.chain(addresses).collect();
         others.sort_unstable();
         others.dedup();
         others.retain(|address| *address != self.identity.address);
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -208,7 +208,7 @@
             info!(state.log, "platform list changed"; "from" => daemon.as_str(), "changed" => change.changed.len(),
                 "gone" => change.gone.len());
             list.into_iter().for_each(|list| state.apply_platform(list));
-            if state.fleet.fleet().is_some_and(|fleet| fleet.passes_on(now)) {
+            if state.fleet.fleet().is_some_and(|fleet| fleet.is_list_forwarder(now)) {
                 exchange.pass_on(change.clone());
             }
         }
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -245,7 +245,7 @@
     let snapshot = state.snapshot();
     let Some(fleet) = state.fleet.fleet() else { return };
     let (others, group) = (fleet.others_work(now), fleet.group());
-    let (waiting, horizon) = (fleet.others_waiting(now), fleet.group_horizon(now));
+    let (waiting, horizon) = (fleet.others_waiting(now), fleet.group_delay(now));
     let share = fleet.limit_share();
     let forecast = fleet.forecasts(now);
     let limited = snapshot.access.limited_hashes();
