--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -138,7 +138,7 @@
     /// The aggregator.
     pub source: MessageSource,
     /// Number of daemons that the sums cover.
-    pub covers: u32,
+    pub covered_daemons: u32,
     /// Age of the oldest included report, in milliseconds.
     pub age_ms: u32,
     /// The fleet's token counters since the aggregator began to count.
@@ -148,10 +148,10 @@
     /// All waiting requests of the group.
     pub waiting: Vec<WaitingRow>,
     /// Some of the requests of other groups at upstreams; the rest follows in the next summaries.
-    pub away: Vec<WorkRow>,
+    pub other_groups: Vec<WorkRow>,
     /// The sequence number of the last included report of each member, by hash of the member's
     /// name.
-    pub included: Vec<(u32, u64)>,
+    pub included_reports: Vec<(u32, u64)>,
     /// The last reading of the platform's list, as in [`MemberReport::list`].
     pub list: Option<ListStamp>,
     /// True if the aggregator will send no more summaries.
--- a/src/fleet_state/state/peers.rs
+++ b/src/fleet_state/state/peers.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct LastSummary {
     pub address: SocketAddr,
-    pub covers: u32,
+    pub covered_daemons: u32,
     /// Age of the oldest report in the summary when it arrived.
     pub age: Duration,
     pub last_heard: Moment,
--- a/src/fleet_state/state/queries.rs
+++ b/src/fleet_state/state/queries.rs
@@ -74,7 +74,7 @@
         let is_fresh = |last_heard: Moment| now.since(last_heard) < ttl;
         if !self.has_direct_view(now) {
             let fresh = self.summary.as_ref().filter(|summary| is_fresh(summary.last_heard));
-            return fresh.map_or(1, |summary| summary.covers as usize);
+            return fresh.map_or(1, |summary| summary.covered_daemons as usize);
         }
         let own = &self.identity.daemon;
         let others = self.members.iter().filter(|(daemon, _)| *daemon != own);
--- a/src/fleet_state/state/receive.rs
+++ b/src/fleet_state/state/receive.rs
@@ -141,17 +141,17 @@
             self.queue_charge(delta.organisation, delta.taken);
         }
         let own = self.own_hash();
-        let included = summary.included.iter().find(|(hash, _)| *hash == own);
-        let own =
-            included.map_or_else(Vec::new, |(_, sequence)| self.history.mark_included(*sequence));
+        let included_reports = summary.included_reports.iter().find(|(hash, _)| *hash == own);
+        let own = included_reports
+            .map_or_else(Vec::new, |(_, sequence)| self.history.mark_included(*sequence));
         for delta in own {
             self.queue_charge(delta.organisation, -delta.taken);
         }
-        self.other_groups.insert(&summary.away, now);
+        self.other_groups.insert(&summary.other_groups, now);
         self.other_groups.record_speeds(&summary.work, now);
         self.summary = Some(LastSummary {
             address,
-            covers: summary.covers,
+            covered_daemons: summary.covered_daemons,
             age: Duration::from_millis(u64::from(summary.age_ms)),
             last_heard: now,
             work: summary.work,
--- a/src/fleet_state/state/send.rs
+++ b/src/fleet_state/state/send.rs
@@ -156,23 +156,23 @@
         now: Moment,
     ) -> FleetSummary {
         let flows = rows(&self.fleet_flows, &self.local.flows);
-        let mut away = BTreeMap::new();
+        let mut other_groups = BTreeMap::new();
         let ttl = self.work_ttl();
         let fresh = self.aggregators.values().filter(|peer| now.since(peer.last_heard) < ttl);
-        fresh.for_each(|peer| add_work(&mut away, peer.work.rows()));
-        let included = self.members.iter().filter_map(|(daemon, member)| {
+        fresh.for_each(|peer| add_work(&mut other_groups, peer.work.rows()));
+        let included_reports = self.members.iter().filter_map(|(daemon, member)| {
             let stamp = self.member_flows.stamp(daemon)?;
             Some((member.daemon_hash, stamp.sequence))
         });
         FleetSummary {
             source: self.source(),
-            covers: self.covered_daemons(now) as u32,
+            covered_daemons: self.covered_daemons(now) as u32,
             age_ms: self.sums_age(now).as_millis() as u32,
-            included: included.collect(),
+            included_reports: included_reports.collect(),
             flows: self.fleet_rows.select_rows(flows),
             work: work_rows(work),
             waiting: waiting_rows(&self.members_waiting(true, now)),
-            away: self.other_groups_cursor.next_rows(&away),
+            other_groups: self.other_groups_cursor.next_rows(&other_groups),
             list: self.local.list,
             is_leaving: self.local.has_left,
             suspects: self.local.suspects.clone(),
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -323,18 +323,18 @@
 /// Updates the metrics, and logs a line when this daemon's role or the coverage of its sums
 /// changes.
 fn log_changes(state: &TrafficState, fleet: &FleetState, logged: &mut LoggedState, now: Moment) {
-    let (covers, daemons) = (fleet.covered_daemons(now), fleet.addresses().len());
+    let (covered_daemons, daemons) = (fleet.covered_daemons(now), fleet.addresses().len());
     let age = fleet.sums_age(now);
-    metrics::gauge!("fleet_sums_daemons").set(covers as f64);
+    metrics::gauge!("fleet_sums_daemons").set(covered_daemons as f64);
     metrics::gauge!("fleet_sums_age_seconds").set(age.as_secs_f64());
     let current = LoggedState {
         role: Some(fleet.role(now)),
         is_list_reader: fleet.has_serving_list() && fleet.is_list_reader(now),
-        is_partial: covers * 2 < daemons,
+        is_partial: covered_daemons * 2 < daemons,
     };
     if current != *logged {
         info!(state.log, "fleet state"; "role" => format!("{:?}", fleet.role(now)), "reads_list" => current.is_list_reader,
-            "covers" => covers, "daemons" => daemons, "age_ms" => age.as_millis() as u64);
+            "covers" => covered_daemons, "daemons" => daemons, "age_ms" => age.as_millis() as u64);
         *logged = current;
     }
 }
