--- a/src/traffic/fleet_exchange/wire.rs
+++ b/src/traffic/fleet_exchange/wire.rs
@@ -9,9 +9,9 @@
 
 /// Version of the message format. Messages of other versions are dropped, and both daemons continue
 /// with the state that they have.
-const VERSION: u8 = 6;
+const FORMAT_VERSION: u8 = 6;
 /// Length of the authentication tag in bytes.
-const TAG_BYTES: usize = 8;
+const TAG_LEN: usize = 8;
 
 /// A message from one daemon to another.
 #[derive(Debug, Serialize, Deserialize)]
@@ -64,29 +64,29 @@
     }
 }
 
-fn tag(bytes: &[u8], key: &str) -> [u8; TAG_BYTES] {
+fn compute_tag(bytes: &[u8], key: &str) -> [u8; TAG_LEN] {
     let digest = Sha256::new().chain_update(key).chain_update(bytes).chain_update(key).finalize();
-    let mut tag = [0; TAG_BYTES];
-    tag.copy_from_slice(&digest[..TAG_BYTES]);
+    let mut tag = [0; TAG_LEN];
+    tag.copy_from_slice(&digest[..TAG_LEN]);
     tag
 }
 
 /// Encodes a message as a datagram.
 pub fn encode_message(message: &DaemonMessage, key: &str) -> Vec<u8> {
-    let body = postcard::to_extend(message, vec![VERSION]).unwrap_or_default();
-    let mut bytes = tag(&body, key).to_vec();
+    let body = postcard::to_extend(message, vec![FORMAT_VERSION]).unwrap_or_default();
+    let mut bytes = compute_tag(&body, key).to_vec();
     bytes.extend_from_slice(&body);
     bytes
 }
 
 /// Verifies and decodes a datagram.
 pub fn decode_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, DropCause> {
-    let (given, body) = bytes.split_at_checked(TAG_BYTES).ok_or(DropCause::BadTag)?;
-    if given != tag(body, key) {
+    let (received_tag, body) = bytes.split_at_checked(TAG_LEN).ok_or(DropCause::BadTag)?;
+    if received_tag != compute_tag(body, key) {
         return Err(DropCause::BadTag);
     }
     let (version, body) = body.split_first().ok_or(DropCause::Unreadable)?;
-    if *version != VERSION {
+    if *version != FORMAT_VERSION {
         return Err(DropCause::OtherVersion);
     }
     postcard::from_bytes(body).map_err(|_| DropCause::Unreadable)
