--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -16,15 +16,15 @@
 
 /// Number of times that a change is sent, since datagrams are lost. A daemon that misses all of
 /// them requests the full list.
-const CHANGE_SENT: u32 = 2;
+const CHANGE_SENDS: u32 = 2;
 /// Pause between two transmissions of one change.
-const CHANGE_PAUSE: Duration = Duration::from_millis(120);
-/// Maximum number of full lists sent within [`WHOLE_PAUSE`]. A list of 143 upstreams occupies a
+const CHANGE_RESEND_DELAY: Duration = Duration::from_millis(120);
+/// Maximum number of full lists sent within [`FULL_LIST_WINDOW`]. A list of 143 upstreams occupies a
 /// link of 10 Mbit/s for 5 ms, and after a restart of all daemons each one requests the list at
 /// once.
-const MOST_WHOLE: u32 = 8;
-/// See [`MOST_WHOLE`].
-const WHOLE_PAUSE: Duration = Duration::from_millis(250);
+const MAX_FULL_LISTS: u32 = 8;
+/// See [`MAX_FULL_LISTS`].
+const FULL_LIST_WINDOW: Duration = Duration::from_millis(250);
 
 /// This daemon's copy of the list, and what it knows of the readings by other daemons.
 #[derive(Debug, Default)]
@@ -33,14 +33,14 @@
     freshness: Mutex<ListFreshness>,
     /// Changes waiting to be sent.
     changes: Mutex<Vec<ListChange>>,
-    news: Notify,
+    change_notify: Notify,
     /// Start of the current rate-limit window, and the number of full lists requested in it.
-    sent: Mutex<(Moment, u32)>,
+    full_list_window: Mutex<(Moment, u32)>,
 }
 
 impl ListExchange {
     /// Initialises the freshness state; `place` is drawn from 0.0..1.0.
-    pub fn begin(&self, place: f64) {
+    pub fn init_freshness(&self, place: f64) {
         *lock(&self.freshness) = ListFreshness::new(place);
     }
 
@@ -68,10 +68,10 @@
 
     /// Stores a list that this daemon has read, and queues the change for sending.
     pub fn store_reading(&self, list: &PlatformList, now: Moment) {
-        let change = lock(&self.list).replace(list.vms.iter().map(listed));
+        let change = lock(&self.list).replace(list.vms.iter().map(listed_upstream));
         lock(&self.freshness).record_read(now);
         if change.base != change.digest {
-            self.pass_on(change);
+            self.queue_change(change);
         }
     }
 
@@ -79,9 +79,9 @@
         lock(&self.freshness).confirm(at);
     }
 
-    fn pass_on(&self, change: ListChange) {
+    fn queue_change(&self, change: ListChange) {
         lock(&self.changes).push(change);
-        self.news.notify_one();
+        self.change_notify.notify_one();
     }
 
     fn may_request(&self, now: Moment) -> bool {
@@ -89,17 +89,17 @@
     }
 
     /// Returns true if this daemon may send another full list now.
-    fn may_send_whole(&self, now: Moment) -> bool {
-        let mut sent = lock(&self.sent);
-        if now.since(sent.0) >= WHOLE_PAUSE {
-            *sent = (now, 0);
+    fn may_send_full_list(&self, now: Moment) -> bool {
+        let mut full_list_window = lock(&self.full_list_window);
+        if now.since(full_list_window.0) >= FULL_LIST_WINDOW {
+            *full_list_window = (now, 0);
         }
-        sent.1 += 1;
-        sent.1 <= MOST_WHOLE
+        full_list_window.1 += 1;
+        full_list_window.1 <= MAX_FULL_LISTS
     }
 }
 
-fn listed(row: &VmRow) -> ListedUpstream {
+fn listed_upstream(row: &VmRow) -> ListedUpstream {
     ListedUpstream {
         service: row.service.clone(),
         upstream: row.upstream.clone(),
@@ -129,11 +129,11 @@
 pub async fn send_changes(state: Arc<TrafficState>, socket: MessageSocket) {
     let exchange = &state.fleet.list;
     loop {
-        exchange.news.notified().await;
+        exchange.change_notify.notified().await;
         let changes = std::mem::take(&mut *lock(&exchange.changes));
-        for time in 0..CHANGE_SENT {
-            if time > 0 {
-                tokio::time::sleep(CHANGE_PAUSE).await;
+        for attempt in 0..CHANGE_SENDS {
+            if attempt > 0 {
+                tokio::time::sleep(CHANGE_RESEND_DELAY).await;
             }
             let now = state.clock.now();
             let to = state.fleet.fleet().map(|fleet| fleet.list_receivers(now)).unwrap_or_default();
@@ -148,7 +148,7 @@
 
 /// Requests the list from another daemon while none is known, so that a daemon that has just
 /// started need not wait for the platform.
-pub fn ask_while_unknown(state: &TrafficState, socket: &MessageSocket) {
+pub fn request_unknown_list(state: &TrafficState, socket: &MessageSocket) {
     let exchange = &state.fleet.list;
     let now = state.clock.now();
     if lock(&exchange.list).is_known() {
@@ -159,17 +159,17 @@
     if let Some(address) = source
         && exchange.may_request(now)
     {
-        ask(state, socket, address);
+        request_list(state, socket, address);
     }
 }
 
-fn ask(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
+fn request_list(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
     let daemon = state.daemon.clone();
     socket.send(&DaemonMessage::ListWanted { daemon, address: socket.own }, &[address]);
 }
 
 /// Handles another daemon's statement of the last reading that it knows of.
-pub fn take_stamp(
+pub fn handle_stamp(
     state: &TrafficState,
     socket: &MessageSocket,
     from: SocketAddr,
@@ -182,12 +182,12 @@
         return exchange.confirm(read_at);
     }
     if lock(&exchange.freshness).record_mismatch(read_at, now) {
-        ask(state, socket, from);
+        request_list(state, socket, from);
     }
 }
 
 /// Applies a change of the list.
-pub fn take_change(
+pub fn handle_change(
     state: &TrafficState,
     socket: &MessageSocket,
     from: (&DaemonName, SocketAddr),
@@ -209,32 +209,32 @@
                 "gone" => change.gone.len());
             list.into_iter().for_each(|list| state.apply_platform(list));
             if state.fleet.fleet().is_some_and(|fleet| fleet.is_list_forwarder(now)) {
-                exchange.pass_on(change.clone());
+                exchange.queue_change(change.clone());
             }
         }
-        ChangeVerdict::Unknown if exchange.may_request(now) => ask(state, socket, address),
+        ChangeVerdict::Unknown if exchange.may_request(now) => request_list(state, socket, address),
         ChangeVerdict::Unknown => {}
     }
 }
 
 /// Sends the full list to a daemon that requested it.
-pub fn answer_wanted(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
+pub fn handle_list_request(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
     let exchange = &state.fleet.list;
     let parts = lock(&exchange.list).parts();
-    if parts.is_empty() || !exchange.may_send_whole(state.clock.now()) {
+    if parts.is_empty() || !exchange.may_send_full_list(state.clock.now()) {
         return;
     }
     parts.into_iter().for_each(|part| socket.send(&DaemonMessage::ListPart(part), &[address]));
 }
 
 /// Stores a part of a list that this daemon requested, and applies the list once it is complete.
-pub fn take_part(state: &TrafficState, part: ListPart) {
+pub fn handle_part(state: &TrafficState, part: ListPart) {
     let exchange = &state.fleet.list;
-    let whole = {
+    let full_list = {
         let mut list = lock(&exchange.list);
         list.take_part(part).then(|| platform_list(&list))
     };
-    let Some(list) = whole else { return };
+    let Some(list) = full_list else { return };
     info!(state.log, "platform list taken whole"; "upstreams" => list.vms.len());
     exchange.confirm(state.clock.now());
     state.apply_platform(list);
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -131,7 +131,7 @@
     state.limits().set_share(fleet.limit_share());
     state.limits().set_pace_start(state.jitter());
     let _ = state.fleet.fleet.set(Mutex::new(fleet));
-    state.fleet.list.begin(state.jitter());
+    state.fleet.list.init_freshness(state.jitter());
     tokio::spawn(listen(Arc::clone(&state), socket.clone()));
     tokio::spawn(list::send_changes(Arc::clone(&state), socket.clone()));
     tokio::spawn(run(state, socket));
@@ -170,12 +170,12 @@
             }
         }
         DaemonMessage::ListChanged { daemon, address, change } if daemon != state.daemon => {
-            list::take_change(state, socket, (&daemon, address), &change)
+            list::handle_change(state, socket, (&daemon, address), &change)
         }
         DaemonMessage::ListWanted { daemon, address } if daemon != state.daemon => {
-            list::answer_wanted(state, socket, address)
+            list::handle_list_request(state, socket, address)
         }
-        DaemonMessage::ListPart(part) => list::take_part(state, part),
+        DaemonMessage::ListPart(part) => list::handle_part(state, part),
         // This daemon's own message, received back.
         DaemonMessage::State(_)
         | DaemonMessage::ListChanged { .. }
@@ -198,7 +198,7 @@
     let is_mesh = fleet.role(now) == FleetRole::Mesh;
     drop(fleet);
     if let Some(stamp) = stamp {
-        list::take_stamp(state, socket, address, stamp);
+        list::handle_stamp(state, socket, address, stamp);
     }
     state.quarantine.take(state, &daemon, &suspects);
     charge(state, &charges);
@@ -311,7 +311,7 @@
             return;
         };
         charge(&state, &charges);
-        list::ask_while_unknown(&state, &socket);
+        list::request_unknown_list(&state, &socket);
         for OutgoingMessage { to, message } in outgoing {
             socket.send(&DaemonMessage::State(message), &to);
         }
