--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -39,9 +39,9 @@
 }
 
 impl ListExchange {
-    /// Initialises the freshness state; `place` is drawn from 0.0..1.0.
-    pub fn init_freshness(&self, place: f64) {
-        *lock(&self.freshness) = ListFreshness::new(place);
+    /// Initialises the freshness state; `jitter` is drawn from 0.0..1.0.
+    pub fn init_freshness(&self, jitter: f64) {
+        *lock(&self.freshness) = ListFreshness::new(jitter);
     }
 
     /// See [`ListFreshness::is_overdue`].
@@ -139,7 +139,7 @@
             let to = state.fleet.fleet().map(|fleet| fleet.list_receivers(now)).unwrap_or_default();
             for change in &changes {
                 let (daemon, change) = (state.daemon.clone(), change.clone());
-                let address = socket.own;
+                let address = socket.own_address;
                 socket.send(&DaemonMessage::ListChanged { daemon, address, change }, &to);
             }
         }
@@ -165,7 +165,7 @@
 
 fn request_list(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
     let daemon = state.daemon.clone();
-    socket.send(&DaemonMessage::ListWanted { daemon, address: socket.own }, &[address]);
+    socket.send(&DaemonMessage::ListWanted { daemon, address: socket.own_address }, &[address]);
 }
 
 /// Handles another daemon's statement of the last reading that it knows of.
@@ -235,7 +235,7 @@
         list.take_part(part).then(|| platform_list(&list))
     };
     let Some(list) = full_list else { return };
-    info!(state.log, "platform list taken whole"; "upstreams" => list.vms.len());
+    info!(state.log, "full platform list received"; "upstreams" => list.vms.len());
     exchange.confirm(state.clock.now());
     state.apply_platform(list);
 }
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -29,7 +29,7 @@
 /// Pause after a socket error.
 const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(40);
 /// Maximum length of a datagram, in bytes.
-const DATAGRAM_LIMIT: usize = 60 << 10;
+const MAX_DATAGRAM_LEN: usize = 60 << 10;
 
 /// This daemon's view of the fleet, and the state of its message exchange.
 #[derive(Debug, Default)]
@@ -99,7 +99,7 @@
 #[derive(Clone)]
 pub struct MessageSocket {
     socket: Arc<UdpSocket>,
-    own: SocketAddr,
+    own_address: SocketAddr,
     key: Arc<str>,
 }
 
@@ -125,29 +125,29 @@
     address: SocketAddr,
     key: Arc<str>,
 ) {
-    let socket = MessageSocket { socket: Arc::new(socket), own: address, key };
+    let socket = MessageSocket { socket: Arc::new(socket), own_address: address, key };
     let identity = DaemonIdentity { daemon: state.daemon.clone(), boot: state.boot(), address };
     let fleet = FleetState::new(identity);
     state.limits().set_share(fleet.limit_share());
     state.limits().set_pace_start(state.jitter());
     let _ = state.fleet.fleet.set(Mutex::new(fleet));
     state.fleet.list.init_freshness(state.jitter());
-    tokio::spawn(listen(Arc::clone(&state), socket.clone()));
+    tokio::spawn(receive_messages(Arc::clone(&state), socket.clone()));
     tokio::spawn(list::send_changes(Arc::clone(&state), socket.clone()));
-    tokio::spawn(run(state, socket));
+    tokio::spawn(send_messages(state, socket));
 }
 
-async fn listen(state: Arc<TrafficState>, socket: MessageSocket) {
-    let mut buffer = vec![0; DATAGRAM_LIMIT];
+async fn receive_messages(state: Arc<TrafficState>, socket: MessageSocket) {
+    let mut buffer = vec![0; MAX_DATAGRAM_LEN];
     loop {
-        let Ok((length, from)) = socket.socket.recv_from(&mut buffer).await else {
+        let Ok((len, from)) = socket.socket.recv_from(&mut buffer).await else {
             // The peer of an earlier send may not be listening, which is reported here as a refused
             // connection. There is nothing to do.
             tokio::time::sleep(SOCKET_ERROR_DELAY).await;
             continue;
         };
-        match decode_message(&buffer[..length], &socket.key) {
-            Ok(message) => take(&state, &socket, message, from),
+        match decode_message(&buffer[..len], &socket.key) {
+            Ok(message) => handle_message(&state, &socket, message, from),
             Err(cause) => record_drop(&state, cause, from),
         }
     }
@@ -158,14 +158,19 @@
     metrics::counter!("fleet_messages_dropped", "cause" => cause.name()).increment(1);
     let is_usual = cause == DropCause::Refused(MessageRefusal::Overtaken);
     if !is_usual && lock(&state.fleet.logged_causes).insert(cause) {
-        warn!(state.log, "message of a daemon dropped"; "cause" => cause.name(), "from" => from.to_string());
+        warn!(state.log, "dropped a message from another daemon"; "cause" => cause.name(), "from" => from.to_string());
     }
 }
 
-fn take(state: &TrafficState, socket: &MessageSocket, message: DaemonMessage, from: SocketAddr) {
+fn handle_message(
+    state: &TrafficState,
+    socket: &MessageSocket,
+    message: DaemonMessage,
+    from: SocketAddr,
+) {
     match message {
         DaemonMessage::State(message) if message.source().daemon != state.daemon => {
-            if let Err(refusal) = take_state(state, socket, message) {
+            if let Err(refusal) = handle_state(state, socket, message) {
                 record_drop(state, DropCause::Refused(refusal), from);
             }
         }
@@ -183,7 +188,7 @@
     }
 }
 
-fn take_state(
+fn handle_state(
     state: &TrafficState,
     socket: &MessageSocket,
     message: FleetMessage,
@@ -201,18 +206,18 @@
         list::handle_stamp(state, socket, address, stamp);
     }
     state.quarantine.take(state, &daemon, &suspects);
-    charge(state, &charges);
-    level(state, &estimates);
+    apply_charges(state, &charges);
+    apply_estimates(state, &estimates);
     // An aggregator receives many messages per interval, and applies them together when it sends
     // its own.
     if is_summary || is_mesh {
-        refresh(state);
+        refresh_limits_and_pools(state);
     }
     Ok(())
 }
 
 /// Charges the limits with the tokens that other daemons admitted.
-fn charge(state: &TrafficState, charges: &[(OrganisationHash, i64)]) {
+fn apply_charges(state: &TrafficState, charges: &[(OrganisationHash, i64)]) {
     if charges.is_empty() {
         return;
     }
@@ -227,7 +232,7 @@
 }
 
 /// Moves the buckets towards the estimates of another daemon.
-fn level(state: &TrafficState, estimates: &BucketEstimates) {
+fn apply_estimates(state: &TrafficState, estimates: &BucketEstimates) {
     let snapshot = state.snapshot();
     let now = state.clock.now();
     let mut limits = state.limits();
@@ -240,7 +245,7 @@
 }
 
 /// Passes the known state of the other daemons to the limits and to each pool.
-fn refresh(state: &TrafficState) {
+fn refresh_limits_and_pools(state: &TrafficState) {
     let now = state.clock.now();
     let snapshot = state.snapshot();
     let Some(fleet) = state.fleet.fleet() else { return };
@@ -294,28 +299,28 @@
 }
 
 /// Sends this daemon's messages periodically.
-async fn run(state: Arc<TrafficState>, socket: MessageSocket) {
+async fn send_messages(state: Arc<TrafficState>, socket: MessageSocket) {
     let mut logged = LoggedState::default();
-    let mut read_at = Moment::default();
+    let mut collected_at = Moment::default();
     loop {
         let now = state.clock.now();
-        let reading = local_state(&state, read_at);
-        read_at = now;
+        let local = local_state(&state, collected_at);
+        collected_at = now;
         let rates = limit_rates(&state);
         let Some((outgoing, charges, pause)) = state.fleet.fleet().map(|mut fleet| {
-            let outgoing = fleet.tick(reading, &rates, now);
+            let outgoing = fleet.tick(local, &rates, now);
             state.fleet.daemon_count.store(fleet.addresses().len(), Ordering::Relaxed);
             log_changes(&state, &fleet, &mut logged, now);
             (outgoing, fleet.drain_charges(), fleet.send_interval())
         }) else {
             return;
         };
-        charge(&state, &charges);
+        apply_charges(&state, &charges);
         list::request_unknown_list(&state, &socket);
         for OutgoingMessage { to, message } in outgoing {
             socket.send(&DaemonMessage::State(message), &to);
         }
-        refresh(&state);
+        refresh_limits_and_pools(&state);
         tokio::time::sleep(pause).await;
     }
 }
