--- a/src/fleet_state/mod.rs
+++ b/src/fleet_state/mod.rs
@@ -25,7 +25,7 @@
 mod layout;
 mod list_freshness;
 mod messages;
-mod report_history;
+mod own_history;
 mod row_rotation;
 mod state;
 mod waiting_table;
@@ -40,7 +40,7 @@
     Departure, FleetMessage, FleetSummary, FlowRow, GroupSum, ListStamp, MemberReport,
     MessageRefusal, MessageSource, OrganisationHash, ServiceHash, WaitingRow, WorkRow,
 };
-pub use report_history::ReportHistory;
+pub use own_history::ReportHistory;
 pub use row_rotation::RowRotation;
 pub use state::{
     BucketEstimates, DaemonIdentity, FleetRole, FleetState, LocalState, OutgoingMessage,
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -265,8 +265,8 @@
         if self.is_mesh(now) {
             return false;
         }
-        let is_fresh = |member: &MemberState| now.since(member.last_heard) < LIVENESS_TIMEOUT;
-        self.choice.chosen() == Some(self.identity.address) || self.members.values().any(is_fresh)
+        let is_live = |member: &MemberState| now.since(member.last_heard) < LIVENESS_TIMEOUT;
+        self.choice.chosen() == Some(self.identity.address) || self.members.values().any(is_live)
     }
 
     /// Adds tokens to the sums. `is_member` is set if they come from a daemon that reports here,
@@ -340,22 +340,23 @@
 
     /// Removes silent sources whose daemons are covered by another source by now.
     fn remove_covered(&mut self, now: Moment) {
-        let is_fresh = |last_heard: Moment| now.since(last_heard) < LIVENESS_TIMEOUT;
-        let live = self.aggregators.values().filter(|peer| is_fresh(peer.last_heard));
+        let is_live = |last_heard: Moment| now.since(last_heard) < LIVENESS_TIMEOUT;
+        let live = self.aggregators.values().filter(|peer| is_live(peer.last_heard));
         let mut covered: BTreeSet<u32> =
             live.flat_map(|peer| peer.members.iter().copied()).collect();
-        let moved = self.members.iter().filter(|(_, member)| {
-            !is_fresh(member.last_heard) && covered.contains(&member.daemon_hash)
-        });
+        let moved = self
+            .members
+            .iter()
+            .filter(|(_, member)| !is_live(member.last_heard) && covered.contains(&member.hash));
         let moved: Vec<DaemonName> = moved.map(|(daemon, _)| daemon.clone()).collect();
         moved.iter().for_each(|daemon| self.remove_member(daemon));
-        covered.extend(self.members.values().map(|member| member.daemon_hash));
+        covered.extend(self.members.values().map(|member| member.hash));
         let is_covered =
             |peer: &PeerAggregator| peer.members.iter().any(|hash| covered.contains(hash));
         let replaced = self
             .aggregators
             .iter()
-            .filter(|(_, peer)| !is_fresh(peer.last_heard) && is_covered(peer));
+            .filter(|(_, peer)| !is_live(peer.last_heard) && is_covered(peer));
         let replaced: Vec<DaemonName> = replaced.map(|(daemon, _)| daemon.clone()).collect();
         replaced.iter().for_each(|daemon| self.remove_peer(daemon));
     }
--- a/src/fleet_state/state/peers.rs
+++ b/src/fleet_state/state/peers.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug)]
 pub struct MemberState {
     pub address: SocketAddr,
-    pub daemon_hash: u32,
+    /// Hash of the daemon's name.
+    pub hash: u32,
     pub work: Vec<WorkRow>,
     pub waiting: Vec<WaitingRow>,
     pub last_heard: Moment,
--- a/src/fleet_state/state/receive.rs
+++ b/src/fleet_state/state/receive.rs
@@ -82,9 +82,8 @@
             return Ok(());
         }
         self.other_groups.record_speeds(&work, now);
-        let (daemon_hash, address) = (daemon_hash(daemon), *address);
-        let member =
-            MemberState { address, daemon_hash, work, waiting, last_heard: now, can_read_list };
+        let (hash, address) = (daemon_hash(daemon), *address);
+        let member = MemberState { address, hash, work, waiting, last_heard: now, can_read_list };
         self.members.insert(daemon.clone(), member);
         Ok(())
     }
--- a/src/fleet_state/state/send.rs
+++ b/src/fleet_state/state/send.rs
@@ -138,7 +138,7 @@
         let chosen = self.group_cursor.next_rows(work);
         GroupSum {
             source: self.source(),
-            members: self.members.values().map(|member| member.daemon_hash).collect(),
+            members: self.members.values().map(|member| member.hash).collect(),
             age_ms: self.members_age(now).as_millis() as u32,
             flows: self.group_rows.select_rows(flows),
             is_whole: chosen.len() == work.len(),
@@ -162,7 +162,7 @@
         fresh.for_each(|peer| add_work(&mut other_groups, peer.work.rows()));
         let included_reports = self.members.iter().filter_map(|(daemon, member)| {
             let stamp = self.member_flows.stamp(daemon)?;
-            Some((member.daemon_hash, stamp.sequence))
+            Some((member.hash, stamp.sequence))
         });
         FleetSummary {
             source: self.source(),
