--- a/src/fleet_state/aggregator_choice.rs
+++ b/src/fleet_state/aggregator_choice.rs
@@ -16,7 +16,7 @@
 /// A failed aggregator is tried again after this long, unless it is heard earlier.
 const EXCLUSION_TIME: Duration = Duration::from_secs(3);
 
-/// Selects the first address of the group that has not failed recently.
+/// The selection of one daemon: the first address of its group that has not failed recently.
 ///
 /// All members of a group try the same addresses in the same order, so they agree soon after a loss
 /// without a vote. Until they agree, each daemon is counted only where it reports, so none is
--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -113,11 +113,12 @@
         Ok(deltas)
     }
 
-    /// Estimates the tokens that silent sources have admitted since the previous call. `limit_rates` are
-    /// the rates that the limits allow. Each source is assumed to use its own share of the limit,
-    /// so that partitions of a fleet still keep to the limit between them. `fleet` holds the rates
-    /// of the whole fleet; a source without a known rate has the share `equal_share`. A source counts as
-    /// silent once it has not been heard for the duration `timeout`.
+    /// Estimates the tokens that silent sources have admitted since the previous call.
+    /// `limit_rates` are the rates that the limits allow. Each source is assumed to use its own
+    /// share of the limit, so that partitions of a fleet still keep to the limit between them.
+    /// `fleet` holds the rates of the whole fleet; a source without a known rate has the share
+    /// `equal_share`. A source counts as silent once it has not been heard for the duration
+    /// `timeout`.
     pub fn estimate_silent(
         &mut self,
         limit_rates: &[(OrganisationHash, f64)],
--- a/src/fleet_state/layout.rs
+++ b/src/fleet_state/layout.rs
@@ -11,9 +11,9 @@
 /// Maximum rate at which one daemon of a mesh sends reports, over all receivers. A report costs
 /// about 20 us at either end, so this is 0.4 % of a core.
 const MAX_MESH_SENDS_PER_SECOND: f64 = 100.0;
-/// Maximum rate at which an aggregator sends messages. It receives as many, which together takes 2
-/// % of a core on one daemon of each group. The resulting interval is 68 ms for 291 daemons and 126
-/// ms for 1,000.
+/// Maximum rate at which an aggregator sends messages. With as many received, this takes 2 % of a
+/// core on one daemon of each group. The interval becomes 68 ms for 291 daemons and 126 ms for
+/// 1,000.
 const MAX_AGGREGATOR_SENDS_PER_SECOND: f64 = 500.0;
 /// Minimum interval between two reports in a mesh. Changes in between are batched into one report.
 const MIN_MESH_INTERVAL: Duration = Duration::from_millis(40);
--- a/src/fleet_state/list_freshness.rs
+++ b/src/fleet_state/list_freshness.rs
@@ -16,8 +16,8 @@
 /// after [`INITIAL_READ_DELAY`].
 const INITIAL_READ_SPREAD: Duration = Duration::from_millis(500);
 /// Daemons whose list is overdue spread their reads evenly over this period for each 100 daemons,
-/// so that most learn of another daemon's reading first when the reader is lost. If the reads of
-/// the fleet took more than two such periods, they would exceed the platform's rate limit.
+/// so that most learn of another daemon's reading first when the reader is lost. Beyond two such
+/// periods the fleet would exceed the platform's rate limit.
 const OVERDUE_SPREAD_PER_HUNDRED: Duration = Duration::from_millis(1_000);
 /// Maximum spread; a leaving upstream must not get work for longer than this.
 const MAX_OVERDUE_SPREAD: Duration = Duration::from_millis(3_000);
--- a/src/fleet_state/row_rotation.rs
+++ b/src/fleet_state/row_rotation.rs
@@ -8,7 +8,8 @@
 /// Number of consecutive messages that carry a change, since messages are occasionally lost.
 const SENDS_PER_CHANGE: u64 = 4;
 /// Number of unchanged rows refreshed per message, in round-robin order. A receiver that has lost
-/// all [`SENDS_PER_CHANGE`] copies of a change, or has only just started, catches up within seconds.
+/// all [`SENDS_PER_CHANGE`] copies of a change, or has only just started, catches up within
+/// seconds.
 const MAX_REFRESHED_ROWS: usize = 6;
 /// Maximum number of rows in one message, about 1,100 bytes.
 const MAX_ROWS: usize = 80;
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -27,10 +27,10 @@
 
 /// Share of each limit that a daemon uses while it knows of no other daemon, as in a small fleet.
 const ISOLATED_SHARE: f64 = 1.0 / 8.0;
-/// Silence after which a daemon's usage is estimated from the organisations' limits. It may be cut
-/// off from this daemon and still serve callers.
+/// Silence after which a daemon is assumed to keep using its share of the organisations' limits,
+/// since it may be cut off from this daemon and still serve callers.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Minimum of the silence and liveness timeouts, in message intervals.
+/// Lower bound of the silence, liveness and work timeouts, in message intervals.
 const MIN_TIMEOUT_INTERVALS: u32 = 4;
 /// Time to live of a daemon's reported requests. The daemon may have died, and its requests with
 /// it.
@@ -315,7 +315,7 @@
     }
 
     /// Adds the estimated usage behind a silent aggregator, either the current one or one that was
-    /// given up. It stands for all other daemons until another source of their counters is
+    /// excluded. It stands for all other daemons until another source of their counters is
     /// available.
     fn estimate_silent_aggregator(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) {
         let is_replaced = self.has_direct_view(now)
--- a/src/fleet_state/state/queries.rs
+++ b/src/fleet_state/state/queries.rs
@@ -70,8 +70,8 @@
 
     /// Returns the number of daemons that the sums cover, including this one.
     pub fn covered_daemons(&self, now: Moment) -> usize {
-        let ttl = self.silence_timeout();
-        let is_fresh = |last_heard: Moment| now.since(last_heard) < ttl;
+        let timeout = self.silence_timeout();
+        let is_fresh = |last_heard: Moment| now.since(last_heard) < timeout;
         if !self.has_direct_view(now) {
             let fresh = self.summary.as_ref().filter(|summary| is_fresh(summary.last_heard));
             return fresh.map_or(1, |summary| summary.covered_daemons as usize);
@@ -90,16 +90,16 @@
                 (now.since(summary.last_heard) + summary.age).min(self.silence_timeout())
             });
         }
-        let ttl = self.silence_timeout();
-        let live = self.aggregators.values().filter(|peer| now.since(peer.last_heard) < ttl);
+        let timeout = self.silence_timeout();
+        let live = self.aggregators.values().filter(|peer| now.since(peer.last_heard) < timeout);
         let peers = live.map(|peer| now.since(peer.last_heard) + peer.age).max();
         peers.unwrap_or_default().max(self.members_age(now))
     }
 
     pub(super) fn members_age(&self, now: Moment) -> Duration {
-        let ttl = self.silence_timeout();
+        let timeout = self.silence_timeout();
         let ages = self.members.values().map(|member| now.since(member.last_heard));
-        ages.filter(|age| *age < ttl).max().unwrap_or_default()
+        ages.filter(|age| *age < timeout).max().unwrap_or_default()
     }
 
     /// Returns a function that gives the forecast of what the other daemons admit against an
@@ -128,8 +128,9 @@
             return false;
         }
         let own = (!self.local.can_read_list, self.identity.address);
-        let ttl = LIVENESS_TIMEOUT.max(self.layout.send_interval() * super::MIN_TIMEOUT_INTERVALS);
-        let is_fresh = |last_heard: Moment| now.since(last_heard) < ttl;
+        let timeout =
+            LIVENESS_TIMEOUT.max(self.layout.send_interval() * super::MIN_TIMEOUT_INTERVALS);
+        let is_fresh = |last_heard: Moment| now.since(last_heard) < timeout;
         let members = self.members.values().filter(|_| self.is_mesh(now));
         let members =
             members.map(|member| (member.last_heard, member.can_read_list, member.address));
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -19,8 +19,8 @@
 const CHANGE_SENDS: u32 = 2;
 /// Pause between two transmissions of one change.
 const CHANGE_RESEND_DELAY: Duration = Duration::from_millis(120);
-/// Maximum number of full lists sent within [`FULL_LIST_WINDOW`]. A list of 143 upstreams occupies a
-/// link of 10 Mbit/s for 5 ms, and after a restart of all daemons each one requests the list at
+/// Maximum number of full lists sent within [`FULL_LIST_WINDOW`]. A list of 143 upstreams occupies
+/// a link of 10 Mbit/s for 5 ms, and after a restart of all daemons each one requests the list at
 /// once.
 const MAX_FULL_LISTS: u32 = 8;
 /// See [`MAX_FULL_LISTS`].
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -250,7 +250,7 @@
     let snapshot = state.snapshot();
     let Some(fleet) = state.fleet.fleet() else { return };
     let (others, group) = (fleet.others_work(now), fleet.group());
-    let (waiting, horizon) = (fleet.others_waiting(now), fleet.group_delay(now));
+    let (waiting, group_delay) = (fleet.others_waiting(now), fleet.group_delay(now));
     let share = fleet.limit_share();
     let forecast = fleet.forecasts(now);
     let limited = snapshot.access.limited_hashes();
@@ -263,7 +263,7 @@
     drop(limits);
     for (service, pool) in state.pools().iter() {
         let levels = waiting.get(&ServiceHash::of(service)).cloned().unwrap_or_default();
-        let waiting = OthersWaiting { levels, age: horizon };
+        let waiting = OthersWaiting { levels, age: group_delay };
         let (rows, is_changed) = pool.inspect(|scheduler| {
             let upstreams = scheduler.upstreams();
             let is_changed = upstreams.group() != group || *scheduler.others_waiting() != waiting;
@@ -307,7 +307,7 @@
         let local = local_state(&state, collected_at);
         collected_at = now;
         let rates = limit_rates(&state);
-        let Some((outgoing, charges, pause)) = state.fleet.fleet().map(|mut fleet| {
+        let Some((outgoing, charges, send_interval)) = state.fleet.fleet().map(|mut fleet| {
             let outgoing = fleet.tick(local, &rates, now);
             state.fleet.daemon_count.store(fleet.addresses().len(), Ordering::Relaxed);
             log_changes(&state, &fleet, &mut logged, now);
@@ -321,7 +321,7 @@
             socket.send(&DaemonMessage::State(message), &to);
         }
         refresh_limits_and_pools(&state);
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(send_interval).await;
     }
 }
 
