--- a/src/fleet_state/flow_ledger.rs
+++ b/src/fleet_state/flow_ledger.rs
@@ -1,4 +1,4 @@
-//! Cumulative counters of several sources, and what is assumed of those that are silent.
+//! Cumulative counters of several sources, and estimates for sources that have fallen silent.
 
 use super::flow_totals::{FlowTotals, totals_of};
 use super::{FlowRates, FlowRow, MessageRefusal, OrganisationHash};
@@ -7,75 +7,75 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What was assumed of a silent source beyond what it turns out to have let through is given back, up to this many seconds'
-/// worth: after a longer silence the bucket has been refilled meanwhile.
-const REFUND_SECONDS: f64 = 2.0;
-/// A rate below this, in tokens a second, says nothing of a source's part.
-const LEAST_RATE: f64 = 1.0;
+/// If a silent source turns out to have admitted less than was estimated, the excess is refunded,
+/// up to this many seconds' worth. After a longer silence the bucket has refilled in the meantime.
+const MAX_REFUND_SECONDS: f64 = 2.0;
+/// A rate in tokens per second below which a source's share is not derived from it.
+const MIN_SHARE_RATE: f64 = 1.0;
 
-/// Tokens that a source let through, or was asked for, since its last message.
+/// Tokens that a source admitted and that were requested of it since its previous message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowDelta {
-    /// The organisation.
     pub organisation: OrganisationHash,
-    /// Tokens let through; below nought where tokens are given back.
+    /// Tokens admitted; negative if tokens were refunded.
     pub taken: i64,
-    /// Tokens asked for.
+    /// Tokens requested, including refused ones.
     pub asked: u64,
 }
 
-/// Which message of which start of a source.
+/// Identifies a message of a source by process start and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceStamp {
-    /// The number of its start.
+    /// The number of the source's process start.
     pub boot: u64,
-    /// The number of the message.
+    /// The sequence number of the message.
     pub sequence: u64,
 }
 
-/// What one source has reported.
+/// The last reported state of one source.
 #[derive(Clone, Debug)]
 struct FlowSource {
     stamp: SourceStamp,
     totals: FlowTotals,
     rates: FlowRates,
-    heard: Moment,
-    silence: Option<SourceSilence>,
-    /// True if rows that were never heard stand at nought; else nobody knows where they began.
-    is_complete: bool,
+    last_heard: Moment,
+    silence: Option<SilentPeriod>,
+    /// True if rows that were never received are known to be zero. Otherwise their baseline is
+    /// unknown and the first value received becomes the baseline.
+    has_zero_baseline: bool,
 }
 
-/// A source that has not been heard for too long.
+/// The state of a source that has exceeded the silence timeout.
 #[derive(Clone, Debug)]
-struct SourceSilence {
-    /// Its part of all that was let through when it was last heard, by organisation.
-    parts: BTreeMap<OrganisationHash, f64>,
-    /// Until when its silence has been accounted for.
-    until: Moment,
-    assumed: BTreeMap<OrganisationHash, AssumedTokens>,
+struct SilentPeriod {
+    /// The source's share of all admitted tokens when it was last heard, by organisation.
+    shares: BTreeMap<OrganisationHash, f64>,
+    /// The time up to which estimates have been added.
+    estimated_until: Moment,
+    estimated: BTreeMap<OrganisationHash, EstimatedTokens>,
 }
 
-/// Tokens assumed of a silent source.
+/// Tokens estimated for a silent source.
 #[derive(Clone, Copy, Debug, Default)]
-struct AssumedTokens {
+struct EstimatedTokens {
     sum: f64,
-    /// Those that may be given back.
+    /// The part of `sum` that may be refunded.
     refundable: f64,
 }
 
-/// Sources by the daemons that speak for them.
+/// Counters by the daemon that reports them.
 ///
-/// A source that is heard for the first time has been counted by somebody else until then, so its counters are where
-/// counting begins. One that has started anew counts from nought.
+/// When a source is heard for the first time, its tokens so far have already been counted
+/// elsewhere, so its counters are the baseline. A source that has restarted counts from zero.
 #[derive(Clone, Debug, Default)]
 pub struct FlowLedger {
     sources: BTreeMap<DaemonName, FlowSource>,
 }
 
 impl FlowLedger {
-    /// Takes a message, unless it was overtaken or a counter has fallen. Rows that are left out have not changed, or stand at
-    /// nought where the message `is_whole`.
-    pub fn take(
+    /// Applies a message and returns the increases, unless the message was overtaken or a counter
+    /// has fallen. Rows left out have not changed, or are zero if `is_whole`.
+    pub fn apply(
         &mut self,
         daemon: &DaemonName,
         stamp: SourceStamp,
@@ -87,64 +87,67 @@
                 stamp,
                 totals: totals_of(rows),
                 rates: FlowRates::default(),
-                heard: now,
+                last_heard: now,
                 silence: None,
-                is_complete: is_whole,
+                has_zero_baseline: is_whole,
             };
             self.sources.insert(daemon.clone(), source);
             return Ok(Vec::new());
         };
-        let is_same_start = source.stamp.boot == stamp.boot;
-        if is_same_start && source.stamp.sequence >= stamp.sequence {
+        let is_same_boot = source.stamp.boot == stamp.boot;
+        if is_same_boot && source.stamp.sequence >= stamp.sequence {
             return Err(MessageRefusal::Overtaken);
         }
-        if is_same_start && rows.iter().any(|row| source.asked(row.organisation) > row.asked) {
+        if is_same_boot && rows.iter().any(|row| source.asked(row.organisation) > row.asked) {
             return Err(MessageRefusal::FallingCounter);
         }
-        if !is_same_start {
+        if !is_same_boot {
             source.totals.clear();
-            source.is_complete = true;
+            source.has_zero_baseline = true;
         }
         source.stamp = stamp;
-        source.heard = now;
+        source.last_heard = now;
         let silence = source.silence.take();
         let deltas = source.deltas(rows, silence, now);
-        source.is_complete |= is_whole;
+        source.has_zero_baseline |= is_whole;
         Ok(deltas)
     }
 
-    /// What silent sources may have let through since this was asked last, given the rates that the limits let through. Each
-    /// is taken to use its part of the whole, so that parts of a fleet that hear nothing of each other still keep to a
-    /// limit between them. `fleet` are the rates of all; a source of which none is known has an `equal` part.
-    pub fn assume_silent(
+    /// Estimates the tokens that silent sources have admitted since the previous call.
+    /// `limit_rates` are the rates that the limits allow. Each source is assumed to use its own
+    /// share of the limit, so that partitions of a fleet still keep to the limit between them.
+    /// `fleet` holds the rates of the whole fleet; a source without a known rate has the share
+    /// `equal_share`. A source counts as silent once it has not been heard for the duration
+    /// `timeout`.
+    pub fn estimate_silent(
         &mut self,
-        limits: &[(OrganisationHash, f64)],
+        limit_rates: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
-        (equal, after): (f64, Duration),
+        (equal_share, timeout): (f64, Duration),
         now: Moment,
     ) -> Vec<FlowDelta> {
         let mut deltas = Vec::new();
         for source in self.sources.values_mut() {
-            if now.since(source.heard) < after {
+            if now.since(source.last_heard) < timeout {
                 continue;
             }
-            source.fall_silent(limits, fleet, equal, now);
-            deltas.extend(source.assume(limits, now));
+            source.begin_silence(limit_rates, fleet, equal_share, now);
+            deltas.extend(source.estimate(limit_rates, now));
         }
         deltas
     }
 
-    /// Forgets a source.
     pub fn remove(&mut self, daemon: &DaemonName) {
         self.sources.remove(daemon);
     }
 
-    /// Forgets the sources for which `keep` is false; it gets when each was heard last.
+    /// Keeps the sources for which `keep` returns true, given the daemon and when it was last
+    /// heard.
     pub fn retain(&mut self, keep: impl Fn(&DaemonName, Moment) -> bool) {
-        self.sources.retain(|daemon, source| keep(daemon, source.heard));
+        self.sources.retain(|daemon, source| keep(daemon, source.last_heard));
     }
 
-    /// The last message that was taken of a source.
+    /// Returns the stamp of the last message applied from a source.
     pub fn stamp(&self, daemon: &DaemonName) -> Option<SourceStamp> {
         self.sources.get(daemon).map(|source| source.stamp)
     }
@@ -158,67 +161,76 @@
     fn deltas(
         &mut self,
         rows: &[FlowRow],
-        silence: Option<SourceSilence>,
+        silence: Option<SilentPeriod>,
         now: Moment,
     ) -> Vec<FlowDelta> {
-        let mut assumed = silence.map(|silence| silence.assumed).unwrap_or_default();
+        let mut estimated = silence.map(|silence| silence.estimated).unwrap_or_default();
         let mut deltas = Vec::new();
         for row in rows {
             let new = (row.taken, row.asked);
-            let first = if self.is_complete { (0, 0) } else { new };
-            let before = self.totals.insert(row.organisation, new).unwrap_or(first);
+            let baseline = if self.has_zero_baseline { (0, 0) } else { new };
+            let before = self.totals.insert(row.organisation, new).unwrap_or(baseline);
             let taken = row.taken - before.0;
             self.rates.add(row.organisation, taken, now);
-            let assumed = assumed.remove(&row.organisation).unwrap_or_default();
-            let taken = (taken - assumed.sum as i64).max(-(assumed.refundable as i64));
+            let estimated = estimated.remove(&row.organisation).unwrap_or_default();
+            let taken = (taken - estimated.sum as i64).max(-(estimated.refundable as i64));
             let asked = row.asked.saturating_sub(before.1);
             if taken != 0 || asked != 0 {
                 deltas.push(FlowDelta { organisation: row.organisation, taken, asked });
             }
         }
-        // Organisations of which it says nothing: it let nothing of theirs through.
-        let rest = assumed.into_iter().map(|(organisation, assumed)| FlowDelta {
+        // The message has no row for these organisations, so the source admitted nothing of theirs.
+        let rest = estimated.into_iter().map(|(organisation, estimated)| FlowDelta {
             organisation,
-            taken: -(assumed.refundable as i64),
+            taken: -(estimated.refundable as i64),
             asked: 0,
         });
         deltas.extend(rest.filter(|delta| delta.taken != 0));
         deltas
     }
 
-    fn fall_silent(
+    fn begin_silence(
         &mut self,
-        limits: &[(OrganisationHash, f64)],
+        limit_rates: &[(OrganisationHash, f64)],
         fleet: &FlowRates,
-        equal: f64,
+        equal_share: f64,
         now: Moment,
     ) {
         if self.silence.is_some() {
             return;
         }
-        let part = |organisation: OrganisationHash| {
+        let share = |organisation: OrganisationHash| {
             let whole = fleet.rate(organisation, now);
-            let own = self.rates.rate(organisation, self.heard);
-            if whole.max(own) > LEAST_RATE { (own / whole.max(own)).min(1.0) } else { equal }
+            let own = self.rates.rate(organisation, self.last_heard);
+            if whole.max(own) > MIN_SHARE_RATE {
+                (own / whole.max(own)).min(1.0)
+            } else {
+                equal_share
+            }
         };
-        let parts = limits.iter().map(|(organisation, _)| (*organisation, part(*organisation)));
-        let parts = parts.collect();
-        self.silence = Some(SourceSilence { parts, until: self.heard, assumed: BTreeMap::new() });
+        let shares =
+            limit_rates.iter().map(|(organisation, _)| (*organisation, share(*organisation)));
+        let shares = shares.collect();
+        self.silence = Some(SilentPeriod {
+            shares,
+            estimated_until: self.last_heard,
+            estimated: BTreeMap::new(),
+        });
     }
 
-    fn assume(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) -> Vec<FlowDelta> {
+    fn estimate(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) -> Vec<FlowDelta> {
         let Some(silence) = &mut self.silence else { return Vec::new() };
-        let seconds = now.since(silence.until).as_secs_f64();
-        silence.until = now;
+        let seconds = now.since(silence.estimated_until).as_secs_f64();
+        silence.estimated_until = now;
         let mut deltas = Vec::new();
-        for (organisation, limit) in limits {
-            let rate = limit * silence.parts.get(organisation).copied().unwrap_or(0.0);
+        for (organisation, limit) in limit_rates {
+            let rate = limit * silence.shares.get(organisation).copied().unwrap_or(0.0);
             let tokens = rate * seconds;
-            let assumed = silence.assumed.entry(*organisation).or_default();
-            let before = assumed.sum as i64;
-            assumed.sum += tokens;
-            assumed.refundable = assumed.sum.min(rate * REFUND_SECONDS);
-            let taken = assumed.sum as i64 - before;
+            let estimated = silence.estimated.entry(*organisation).or_default();
+            let before = estimated.sum as i64;
+            estimated.sum += tokens;
+            estimated.refundable = estimated.sum.min(rate * MAX_REFUND_SECONDS);
+            let taken = estimated.sum as i64 - before;
             if taken != 0 {
                 deltas.push(FlowDelta { organisation: *organisation, taken, asked: 0 });
             }
--- a/src/fleet_state/own_history.rs
+++ b/src/fleet_state/own_history.rs
@@ -1,74 +1,76 @@
-//! What this daemon has reported, message by message: sums that come back hold some of it.
+//! History of this daemon's own reports. It is used to subtract this daemon's share from the sums
+//! that an aggregator sends back.
 
-use super::flow_totals::{FlowTotals, differences, totals_of};
-use super::{FlowDelta, OwnReading, WaitingRow, WorkRow};
+use super::flow_totals::{FlowTotals, flow_deltas, totals_of};
+use super::{FlowDelta, LocalState, WaitingRow, WorkRow};
 use std::collections::VecDeque;
 
-/// Reports that are remembered: 4 s at 15 a second, far more than a sum is old.
-const REMEMBERED: usize = 64;
+/// Number of reports kept: 4 s at 15 reports per second, far longer than the age of any sum.
+const MAX_REPORTS: usize = 64;
 
-/// One report.
 #[derive(Clone, Debug)]
-struct PastReport {
+struct SentReport {
     sequence: u64,
     totals: FlowTotals,
     work: Vec<WorkRow>,
     waiting: Vec<WaitingRow>,
 }
 
-/// The last reports of this daemon, and which of them the sums of its aggregator hold.
+/// The most recent reports of this daemon, and the one that the aggregator's sums currently
+/// include.
 #[derive(Clone, Debug, Default)]
-pub struct OwnHistory {
-    reports: VecDeque<PastReport>,
-    included: Option<PastReport>,
+pub struct ReportHistory {
+    reports: VecDeque<SentReport>,
+    included: Option<SentReport>,
 }
 
-impl OwnHistory {
-    /// Remembers a report.
-    pub fn push(&mut self, sequence: u64, own: &OwnReading) {
-        let report = PastReport {
+impl ReportHistory {
+    pub fn push(&mut self, sequence: u64, local: &LocalState) {
+        let report = SentReport {
             sequence,
-            totals: totals_of(&own.flows),
-            work: own.work.clone(),
-            waiting: own.waiting.clone(),
+            totals: totals_of(&local.flows),
+            work: local.work.clone(),
+            waiting: local.waiting.clone(),
         };
         self.reports.push_back(report);
-        if self.reports.len() > REMEMBERED {
+        if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
         }
     }
 
-    /// Learns that the sums hold the report `sequence`, and gives what they hold more of this daemon than before. The first
-    /// time is where counting begins.
-    pub fn include(&mut self, sequence: u64) -> Vec<FlowDelta> {
+    /// Notes that the aggregator's sums include the report `sequence`, and returns the increase of
+    /// this daemon's own counters since the report included before. The first included report is
+    /// the baseline and returns no increase.
+    pub fn mark_included(&mut self, sequence: u64) -> Vec<FlowDelta> {
         let is_new = self.included.as_ref().is_none_or(|report| report.sequence < sequence);
-        let Some(at) = self.reports.iter().position(|report| report.sequence == sequence) else {
+        let Some(idx) = self.reports.iter().position(|report| report.sequence == sequence) else {
             return Vec::new();
         };
         if !is_new {
             return Vec::new();
         }
-        let report = self.reports[at].clone();
+        let report = self.reports[idx].clone();
         let before = self.included.replace(report.clone());
-        before.map_or_else(Vec::new, |before| differences(&before.totals, &report.totals))
+        before.map_or_else(Vec::new, |before| flow_deltas(&before.totals, &report.totals))
     }
 
-    /// The sums of another aggregator hold nothing of this daemon yet.
-    pub fn start_over(&mut self) {
+    /// Forgets the included report, since the sums of a new aggregator include none of this daemon
+    /// yet.
+    pub fn clear_included(&mut self) {
         self.included = None;
     }
 
-    /// True once the sums hold anything of this daemon.
+    /// Returns true once the aggregator's sums include a report of this daemon.
     pub fn is_included(&self) -> bool {
         self.included.is_some()
     }
 
-    /// This daemon's waiting requests as the sums hold them.
+    /// This daemon's waiting requests, as included in the aggregator's sums.
     pub fn included_waiting(&self) -> &[WaitingRow] {
         self.included.as_ref().map_or(&[], |report| &report.waiting)
     }
 
-    /// This daemon's work as the sums hold it.
+    /// This daemon's requests at upstreams, as included in the aggregator's sums.
     pub fn included_work(&self) -> &[WorkRow] {
         self.included.as_ref().map_or(&[], |report| &report.work)
     }
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -1,111 +1,114 @@
-//! The fleet's state as one daemon keeps it: its role, what it sends, and what it takes.
+//! The fleet's state as one daemon sees it: its role, the messages that it sends, and those that it
+//! receives.
 
-mod parts;
-mod sending;
-mod taking;
-mod view;
+mod peers;
+mod queries;
+mod receive;
+mod send;
 
-pub use taking::BucketEstimates;
-pub use view::FleetRole;
+pub use queries::FleetRole;
+pub use receive::BucketEstimates;
 
-use super::flow_totals::{FlowTotals, differences, totals_of};
+use super::flow_totals::{FlowTotals, flow_deltas, totals_of};
 use super::messages::daemon_hash;
-use super::work_tables::RowTurn;
+use super::work_tables::RowCursor;
 use super::{
     AggregatorChoice, Departure, FleetLayout, FleetMessage, FlowDelta, FlowLedger, FlowRates,
-    FlowRow, ListStamp, MessageSource, OrganisationHash, OwnHistory, RowRotation, WaitingRow,
+    FlowRow, ListStamp, MessageSource, OrganisationHash, ReportHistory, RowRotation, WaitingRow,
     WorkRow, WorkTable,
 };
 use crate::policy::Moment;
 use crate::quarantine::SuspectNews;
 use crate::table::DaemonName;
-use parts::{PeerAggregator, Reporter, SummaryView};
+use peers::{LastSummary, MemberState, PeerAggregator};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The part of each limit that a daemon uses that knows of no other one: as in a small fleet.
-const UNINFORMED_SHARE: f64 = 1.0 / 8.0;
-/// A daemon unheard for this long, or for some pauses, is taken to go on as before with the organisations' limits: it may
-/// be cut off and still serve callers.
-const SILENT_AFTER: Duration = Duration::from_millis(600);
-/// Pauses between messages that a silence is longer than.
-const SILENT_PAUSES: u32 = 4;
-/// What a daemon reported of its work counts for this long, or for some pauses: it may have died, and its requests with it.
-const WORK_LIFE: Duration = Duration::from_millis(1_000);
-/// An aggregator counts as present for this long after its last message.
-const PEER_LIFE: Duration = Duration::from_millis(500);
-/// A silent daemon is forgotten after this long, though the leader may have done so before: a daemon that is cut off from
-/// the voters goes on serving, and looks the same as a dead one. Above the cuts that are usual.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
-/// The leader's list of daemons counts alone for this long; after that, those that are heard count beside it.
-const NAMED_LIFE: Duration = Duration::from_secs(5);
-
-/// Who this daemon is.
+/// Share of each limit that a daemon uses while it knows of no other daemon, as in a small fleet.
+const ISOLATED_SHARE: f64 = 1.0 / 8.0;
+/// Silence after which a daemon is assumed to keep using its share of the organisations' limits,
+/// since it may be cut off from this daemon and still serve callers.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Lower bound of the silence, liveness and work timeouts, in message intervals.
+const MIN_TIMEOUT_INTERVALS: u32 = 4;
+/// Time to live of a daemon's reported requests. The daemon may have died, and its requests with
+/// it.
+const WORK_TTL: Duration = Duration::from_millis(1_000);
+/// An aggregator is considered live for this long after its last message.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(500);
+/// A silent daemon is removed after this long, even if the leader has removed it earlier: a daemon
+/// that is cut off from the voters continues to serve, and cannot be told from a dead one. The time
+/// exceeds the usual duration of a network partition.
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for which the leader's list of daemons is used alone. After that, daemons that were heard
+/// are added to it.
+const SERVING_LIST_TTL: Duration = Duration::from_secs(5);
+
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonIdentity {
-    /// Its name.
     pub daemon: DaemonName,
-    /// The number of its start.
+    /// The number of the daemon's process start.
     pub boot: u64,
-    /// Where it hears messages.
+    /// The address at which the daemon receives messages.
     pub address: SocketAddr,
 }
 
-/// What this daemon knows of itself.
+/// The local state of this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OwnReading {
-    /// Tokens by organisation since its start; organisations at nought may be left out.
+pub struct LocalState {
+    /// Token counters by organisation since the process start; organisations at zero may be left
+    /// out.
     pub flows: Vec<FlowRow>,
-    /// Its requests at upstreams.
+    /// Requests of this daemon at upstreams.
     pub work: Vec<WorkRow>,
-    /// Its requests that wait.
+    /// Requests waiting at this daemon.
     pub waiting: Vec<WaitingRow>,
-    /// The last reading of the platform's list that agrees with its own.
+    /// The last reading of the platform's list that agrees with this daemon's list.
     pub list: Option<ListStamp>,
-    /// False while the platform does not let it read the list.
+    /// False while the platform does not let this daemon read the list.
     pub can_read_list: bool,
-    /// True once it has drained.
+    /// True once the daemon has drained.
     pub has_left: bool,
-    /// What it knows of requests under which upstreams ended.
+    /// What this daemon knows of requests under which upstreams ended.
     pub suspects: SuspectNews,
 }
 
-/// A message and where it goes.
+/// A message and its receivers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// Those who get it.
+    /// Addresses of the receivers.
     pub to: Vec<SocketAddr>,
-    /// The message.
     pub message: FleetMessage,
 }
 
-/// The state.
+/// The fleet's state as seen by one daemon.
 #[derive(Clone, Debug)]
 pub struct FleetState {
     identity: DaemonIdentity,
     sequence: u64,
-    /// The leader's list of daemons that serve callers, and when it was given; none before the first.
-    named: Option<(Vec<SocketAddr>, Moment)>,
-    /// Addresses that messages came from.
-    heard: BTreeMap<SocketAddr, Moment>,
+    /// The leader's list of daemons that serve callers, and when it was last confirmed; none before
+    /// the first.
+    serving_list: Option<(Vec<SocketAddr>, Moment)>,
+    /// When a message was last received from each address.
+    last_heard: BTreeMap<SocketAddr, Moment>,
     layout: FleetLayout,
     choice: AggregatorChoice,
-    /// Daemons that report to this one.
-    members: FlowLedger,
-    reporters: BTreeMap<DaemonName, Reporter>,
-    /// The other aggregators.
-    peers: FlowLedger,
+    /// Token counters of the daemons that report to this one.
+    member_flows: FlowLedger,
+    members: BTreeMap<DaemonName, MemberState>,
+    /// Token counters of the other aggregators.
+    peer_flows: FlowLedger,
     aggregators: BTreeMap<DaemonName, PeerAggregator>,
-    /// The aggregator that this daemon reports to, and what it says.
-    upward: FlowLedger,
-    summary: Option<SummaryView>,
-    away: WorkTable,
-    /// Where the turns of the group's rows and of the others' stand.
-    group_turn: RowTurn,
-    away_turn: RowTurn,
-    history: OwnHistory,
-    own: OwnReading,
+    /// Token counters of the fleet, as reported by this daemon's aggregator.
+    summary_flows: FlowLedger,
+    summary: Option<LastSummary>,
+    other_groups: WorkTable,
+    /// Round-robin positions in the group's rows and in those of other groups.
+    group_cursor: RowCursor,
+    other_groups_cursor: RowCursor,
+    history: ReportHistory,
+    local: LocalState,
     group_flows: FlowTotals,
     fleet_flows: FlowTotals,
     taken_rates: FlowRates,
@@ -114,32 +117,32 @@
     report_rows: RowRotation,
     group_rows: RowRotation,
     fleet_rows: RowRotation,
-    /// Tokens of others that have not been charged yet.
+    /// Tokens admitted by other daemons that have not been charged to this daemon's limits yet.
     charges: BTreeMap<OrganisationHash, i64>,
 }
 
 impl FleetState {
-    /// The state of a daemon that knows of no others.
+    /// Creates the state of a daemon that knows of no others.
     pub fn new(identity: DaemonIdentity) -> Self {
         let layout = FleetLayout::new(vec![identity.address]);
         FleetState {
             identity,
             sequence: 0,
-            named: None,
-            heard: BTreeMap::new(),
+            serving_list: None,
+            last_heard: BTreeMap::new(),
             layout,
             choice: AggregatorChoice::default(),
-            members: FlowLedger::default(),
-            reporters: BTreeMap::new(),
-            peers: FlowLedger::default(),
+            member_flows: FlowLedger::default(),
+            members: BTreeMap::new(),
+            peer_flows: FlowLedger::default(),
             aggregators: BTreeMap::new(),
-            upward: FlowLedger::default(),
+            summary_flows: FlowLedger::default(),
             summary: None,
-            away: WorkTable::default(),
-            group_turn: RowTurn::default(),
-            away_turn: RowTurn::default(),
-            history: OwnHistory::default(),
-            own: OwnReading::default(),
+            other_groups: WorkTable::default(),
+            group_cursor: RowCursor::default(),
+            other_groups_cursor: RowCursor::default(),
+            history: ReportHistory::default(),
+            local: LocalState::default(),
             group_flows: FlowTotals::new(),
             fleet_flows: FlowTotals::new(),
             taken_rates: FlowRates::default(),
@@ -152,51 +155,52 @@
         }
     }
 
-    /// The number of this daemon's start.
+    /// Returns the number of this daemon's process start.
     pub fn boot(&self) -> u64 {
         self.identity.boot
     }
 
-    /// Takes the leader's list of daemons that serve callers.
-    pub fn set_named(&mut self, named: Vec<SocketAddr>, now: Moment) {
-        self.named = Some((named, now));
+    /// Sets the leader's list of daemons that serve callers.
+    pub fn set_serving_list(&mut self, serving_list: Vec<SocketAddr>, now: Moment) {
+        self.serving_list = Some((serving_list, now));
         self.refresh_layout(now);
     }
 
-    /// The leader's list is still the same.
-    pub fn confirm_named(&mut self, now: Moment) {
-        if let Some((_, at)) = &mut self.named {
+    /// Records that the leader's list is unchanged.
+    pub fn confirm_serving_list(&mut self, now: Moment) {
+        if let Some((_, at)) = &mut self.serving_list {
             *at = now;
         }
     }
 
-    /// Where time has passed: learns what this daemon did, and gives the messages to send. `limits` are the rates that
-    /// the organisations' limits let through, in tokens a second.
+    /// Advances the state to `now`: records this daemon's own activity and returns the messages to
+    /// send. `limit_rates` are the rates that the organisations' limits allow, in tokens per second.
     pub fn tick(
         &mut self,
-        own: OwnReading,
-        limits: &[(OrganisationHash, f64)],
+        local: LocalState,
+        limit_rates: &[(OrganisationHash, f64)],
         now: Moment,
     ) -> Vec<OutgoingMessage> {
         self.sequence += 1;
         self.refresh_layout(now);
-        self.learn_own(&own.flows, now);
-        self.own = own;
+        self.record_own_flows(&local.flows, now);
+        self.local = local;
         let mut outgoing = Vec::new();
         if self.is_mesh(now) {
             self.report_to_all(&mut outgoing);
         } else {
-            self.report_upward(now, &mut outgoing);
+            self.report_to_aggregator(now, &mut outgoing);
         }
-        if self.acts(now) {
+        if self.is_aggregating(now) {
             self.send_sums(now, &mut outgoing);
         }
-        self.assume_silent(limits, now);
-        self.forget(now);
+        self.estimate_silent(limit_rates, now);
+        self.remove_expired(now);
         outgoing
     }
 
-    /// Tokens that others let through and that have not been charged yet.
+    /// Removes and returns the tokens that other daemons admitted and that have not been charged
+    /// yet.
     pub fn drain_charges(&mut self) -> Vec<(OrganisationHash, i64)> {
         std::mem::take(&mut self.charges).into_iter().filter(|(_, tokens)| *tokens != 0).collect()
     }
@@ -211,160 +215,182 @@
     }
 
     fn refresh_layout(&mut self, now: Moment) {
-        let is_fresh = |at: &Moment| now.since(*at) < NAMED_LIFE;
-        let named = self.named.as_ref().map_or(&[][..], |(named, _)| named.as_slice());
-        let trusts_leader = self.named.as_ref().is_some_and(|(_, at)| is_fresh(at));
-        let heard = self.heard.keys().filter(|_| !trusts_leader);
+        let is_fresh = |at: &Moment| now.since(*at) < SERVING_LIST_TTL;
+        let serving_list =
+            self.serving_list.as_ref().map_or(&[][..], |(serving_list, _)| serving_list.as_slice());
+        let trusts_leader = self.serving_list.as_ref().is_some_and(|(_, at)| is_fresh(at));
+        let heard_addresses = self.last_heard.keys().filter(|_| !trusts_leader);
         let own = [self.identity.address];
-        let addresses: Vec<SocketAddr> = named.iter().chain(heard).chain(&own).copied().collect();
+        let addresses: Vec<SocketAddr> =
+            serving_list.iter().chain(heard_addresses).chain(&own).copied().collect();
         self.layout = FleetLayout::new(addresses);
     }
 
-    fn learn_own(&mut self, flows: &[FlowRow], now: Moment) {
+    fn record_own_flows(&mut self, flows: &[FlowRow], now: Moment) {
         let is_mesh = self.is_mesh(now);
-        for delta in differences(&totals_of(&self.own.flows), &totals_of(flows)) {
+        for delta in flow_deltas(&totals_of(&self.local.flows), &totals_of(flows)) {
             self.own_rates.add(delta.organisation, delta.taken, now);
             if is_mesh {
-                self.learn_rates(&delta, now);
+                self.record_rates(&delta, now);
             }
         }
     }
 
-    /// Counts tokens of anybody into the fleet's rates.
-    fn learn_rates(&mut self, delta: &FlowDelta, now: Moment) {
+    /// Adds tokens of any daemon to the fleet's rates.
+    fn record_rates(&mut self, delta: &FlowDelta, now: Moment) {
         self.taken_rates.add(delta.organisation, delta.taken, now);
         self.asked_rates.add(delta.organisation, delta.asked as i64, now);
     }
 
-    /// Notes tokens of others that this daemon's limits are to be charged with.
-    fn charge(&mut self, organisation: OrganisationHash, tokens: i64) {
+    /// Queues tokens of other daemons to be charged to this daemon's limits.
+    fn queue_charge(&mut self, organisation: OrganisationHash, tokens: i64) {
         *self.charges.entry(organisation).or_default() += tokens;
     }
 
-    /// True if this daemon learns of the fleet from the daemons themselves, not from an aggregator.
-    fn counts_itself(&self, now: Moment) -> bool {
+    /// Returns true if this daemon sums the reports of other daemons itself, instead of receiving
+    /// the sums from an aggregator.
+    fn has_direct_view(&self, now: Moment) -> bool {
         self.is_mesh(now) || self.choice.chosen() == Some(self.identity.address)
     }
 
-    /// True if the fleet needs no aggregators, as far as this daemon knows.
+    /// Returns true if the fleet uses no aggregators, as far as this daemon knows.
     fn is_mesh(&self, now: Moment) -> bool {
         let hears_summaries =
-            self.summary.as_ref().is_some_and(|summary| now.since(summary.heard) < WORK_LIFE);
+            self.summary.as_ref().is_some_and(|summary| now.since(summary.last_heard) < WORK_TTL);
         self.layout.is_mesh() && !hears_summaries
     }
 
-    /// True if this daemon aggregates: for its group, or for whoever reports to it.
-    fn acts(&self, now: Moment) -> bool {
+    /// Returns true if this daemon aggregates for its group or for any daemon that reports to it.
+    fn is_aggregating(&self, now: Moment) -> bool {
         if self.is_mesh(now) {
             return false;
         }
-        let is_fresh = |reporter: &Reporter| now.since(reporter.heard) < PEER_LIFE;
-        self.choice.chosen() == Some(self.identity.address) || self.reporters.values().any(is_fresh)
+        let is_live = |member: &MemberState| now.since(member.last_heard) < LIVENESS_TIMEOUT;
+        self.choice.chosen() == Some(self.identity.address) || self.members.values().any(is_live)
     }
 
-    /// Counts tokens into the sums. `is_member`: of a daemon that reports here; `is_own`: of this daemon.
-    fn count(&mut self, deltas: &[FlowDelta], (is_member, is_own): (bool, bool), now: Moment) {
-        let counts_itself = self.counts_itself(now);
+    /// Adds tokens to the sums. `is_member` is set if they come from a daemon that reports here,
+    /// `is_own` if they are this daemon's own.
+    fn add_deltas(&mut self, deltas: &[FlowDelta], (is_member, is_own): (bool, bool), now: Moment) {
+        let has_direct_view = self.has_direct_view(now);
         for delta in deltas {
             if is_member {
                 add_to(&mut self.group_flows, delta);
             }
             add_to(&mut self.fleet_flows, delta);
-            if counts_itself {
-                self.learn_rates(delta, now);
+            if has_direct_view {
+                self.record_rates(delta, now);
             }
-            if counts_itself && !is_own {
-                self.charge(delta.organisation, delta.taken);
+            if has_direct_view && !is_own {
+                self.queue_charge(delta.organisation, delta.taken);
             }
         }
     }
 
-    fn silent_after(&self) -> Duration {
-        SILENT_AFTER.max(self.layout.pause() * SILENT_PAUSES)
+    fn silence_timeout(&self) -> Duration {
+        SILENCE_TIMEOUT.max(self.layout.send_interval() * MIN_TIMEOUT_INTERVALS)
     }
 
-    /// Accounts for daemons that are silent.
-    fn assume_silent(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
-        let after = self.silent_after();
-        let equal = 1.0 / self.layout.addresses().len().max(1) as f64;
-        let members = self.members.assume_silent(limits, &self.taken_rates, (equal, after), now);
-        self.count(&members, (true, false), now);
-        self.drop_replaced(now);
-        let group = 1.0 / self.layout.groups() as f64;
-        let peers = self.peers.assume_silent(limits, &self.taken_rates, (group, after), now);
-        self.count(&peers, (false, false), now);
-        self.assume_upward(limits, now);
+    /// Adds the estimated usage of silent daemons.
+    fn estimate_silent(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) {
+        let timeout = self.silence_timeout();
+        let equal_share = 1.0 / self.layout.addresses().len().max(1) as f64;
+        let members = self.member_flows.estimate_silent(
+            limit_rates,
+            &self.taken_rates,
+            (equal_share, timeout),
+            now,
+        );
+        self.add_deltas(&members, (true, false), now);
+        self.remove_covered(now);
+        let group_share = 1.0 / self.layout.group_count() as f64;
+        let peers = self.peer_flows.estimate_silent(
+            limit_rates,
+            &self.taken_rates,
+            (group_share, timeout),
+            now,
+        );
+        self.add_deltas(&peers, (false, false), now);
+        self.estimate_silent_aggregator(limit_rates, now);
     }
 
-    /// The same for the aggregator that this daemon reports to, or reported to until it was given up: it speaks for all
-    /// others, until another view of them is there.
-    fn assume_upward(&mut self, limits: &[(OrganisationHash, f64)], now: Moment) {
-        let is_replaced = self.counts_itself(now)
-            && self.aggregators.values().any(|peer| now.since(peer.heard) < PEER_LIFE);
+    /// Adds the estimated usage behind a silent aggregator, either the current one or one that was
+    /// excluded. It stands for all other daemons until another source of their counters is
+    /// available.
+    fn estimate_silent_aggregator(&mut self, limit_rates: &[(OrganisationHash, f64)], now: Moment) {
+        let is_replaced = self.has_direct_view(now)
+            && self.aggregators.values().any(|peer| now.since(peer.last_heard) < LIVENESS_TIMEOUT);
         if is_replaced {
-            self.upward = FlowLedger::default();
+            self.summary_flows = FlowLedger::default();
         }
         let address = self.summary.as_ref().map(|summary| summary.address);
-        let is_given_up = address.is_some() && self.choice.chosen() != address;
-        let after = if is_given_up { Duration::ZERO } else { self.silent_after() };
-        let rest = 1.0 - 1.0 / self.layout.addresses().len().max(1) as f64;
-        let deltas = self.upward.assume_silent(limits, &self.taken_rates, (rest, after), now);
+        let is_excluded = address.is_some() && self.choice.chosen() != address;
+        let timeout = if is_excluded { Duration::ZERO } else { self.silence_timeout() };
+        let others_share = 1.0 - 1.0 / self.layout.addresses().len().max(1) as f64;
+        let deltas = self.summary_flows.estimate_silent(
+            limit_rates,
+            &self.taken_rates,
+            (others_share, timeout),
+            now,
+        );
         for delta in deltas {
-            self.charge(delta.organisation, delta.taken);
+            self.queue_charge(delta.organisation, delta.taken);
         }
     }
 
-    /// Drops silent sources whose daemons another one covers by now.
-    fn drop_replaced(&mut self, now: Moment) {
-        let is_fresh = |heard: Moment| now.since(heard) < PEER_LIFE;
-        let live = self.aggregators.values().filter(|peer| is_fresh(peer.heard));
+    /// Removes silent sources whose daemons are covered by another source by now.
+    fn remove_covered(&mut self, now: Moment) {
+        let is_live = |last_heard: Moment| now.since(last_heard) < LIVENESS_TIMEOUT;
+        let live = self.aggregators.values().filter(|peer| is_live(peer.last_heard));
         let mut covered: BTreeSet<u32> =
             live.flat_map(|peer| peer.members.iter().copied()).collect();
         let moved = self
-            .reporters
+            .members
             .iter()
-            .filter(|(_, reporter)| !is_fresh(reporter.heard) && covered.contains(&reporter.hash));
+            .filter(|(_, member)| !is_live(member.last_heard) && covered.contains(&member.hash));
         let moved: Vec<DaemonName> = moved.map(|(daemon, _)| daemon.clone()).collect();
         moved.iter().for_each(|daemon| self.remove_member(daemon));
-        covered.extend(self.reporters.values().map(|reporter| reporter.hash));
+        covered.extend(self.members.values().map(|member| member.hash));
         let is_covered =
             |peer: &PeerAggregator| peer.members.iter().any(|hash| covered.contains(hash));
-        let replaced =
-            self.aggregators.iter().filter(|(_, peer)| !is_fresh(peer.heard) && is_covered(peer));
+        let replaced = self
+            .aggregators
+            .iter()
+            .filter(|(_, peer)| !is_live(peer.last_heard) && is_covered(peer));
         let replaced: Vec<DaemonName> = replaced.map(|(daemon, _)| daemon.clone()).collect();
         replaced.iter().for_each(|daemon| self.remove_peer(daemon));
     }
 
     fn remove_member(&mut self, daemon: &DaemonName) {
+        self.member_flows.remove(daemon);
         self.members.remove(daemon);
-        self.reporters.remove(daemon);
     }
 
     fn remove_peer(&mut self, daemon: &DaemonName) {
-        self.peers.remove(daemon);
+        self.peer_flows.remove(daemon);
         self.aggregators.remove(daemon);
     }
 
-    fn forget(&mut self, now: Moment) {
-        let is_known = |heard: Moment| now.since(heard) < FORGOTTEN_AFTER;
+    fn remove_expired(&mut self, now: Moment) {
+        let is_known = |last_heard: Moment| now.since(last_heard) < REMOVAL_TIMEOUT;
         let layout = &self.layout;
-        let is_named = |address: SocketAddr| layout.addresses().binary_search(&address).is_ok();
-        self.heard.retain(|_, at| is_known(*at));
-        self.reporters.retain(|_, member| is_known(member.heard) || is_named(member.address));
-        let reporters = &self.reporters;
+        let is_serving = |address: SocketAddr| layout.addresses().binary_search(&address).is_ok();
+        self.last_heard.retain(|_, at| is_known(*at));
+        self.members.retain(|_, member| is_known(member.last_heard) || is_serving(member.address));
+        let members = &self.members;
         let own = &self.identity.daemon;
-        self.members.retain(|daemon, _| daemon == own || reporters.contains_key(daemon));
-        self.aggregators.retain(|_, peer| is_known(peer.heard));
+        self.member_flows.retain(|daemon, _| daemon == own || members.contains_key(daemon));
+        self.aggregators.retain(|_, peer| is_known(peer.last_heard));
         let aggregators = &self.aggregators;
-        self.peers.retain(|daemon, _| aggregators.contains_key(daemon));
-        self.upward.retain(|_, heard| is_known(heard));
-        self.away.forget(now);
+        self.peer_flows.retain(|daemon, _| aggregators.contains_key(daemon));
+        self.summary_flows.retain(|_, last_heard| is_known(last_heard));
+        self.other_groups.remove_expired(now);
     }
 }
 
-/// What a departure says beside [`Departure::Stays`].
-fn departure(own: &OwnReading) -> Departure {
-    if own.has_left { Departure::Left } else { Departure::Stays }
+/// Returns the departure to report, unless the daemon moves to another aggregator.
+fn departure(local: &LocalState) -> Departure {
+    if local.has_left { Departure::Left } else { Departure::Stays }
 }
 
 fn add_to(sums: &mut FlowTotals, delta: &FlowDelta) {
--- a/src/fleet_state/state/taking.rs
+++ b/src/fleet_state/state/receive.rs
@@ -1,6 +1,6 @@
-//! What a daemon takes of the others' messages.
+//! Handling of messages from other daemons.
 
-use super::{FleetState, PeerAggregator, Reporter, SummaryView};
+use super::{FleetState, LastSummary, MemberState, PeerAggregator};
 use crate::fleet_state::messages::daemon_hash;
 use crate::fleet_state::{
     Departure, FleetMessage, FleetSummary, FlowRow, GroupSum, MemberReport, MessageRefusal,
@@ -9,19 +9,18 @@
 use crate::policy::Moment;
 use std::time::Duration;
 
-/// What a message says of the organisations' buckets, by its sender's estimate.
+/// The bucket estimates that a message carries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BucketEstimates {
-    /// The rows.
     pub rows: Vec<FlowRow>,
-    /// Daemons that send such estimates to this one.
+    /// Number of daemons that send such estimates to this one.
     pub senders: usize,
 }
 
 impl FleetState {
-    /// Takes a message of another daemon. Returns what it says of the organisations' buckets, which are kept level, or why it
-    /// is passed over.
-    pub fn take(
+    /// Applies a message from another daemon. Returns its estimates of the organisations' buckets,
+    /// which this daemon's buckets are moved towards, or the reason why the message is ignored.
+    pub fn receive(
         &mut self,
         message: FleetMessage,
         now: Moment,
@@ -29,30 +28,31 @@
         if message.source().daemon == self.identity.daemon {
             return Err(MessageRefusal::Overtaken);
         }
-        message.check()?;
-        self.heard.insert(message.source().address, now);
+        message.validate()?;
+        self.last_heard.insert(message.source().address, now);
         match message {
             FleetMessage::Report(report) => {
                 let rows = report.flows.clone();
-                self.take_report(report, now)?;
-                // Members of a group are levelled by their aggregator, which hears the other groups too.
-                Ok(BucketEstimates::new(rows, self.reporters.len(), self.is_mesh(now)))
+                self.apply_report(report, now)?;
+                // Outside a mesh, members take their estimates from the aggregator, which also
+                // hears the other groups.
+                Ok(BucketEstimates::new(rows, self.members.len(), self.is_mesh(now)))
             }
             FleetMessage::Sum(sum) => {
                 let rows = sum.flows.clone();
-                self.take_sum(sum, now)?;
-                Ok(BucketEstimates::new(rows, self.aggregators.len(), self.counts_itself(now)))
+                self.apply_sum(sum, now)?;
+                Ok(BucketEstimates::new(rows, self.aggregators.len(), self.has_direct_view(now)))
             }
             FleetMessage::Summary(summary) => {
                 let rows = summary.flows.clone();
-                let is_taken = self.take_summary(summary, now)?;
+                let is_taken = self.apply_summary(summary, now)?;
                 Ok(BucketEstimates::new(rows, 1, is_taken))
             }
         }
     }
 
-    /// Takes a report, which may be this daemon's own.
-    pub(super) fn take_report(
+    /// Applies a report, which may be this daemon's own.
+    pub(super) fn apply_report(
         &mut self,
         report: MemberReport,
         now: Moment,
@@ -69,44 +69,44 @@
             suspects: _,
         } = report;
         let MessageSource { daemon, address, .. } = &source;
-        if departure != Departure::Stays && self.members.stamp(daemon).is_none() {
+        if departure != Departure::Stays && self.member_flows.stamp(daemon).is_none() {
             return Ok(());
         }
         let rows = (flows.as_slice(), is_whole);
-        let deltas = self.members.take(daemon, stamp(&source), rows, now)?;
+        let deltas = self.member_flows.apply(daemon, stamp(&source), rows, now)?;
         let is_own = *daemon == self.identity.daemon;
-        self.count(&deltas, (true, is_own), now);
+        self.add_deltas(&deltas, (true, is_own), now);
         if departure != Departure::Stays {
             self.remove_member(daemon);
-            self.heard.remove(address);
+            self.last_heard.remove(address);
             return Ok(());
         }
-        self.away.learn_speeds(&work, now);
+        self.other_groups.record_speeds(&work, now);
         let (hash, address) = (daemon_hash(daemon), *address);
-        let reporter = Reporter { address, hash, work, waiting, heard: now, can_read_list };
-        self.reporters.insert(daemon.clone(), reporter);
+        let member = MemberState { address, hash, work, waiting, last_heard: now, can_read_list };
+        self.members.insert(daemon.clone(), member);
         Ok(())
     }
 
-    fn take_sum(&mut self, sum: GroupSum, now: Moment) -> Result<(), MessageRefusal> {
+    fn apply_sum(&mut self, sum: GroupSum, now: Moment) -> Result<(), MessageRefusal> {
         let MessageSource { daemon, address, .. } = &sum.source;
         let rows = (sum.flows.as_slice(), false);
-        let deltas = self.peers.take(daemon, stamp(&sum.source), rows, now)?;
-        self.count(&deltas, (false, false), now);
+        let deltas = self.peer_flows.apply(daemon, stamp(&sum.source), rows, now)?;
+        self.add_deltas(&deltas, (false, false), now);
         if sum.is_leaving {
             self.remove_peer(daemon);
             return Ok(());
         }
-        self.away.take(&sum.work, now);
+        self.other_groups.insert(&sum.work, now);
         let known = self.aggregators.remove(daemon);
         let mut work = known.map(|peer| peer.work).unwrap_or_default();
-        work.take(&sum.work, sum.is_whole, now);
-        work.forget(now);
+        work.insert(&sum.work, sum.is_whole, now);
+        work.remove_expired(now);
         let peer = PeerAggregator {
             address: *address,
             members: sum.members,
             work,
-            heard: now,
+            last_heard: now,
             age: Duration::from_millis(u64::from(sum.age_ms)),
             can_read_list: sum.can_read_list,
         };
@@ -114,40 +114,45 @@
         Ok(())
     }
 
-    /// False if it is of another aggregator than this daemon reports to.
-    fn take_summary(&mut self, summary: FleetSummary, now: Moment) -> Result<bool, MessageRefusal> {
+    /// Applies a summary. Returns false if it is not from this daemon's current aggregator.
+    fn apply_summary(
+        &mut self,
+        summary: FleetSummary,
+        now: Moment,
+    ) -> Result<bool, MessageRefusal> {
         let address = summary.source.address;
         if summary.is_leaving {
-            self.choice.give_up(address, now);
+            self.choice.exclude(address, now);
             return Ok(false);
         }
-        self.choice.hear(address, now);
+        self.choice.record_summary(address, now);
         let is_first = self.choice.chosen().is_none();
         if !is_first && self.choice.chosen() != Some(address) {
             return Ok(false);
         }
         let daemon = &summary.source.daemon;
         let rows = (summary.flows.as_slice(), false);
-        let deltas = self.upward.take(daemon, stamp(&summary.source), rows, now)?;
-        // What was assumed of the one before ends here.
-        self.upward.retain(|source, _| source == daemon);
+        let deltas = self.summary_flows.apply(daemon, stamp(&summary.source), rows, now)?;
+        // The estimate for the previous aggregator ends here.
+        self.summary_flows.retain(|source, _| source == daemon);
         for delta in deltas {
-            self.learn_rates(&delta, now);
-            self.charge(delta.organisation, delta.taken);
+            self.record_rates(&delta, now);
+            self.queue_charge(delta.organisation, delta.taken);
         }
         let own = self.own_hash();
-        let included = summary.included.iter().find(|(hash, _)| *hash == own);
-        let own = included.map_or_else(Vec::new, |(_, sequence)| self.history.include(*sequence));
+        let included_reports = summary.included_reports.iter().find(|(hash, _)| *hash == own);
+        let own = included_reports
+            .map_or_else(Vec::new, |(_, sequence)| self.history.mark_included(*sequence));
         for delta in own {
-            self.charge(delta.organisation, -delta.taken);
+            self.queue_charge(delta.organisation, -delta.taken);
         }
-        self.away.take(&summary.away, now);
-        self.away.learn_speeds(&summary.work, now);
-        self.summary = Some(SummaryView {
+        self.other_groups.insert(&summary.other_groups, now);
+        self.other_groups.record_speeds(&summary.work, now);
+        self.summary = Some(LastSummary {
             address,
-            covers: summary.covers,
+            covered_daemons: summary.covered_daemons,
             age: Duration::from_millis(u64::from(summary.age_ms)),
-            heard: now,
+            last_heard: now,
             work: summary.work,
             waiting: summary.waiting,
         });
--- a/src/fleet_state/state/sending.rs
+++ b/src/fleet_state/state/send.rs
@@ -1,6 +1,7 @@
-//! What a daemon sends: reports of itself, the sum of its group, the sums of the fleet.
+//! Composition of outgoing messages: reports of this daemon, sums of its group, and sums of the
+//! fleet.
 
-use super::{FleetState, OutgoingMessage, PEER_LIFE, WORK_LIFE, departure};
+use super::{FleetState, LIVENESS_TIMEOUT, OutgoingMessage, WORK_TTL, departure};
 use crate::fleet_state::flow_totals::FlowTotals;
 use crate::fleet_state::waiting_table::{WaitingTable, add_waiting, waiting_rows};
 use crate::fleet_state::work_tables::add_work;
@@ -13,48 +14,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Candidates of a group without a known aggregator that are sent sums: the first, and the one that takes its place.
-const TRIED_CANDIDATES: usize = 2;
+/// Number of candidates that sums are sent to in a group without a known aggregator: the first one
+/// and its replacement.
+const CANDIDATES_PER_GROUP: usize = 2;
 
 impl FleetState {
-    /// This daemon's report; `is_whole` where the receiver may know nothing of it.
+    /// Builds this daemon's report. `is_whole` is set if the receiver may have no state of this
+    /// daemon.
     fn report(&mut self, is_whole: bool, departure: Departure) -> MemberReport {
         let flows = match is_whole {
-            true => self.own.flows.clone(),
-            false => self.report_rows.choose(self.own.flows.iter().copied()),
+            true => self.local.flows.clone(),
+            false => self.report_rows.select_rows(self.local.flows.iter().copied()),
         };
         MemberReport {
             source: self.source(),
             flows,
             is_whole,
-            work: self.own.work.clone(),
-            waiting: self.own.waiting.clone(),
-            list: self.own.list,
-            can_read_list: self.own.can_read_list,
+            work: self.local.work.clone(),
+            waiting: self.local.waiting.clone(),
+            list: self.local.list,
+            can_read_list: self.local.can_read_list,
             departure,
-            suspects: self.own.suspects.clone(),
+            suspects: self.local.suspects.clone(),
         }
     }
 
-    /// In a small fleet: to all others.
+    /// In a mesh, sends the report to all other daemons.
     pub(super) fn report_to_all(&mut self, outgoing: &mut Vec<OutgoingMessage>) {
         let own = self.identity.address;
         let others = self.layout.addresses().iter().copied().filter(|address| *address != own);
         let to: Vec<SocketAddr> = others.collect();
-        let report = self.report(true, departure(&self.own));
+        let report = self.report(true, departure(&self.local));
         if !to.is_empty() {
             outgoing.push(OutgoingMessage { to, message: FleetMessage::Report(report) });
         }
     }
 
-    /// To the aggregator of the group, which may be this daemon.
-    pub(super) fn report_upward(&mut self, now: Moment, outgoing: &mut Vec<OutgoingMessage>) {
+    /// Sends the report to the aggregator of the group, which may be this daemon.
+    pub(super) fn report_to_aggregator(
+        &mut self,
+        now: Moment,
+        outgoing: &mut Vec<OutgoingMessage>,
+    ) {
         let own = self.identity.address;
         let candidates = self.candidates(now);
         let before = self.choice.chosen();
-        let aggregator = self.choice.choose(&candidates, own, self.layout.pause(), now);
+        let aggregator = self.choice.choose(&candidates, own, self.layout.send_interval(), now);
         if before != Some(aggregator) {
-            self.history.start_over();
+            self.history.clear_included();
             let left = before.filter(|before| *before != own);
             if let Some(left) = left {
                 let report = self.report(true, Departure::Moved);
@@ -68,28 +75,30 @@
                 self.remove_member(&daemon);
             }
         }
-        let report = self.report(!self.history.is_included(), departure(&self.own));
-        self.history.push(self.sequence, &self.own);
+        let report = self.report(!self.history.is_included(), departure(&self.local));
+        self.history.push(self.sequence, &self.local);
         if aggregator == own {
-            // Its own report is never overtaken.
-            let _ = self.take_report(MemberReport { departure: Departure::Stays, ..report }, now);
+            // A daemon's own report is never overtaken.
+            let _ = self.apply_report(MemberReport { departure: Departure::Stays, ..report }, now);
         } else {
             let message = FleetMessage::Report(report);
             outgoing.push(OutgoingMessage { to: vec![aggregator], message });
         }
     }
 
-    /// The daemons that may aggregate for this one, in order. A daemon that was just started and knows of nobody reports to
-    /// whoever sends it summaries.
+    /// Returns the daemons that may aggregate for this one, in order of preference. A daemon that
+    /// has just started and knows no others reports to the sender of the summaries that it
+    /// receives.
     fn candidates(&self, now: Moment) -> Vec<SocketAddr> {
         let group = self.layout.group_of(self.identity.address);
         let members = self.layout.members(group.index);
-        let heard = self.summary.as_ref().filter(|_| self.layout.is_mesh());
-        let heard = heard.filter(|summary| now.since(summary.heard) < WORK_LIFE);
-        heard.map(|summary| summary.address).into_iter().chain(members.iter().copied()).collect()
+        let recent = self.summary.as_ref().filter(|_| self.layout.is_mesh());
+        let recent = recent.filter(|summary| now.since(summary.last_heard) < WORK_TTL);
+        recent.map(|summary| summary.address).into_iter().chain(members.iter().copied()).collect()
     }
 
-    /// As aggregator: the group's sum to the other aggregators, the fleet's to the group.
+    /// As an aggregator, sends the group's sums to the other aggregators and the fleet's sums to
+    /// the group.
     pub(super) fn send_sums(&mut self, now: Moment, outgoing: &mut Vec<OutgoingMessage>) {
         let group_work = self.group_work(now);
         let sum = self.group_sum(&group_work, now);
@@ -101,42 +110,43 @@
     }
 
     fn group_work(&self, now: Moment) -> BTreeMap<UpstreamHash, PeerWork> {
-        let life = self.work_life();
+        let ttl = self.work_ttl();
         let mut sums = BTreeMap::new();
-        let fresh = self.reporters.values().filter(|member| now.since(member.heard) < life);
+        let fresh = self.members.values().filter(|member| now.since(member.last_heard) < ttl);
         fresh.for_each(|member| add_work(&mut sums, member.work.iter().copied()));
         sums
     }
 
-    /// What waits at the daemons that report here, this one among them if `with_own`.
+    /// Returns the waiting requests of the daemons that report here, including this one if
+    /// `with_own`.
     pub(super) fn members_waiting(&self, with_own: bool, now: Moment) -> WaitingTable {
-        let life = self.work_life();
+        let ttl = self.work_ttl();
         let own = &self.identity.daemon;
-        let members = self.reporters.iter().filter(|(daemon, _)| with_own || *daemon != own);
-        let fresh = members.filter(|(_, member)| now.since(member.heard) < life);
+        let members = self.members.iter().filter(|(daemon, _)| with_own || *daemon != own);
+        let fresh = members.filter(|(_, member)| now.since(member.last_heard) < ttl);
         let mut table = WaitingTable::new();
         fresh.for_each(|(_, member)| add_waiting(&mut table, &member.waiting));
         table
     }
 
-    pub(super) fn work_life(&self) -> Duration {
-        WORK_LIFE.max(self.layout.pause() * super::SILENT_PAUSES)
+    pub(super) fn work_ttl(&self) -> Duration {
+        WORK_TTL.max(self.layout.send_interval() * super::MIN_TIMEOUT_INTERVALS)
     }
 
     fn group_sum(&mut self, work: &BTreeMap<UpstreamHash, PeerWork>, now: Moment) -> GroupSum {
-        let flows = rows(&self.group_flows, &self.own.flows);
-        let chosen = self.group_turn.next_rows(work);
+        let flows = rows(&self.group_flows, &self.local.flows);
+        let chosen = self.group_cursor.next_rows(work);
         GroupSum {
             source: self.source(),
-            members: self.reporters.values().map(|reporter| reporter.hash).collect(),
+            members: self.members.values().map(|member| member.hash).collect(),
             age_ms: self.members_age(now).as_millis() as u32,
-            flows: self.group_rows.choose(flows),
+            flows: self.group_rows.select_rows(flows),
             is_whole: chosen.len() == work.len(),
             work: chosen,
-            list: self.own.list,
-            can_read_list: self.own.can_read_list,
-            is_leaving: self.own.has_left,
-            suspects: self.own.suspects.clone(),
+            list: self.local.list,
+            can_read_list: self.local.can_read_list,
+            is_leaving: self.local.has_left,
+            suspects: self.local.suspects.clone(),
         }
     }
 
@@ -145,47 +155,49 @@
         work: &BTreeMap<UpstreamHash, PeerWork>,
         now: Moment,
     ) -> FleetSummary {
-        let flows = rows(&self.fleet_flows, &self.own.flows);
-        let mut away = BTreeMap::new();
-        let life = self.work_life();
-        let fresh = self.aggregators.values().filter(|peer| now.since(peer.heard) < life);
-        fresh.for_each(|peer| add_work(&mut away, peer.work.rows()));
-        let included = self.reporters.iter().filter_map(|(daemon, reporter)| {
-            let stamp = self.members.stamp(daemon)?;
-            Some((reporter.hash, stamp.sequence))
+        let flows = rows(&self.fleet_flows, &self.local.flows);
+        let mut other_groups = BTreeMap::new();
+        let ttl = self.work_ttl();
+        let fresh = self.aggregators.values().filter(|peer| now.since(peer.last_heard) < ttl);
+        fresh.for_each(|peer| add_work(&mut other_groups, peer.work.rows()));
+        let included_reports = self.members.iter().filter_map(|(daemon, member)| {
+            let stamp = self.member_flows.stamp(daemon)?;
+            Some((member.hash, stamp.sequence))
         });
         FleetSummary {
             source: self.source(),
-            covers: self.coverage(now) as u32,
+            covered_daemons: self.covered_daemons(now) as u32,
             age_ms: self.sums_age(now).as_millis() as u32,
-            included: included.collect(),
-            flows: self.fleet_rows.choose(flows),
+            included_reports: included_reports.collect(),
+            flows: self.fleet_rows.select_rows(flows),
             work: work_rows(work),
             waiting: waiting_rows(&self.members_waiting(true, now)),
-            away: self.away_turn.next_rows(&away),
-            list: self.own.list,
-            is_leaving: self.own.has_left,
-            suspects: self.own.suspects.clone(),
+            other_groups: self.other_groups_cursor.next_rows(&other_groups),
+            list: self.local.list,
+            is_leaving: self.local.has_left,
+            suspects: self.local.suspects.clone(),
         }
     }
 
-    /// The aggregators that are present, and for groups without one those that should be.
+    /// Returns the addresses of all live aggregators, and of the first candidates in groups without
+    /// one.
     fn peer_addresses(&self, now: Moment) -> Vec<SocketAddr> {
         let own = self.layout.group_of(self.identity.address).index;
-        let live = self.aggregators.values().filter(|peer| now.since(peer.heard) < PEER_LIFE);
+        let live =
+            self.aggregators.values().filter(|peer| now.since(peer.last_heard) < LIVENESS_TIMEOUT);
         let mut addresses: Vec<SocketAddr> = live.map(|peer| peer.address).collect();
         let known: Vec<usize> =
             addresses.iter().map(|address| self.layout.group_of(*address).index).collect();
-        let unknown = (0..self.layout.groups()).filter(|group| *group != own);
+        let unknown = (0..self.layout.group_count()).filter(|group| *group != own);
         for group in unknown.filter(|group| !known.contains(group)) {
             let members = self.layout.members(group);
-            addresses.extend(members.iter().take(TRIED_CANDIDATES));
+            addresses.extend(members.iter().take(CANDIDATES_PER_GROUP));
         }
         addresses.retain(|address| *address != self.identity.address);
         addresses
     }
 
-    /// The daemons of the group, and whoever reports here.
+    /// Returns the daemons of the group and all others that report here.
     fn member_addresses(&self) -> Vec<SocketAddr> {
         let own = self.identity.address;
         let is_chosen = self.choice.chosen() == Some(own);
@@ -194,13 +206,14 @@
         self.others_among(group.iter().copied())
     }
 
-    /// The daemons that report here and `addresses`, each once, without this one.
+    /// Returns the daemons that report here and `addresses`, without duplicates and without this
+    /// daemon.
     pub(super) fn others_among(
         &self,
         addresses: impl IntoIterator<Item = SocketAddr>,
     ) -> Vec<SocketAddr> {
-        let reporters = self.reporters.values().map(|reporter| reporter.address);
-        let mut others: Vec<SocketAddr> = reporters.chain(addresses).collect();
+        let members = self.members.values().map(|member| member.address);
+        let mut others: Vec<SocketAddr> = members.chain(addresses).collect();
         others.sort_unstable();
         others.dedup();
         others.retain(|address| *address != self.identity.address);
@@ -208,7 +221,7 @@
     }
 }
 
-/// Sums as rows, each with this daemon's own estimate of the bucket.
+/// Converts sums to rows, each with this daemon's own estimate of the bucket.
 fn rows(sums: &FlowTotals, own: &[FlowRow]) -> Vec<FlowRow> {
     let refills: BTreeMap<OrganisationHash, u32> =
         own.iter().map(|row| (row.organisation, row.refill_ms)).collect();
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -1,4 +1,5 @@
-//! The platform's list among daemons: one reads it, and sends the others what each reading changed.
+//! Distribution of the platform's list: one daemon reads it and sends the others what each reading
+//! changed.
 
 use super::wire::DaemonMessage;
 use super::{ListStamp, MessageSocket, lock};
@@ -13,32 +14,34 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A change is sent this many times: datagrams are lost, and whoever misses all asks for the whole list.
-const CHANGE_SENT: u32 = 2;
-/// Pause between two sendings of one change.
-const CHANGE_PAUSE: Duration = Duration::from_millis(120);
-/// Whole lists sent within [`WHOLE_PAUSE`] at most: one of 143 upstreams takes 5 ms of a link of 10 Mbit/s, and after a
-/// restart of all daemons everyone asks at once.
-const MOST_WHOLE: u32 = 8;
-/// See [`MOST_WHOLE`].
-const WHOLE_PAUSE: Duration = Duration::from_millis(250);
-
-/// The list as this daemon knows it, and what it knows of the others' readings.
+/// Number of times that a change is sent, since datagrams are lost. A daemon that misses all of
+/// them requests the full list.
+const CHANGE_SENDS: u32 = 2;
+/// Pause between two transmissions of one change.
+const CHANGE_RESEND_DELAY: Duration = Duration::from_millis(120);
+/// Maximum number of full lists sent within [`FULL_LIST_WINDOW`]. A list of 143 upstreams occupies
+/// a link of 10 Mbit/s for 5 ms, and after a restart of all daemons each one requests the list at
+/// once.
+const MAX_FULL_LISTS: u32 = 8;
+/// See [`MAX_FULL_LISTS`].
+const FULL_LIST_WINDOW: Duration = Duration::from_millis(250);
+
+/// This daemon's copy of the list, and what it knows of the readings by other daemons.
 #[derive(Debug, Default)]
 pub struct ListExchange {
     list: Mutex<SharedList>,
     freshness: Mutex<ListFreshness>,
-    /// Changes to be sent.
+    /// Changes waiting to be sent.
     changes: Mutex<Vec<ListChange>>,
-    news: Notify,
-    /// Whole lists sent since the time named.
-    sent: Mutex<(Moment, u32)>,
+    change_notify: Notify,
+    /// Start of the current rate-limit window, and the number of full lists requested in it.
+    full_list_window: Mutex<(Moment, u32)>,
 }
 
 impl ListExchange {
-    /// Begins to listen; `place` is drawn from 0.0..1.0.
-    pub fn begin(&self, place: f64) {
-        *lock(&self.freshness) = ListFreshness::new(place);
+    /// Initialises the freshness state; `jitter` is drawn from 0.0..1.0.
+    pub fn init_freshness(&self, jitter: f64) {
+        *lock(&self.freshness) = ListFreshness::new(jitter);
     }
 
     /// See [`ListFreshness::is_overdue`].
@@ -46,29 +49,29 @@
         lock(&self.freshness).is_overdue(daemons, has_table, now)
     }
 
-    /// The last reading that agrees with this daemon's list.
+    /// Returns the last reading that agrees with this daemon's list.
     pub fn stamp(&self, now: Moment) -> Option<ListStamp> {
         let digest = lock(&self.list).digest()?;
         let age = lock(&self.freshness).age(now)?;
         Some(ListStamp { digest, age_ms: age.as_millis() as u32 })
     }
 
-    /// True unless this daemon failed to read the list lately.
+    /// Returns true unless this daemon failed to read the list recently.
     pub fn can_read(&self, now: Moment) -> bool {
         lock(&self.freshness).can_read(now)
     }
 
-    /// Notes that the list could not be read.
-    pub fn note_failure(&self, now: Moment) {
-        lock(&self.freshness).fail(now);
+    /// Records that the list could not be read.
+    pub fn record_failure(&self, now: Moment) {
+        lock(&self.freshness).record_failure(now);
     }
 
-    /// Takes the list that this daemon just read, and has what changed sent.
-    pub fn take_reading(&self, list: &PlatformList, now: Moment) {
-        let change = lock(&self.list).replace(list.vms.iter().map(listed));
-        lock(&self.freshness).read(now);
+    /// Stores a list that this daemon has read, and queues the change for sending.
+    pub fn store_reading(&self, list: &PlatformList, now: Moment) {
+        let change = lock(&self.list).replace(list.vms.iter().map(listed_upstream));
+        lock(&self.freshness).record_read(now);
         if change.base != change.digest {
-            self.pass_on(change);
+            self.queue_change(change);
         }
     }
 
@@ -76,27 +79,27 @@
         lock(&self.freshness).confirm(at);
     }
 
-    fn pass_on(&self, change: ListChange) {
+    fn queue_change(&self, change: ListChange) {
         lock(&self.changes).push(change);
-        self.news.notify_one();
+        self.change_notify.notify_one();
     }
 
-    fn may_ask(&self, now: Moment) -> bool {
-        lock(&self.freshness).may_ask(now)
+    fn may_request(&self, now: Moment) -> bool {
+        lock(&self.freshness).may_request(now)
     }
 
-    /// True if this daemon may send one more whole list now.
-    fn may_send_whole(&self, now: Moment) -> bool {
-        let mut sent = lock(&self.sent);
-        if now.since(sent.0) >= WHOLE_PAUSE {
-            *sent = (now, 0);
+    /// Returns true if this daemon may send another full list now.
+    fn may_send_full_list(&self, now: Moment) -> bool {
+        let mut full_list_window = lock(&self.full_list_window);
+        if now.since(full_list_window.0) >= FULL_LIST_WINDOW {
+            *full_list_window = (now, 0);
         }
-        sent.1 += 1;
-        sent.1 <= MOST_WHOLE
+        full_list_window.1 += 1;
+        full_list_window.1 <= MAX_FULL_LISTS
     }
 }
 
-fn listed(row: &VmRow) -> ListedUpstream {
+fn listed_upstream(row: &VmRow) -> ListedUpstream {
     ListedUpstream {
         service: row.service.clone(),
         upstream: row.upstream.clone(),
@@ -121,29 +124,31 @@
     PlatformList { vms: vms.collect() }
 }
 
-/// Sends each change on: from the reader to the aggregators, and from those to their groups.
+/// Sends queued changes: from the reader to the aggregators, and from the aggregators to their
+/// groups.
 pub async fn send_changes(state: Arc<TrafficState>, socket: MessageSocket) {
     let exchange = &state.fleet.list;
     loop {
-        exchange.news.notified().await;
+        exchange.change_notify.notified().await;
         let changes = std::mem::take(&mut *lock(&exchange.changes));
-        for time in 0..CHANGE_SENT {
-            if time > 0 {
-                tokio::time::sleep(CHANGE_PAUSE).await;
+        for attempt in 0..CHANGE_SENDS {
+            if attempt > 0 {
+                tokio::time::sleep(CHANGE_RESEND_DELAY).await;
             }
             let now = state.clock.now();
             let to = state.fleet.fleet().map(|fleet| fleet.list_receivers(now)).unwrap_or_default();
             for change in &changes {
                 let (daemon, change) = (state.daemon.clone(), change.clone());
-                let address = socket.own;
+                let address = socket.own_address;
                 socket.send(&DaemonMessage::ListChanged { daemon, address, change }, &to);
             }
         }
     }
 }
 
-/// Asks another daemon for the list while none is known: a daemon that was just started must not wait for the platform.
-pub fn ask_while_unknown(state: &TrafficState, socket: &MessageSocket) {
+/// Requests the list from another daemon while none is known, so that a daemon that has just
+/// started need not wait for the platform.
+pub fn request_unknown_list(state: &TrafficState, socket: &MessageSocket) {
     let exchange = &state.fleet.list;
     let now = state.clock.now();
     if lock(&exchange.list).is_known() {
@@ -152,19 +157,19 @@
     let draw = state.jitter();
     let source = state.fleet.fleet().and_then(|fleet| fleet.list_source(draw, now));
     if let Some(address) = source
-        && exchange.may_ask(now)
+        && exchange.may_request(now)
     {
-        ask(state, socket, address);
+        request_list(state, socket, address);
     }
 }
 
-fn ask(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
+fn request_list(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
     let daemon = state.daemon.clone();
-    socket.send(&DaemonMessage::ListWanted { daemon, address: socket.own }, &[address]);
+    socket.send(&DaemonMessage::ListWanted { daemon, address: socket.own_address }, &[address]);
 }
 
-/// Takes what another daemon says of the last reading that it knows of.
-pub fn take_stamp(
+/// Handles another daemon's statement of the last reading that it knows of.
+pub fn handle_stamp(
     state: &TrafficState,
     socket: &MessageSocket,
     from: SocketAddr,
@@ -176,13 +181,13 @@
     if lock(&exchange.list).digest() == Some(stamp.digest) {
         return exchange.confirm(read_at);
     }
-    if lock(&exchange.freshness).hear_of_another(read_at, now) {
-        ask(state, socket, from);
+    if lock(&exchange.freshness).record_mismatch(read_at, now) {
+        request_list(state, socket, from);
     }
 }
 
-/// Takes a change of the list.
-pub fn take_change(
+/// Applies a change of the list.
+pub fn handle_change(
     state: &TrafficState,
     socket: &MessageSocket,
     from: (&DaemonName, SocketAddr),
@@ -203,34 +208,34 @@
             info!(state.log, "platform list changed"; "from" => daemon.as_str(), "changed" => change.changed.len(),
                 "gone" => change.gone.len());
             list.into_iter().for_each(|list| state.apply_platform(list));
-            if state.fleet.fleet().is_some_and(|fleet| fleet.passes_on(now)) {
-                exchange.pass_on(change.clone());
+            if state.fleet.fleet().is_some_and(|fleet| fleet.is_list_forwarder(now)) {
+                exchange.queue_change(change.clone());
             }
         }
-        ChangeVerdict::Unknown if exchange.may_ask(now) => ask(state, socket, address),
+        ChangeVerdict::Unknown if exchange.may_request(now) => request_list(state, socket, address),
         ChangeVerdict::Unknown => {}
     }
 }
 
-/// Answers a daemon that asks for the whole list.
-pub fn answer_wanted(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
+/// Sends the full list to a daemon that requested it.
+pub fn handle_list_request(state: &TrafficState, socket: &MessageSocket, address: SocketAddr) {
     let exchange = &state.fleet.list;
     let parts = lock(&exchange.list).parts();
-    if parts.is_empty() || !exchange.may_send_whole(state.clock.now()) {
+    if parts.is_empty() || !exchange.may_send_full_list(state.clock.now()) {
         return;
     }
     parts.into_iter().for_each(|part| socket.send(&DaemonMessage::ListPart(part), &[address]));
 }
 
-/// Takes a part of a list that was asked for.
-pub fn take_part(state: &TrafficState, part: ListPart) {
+/// Stores a part of a list that this daemon requested, and applies the list once it is complete.
+pub fn handle_part(state: &TrafficState, part: ListPart) {
     let exchange = &state.fleet.list;
-    let whole = {
+    let full_list = {
         let mut list = lock(&exchange.list);
         list.add_part(part).then(|| platform_list(&list))
     };
-    let Some(list) = whole else { return };
-    info!(state.log, "platform list taken whole"; "upstreams" => list.vms.len());
+    let Some(list) = full_list else { return };
+    info!(state.log, "full platform list received"; "upstreams" => list.vms.len());
     exchange.confirm(state.clock.now());
     state.apply_platform(list);
 }
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -1,14 +1,15 @@
-//! The fleet's state over UDP: reads what this daemon did, sends and takes messages, and puts what they say in force.
+//! Exchange of the fleet's state over UDP: collects this daemon's own state, sends and receives
+//! messages, and applies what they report to limits and pools.
 
 mod list;
 mod wire;
 
-pub use wire::{DaemonMessage, MessageFault, read_message, write_message};
+pub use wire::{DaemonMessage, DropCause, decode_message, encode_message};
 
 use super::state::TrafficState;
 use crate::fleet_state::{
     BucketEstimates, DaemonIdentity, FleetMessage, FleetRole, FleetState, FlowRow, ListStamp,
-    MessageRefusal, OrganisationHash, OutgoingMessage, OwnReading, ServiceHash, WaitingRow,
+    LocalState, MessageRefusal, OrganisationHash, OutgoingMessage, ServiceHash, WaitingRow,
     WorkRow,
 };
 use crate::policy::{
@@ -26,19 +27,19 @@
 use tokio::net::UdpSocket;
 
 /// Pause after a socket error.
-const FAULT_PAUSE: Duration = Duration::from_millis(40);
-/// Largest datagram, in bytes.
-const DATAGRAM_LIMIT: usize = 60 << 10;
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(40);
+/// Maximum length of a datagram, in bytes.
+const MAX_DATAGRAM_LEN: usize = 60 << 10;
 
-/// What one daemon knows of the fleet, and reports to it.
+/// This daemon's view of the fleet, and the state of its message exchange.
 #[derive(Debug, Default)]
 pub struct FleetExchange {
-    /// None while this daemon sends nothing.
+    /// None until the exchange is started.
     fleet: OnceLock<Mutex<FleetState>>,
     list: ListExchange,
-    /// Faults of datagrams that were logged: each is logged once and counted always.
-    faults: Mutex<BTreeSet<MessageFault>>,
-    daemons: AtomicUsize,
+    /// Kinds of datagram faults already logged. Each kind is logged once and always counted.
+    logged_causes: Mutex<BTreeSet<DropCause>>,
+    daemon_count: AtomicUsize,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -50,30 +51,31 @@
         self.fleet.get().map(lock)
     }
 
-    /// Takes the leader's list of daemons that serve callers.
-    pub fn set_named(&self, named: Vec<SocketAddr>, now: Moment) {
+    /// Sets the leader's list of daemons that serve callers.
+    pub fn set_serving_list(&self, serving_list: Vec<SocketAddr>, now: Moment) {
         if let Some(mut fleet) = self.fleet() {
-            fleet.set_named(named, now);
+            fleet.set_serving_list(serving_list, now);
         }
     }
 
-    /// The leader's list is still the same.
-    pub fn confirm_named(&self, now: Moment) {
+    /// Records that the leader's list is unchanged.
+    pub fn confirm_serving_list(&self, now: Moment) {
         if let Some(mut fleet) = self.fleet() {
-            fleet.confirm_named(now);
+            fleet.confirm_serving_list(now);
         }
     }
 
-    /// Daemons of the fleet as far as is known, this one among them.
-    pub fn daemons(&self) -> usize {
-        self.daemons.load(Ordering::Relaxed).max(1)
+    /// Returns the number of known daemons in the fleet, including this one.
+    pub fn daemon_count(&self) -> usize {
+        self.daemon_count.load(Ordering::Relaxed).max(1)
     }
 
-    /// True if this daemon should read the platform's list itself: it reads for all, or has not known for long that its
-    /// list agrees with a reading. `has_table`: it could serve callers if it had one.
-    pub fn must_read_list(&self, has_table: bool, now: Moment) -> bool {
+    /// Returns true if this daemon should read the platform's list itself: it is the reader for the
+    /// fleet, or its list has not been confirmed for too long. `has_table` is true if it could
+    /// serve callers once it has a list.
+    pub fn is_list_read_due(&self, has_table: bool, now: Moment) -> bool {
         let Some(fleet) = self.fleet() else { return true };
-        if fleet.is_informed() && fleet.is_reader(now) {
+        if fleet.has_serving_list() && fleet.is_list_reader(now) {
             return true;
         }
         let daemons = fleet.addresses().len();
@@ -81,32 +83,33 @@
         self.list.is_overdue(daemons, has_table, now)
     }
 
-    /// Takes the list that this daemon just read, and has what changed sent to the others.
-    pub fn take_reading(&self, list: &PlatformList, now: Moment) {
-        self.list.take_reading(list, now);
+    /// Stores a list that this daemon has read, and sends the change to the others.
+    pub fn store_reading(&self, list: &PlatformList, now: Moment) {
+        self.list.store_reading(list, now);
     }
 
-    /// Notes that the platform did not let this daemon read the list: another one should.
-    pub fn note_unread_list(&self, now: Moment) {
-        self.list.note_failure(now);
+    /// Records that the platform did not let this daemon read the list, so that another daemon
+    /// takes over.
+    pub fn record_read_failure(&self, now: Moment) {
+        self.list.record_failure(now);
     }
 }
 
-/// The socket over which messages go.
+/// The UDP socket for messages between daemons.
 #[derive(Clone)]
 pub struct MessageSocket {
     socket: Arc<UdpSocket>,
-    own: SocketAddr,
+    own_address: SocketAddr,
     key: Arc<str>,
 }
 
 impl MessageSocket {
-    /// Sends a message. Lost ones are made good by later ones.
+    /// Sends a message. Send errors are ignored, since later messages make up for lost ones.
     fn send(&self, message: &DaemonMessage, addresses: &[SocketAddr]) {
         if addresses.is_empty() {
             return;
         }
-        let bytes = write_message(message, &self.key);
+        let bytes = encode_message(message, &self.key);
         for address in addresses {
             let _ = self.socket.try_send_to(&bytes, *address);
         }
@@ -115,71 +118,77 @@
     }
 }
 
-/// Starts to send and to listen on a bound socket.
+/// Starts sending and receiving messages on a bound socket.
 pub fn start_exchange(
     state: Arc<TrafficState>,
     socket: UdpSocket,
     address: SocketAddr,
     key: Arc<str>,
 ) {
-    let socket = MessageSocket { socket: Arc::new(socket), own: address, key };
+    let socket = MessageSocket { socket: Arc::new(socket), own_address: address, key };
     let identity = DaemonIdentity { daemon: state.daemon.clone(), boot: state.boot(), address };
     let fleet = FleetState::new(identity);
     state.limits().set_share(fleet.limit_share());
     state.limits().set_initial_credit(state.jitter());
     let _ = state.fleet.fleet.set(Mutex::new(fleet));
-    state.fleet.list.begin(state.jitter());
-    tokio::spawn(listen(Arc::clone(&state), socket.clone()));
+    state.fleet.list.init_freshness(state.jitter());
+    tokio::spawn(receive_messages(Arc::clone(&state), socket.clone()));
     tokio::spawn(list::send_changes(Arc::clone(&state), socket.clone()));
-    tokio::spawn(run(state, socket));
+    tokio::spawn(send_messages(state, socket));
 }
 
-async fn listen(state: Arc<TrafficState>, socket: MessageSocket) {
-    let mut buffer = vec![0; DATAGRAM_LIMIT];
+async fn receive_messages(state: Arc<TrafficState>, socket: MessageSocket) {
+    let mut buffer = vec![0; MAX_DATAGRAM_LEN];
     loop {
-        let Ok((length, from)) = socket.socket.recv_from(&mut buffer).await else {
-            // A peer that does not listen shows up here as a refused connection; there is nothing to do.
-            tokio::time::sleep(FAULT_PAUSE).await;
+        let Ok((len, from)) = socket.socket.recv_from(&mut buffer).await else {
+            // The peer of an earlier send may not be listening, which is reported here as a refused
+            // connection. There is nothing to do.
+            tokio::time::sleep(SOCKET_ERROR_DELAY).await;
             continue;
         };
-        match read_message(&buffer[..length], &socket.key) {
-            Ok(message) => take(&state, &socket, message, from),
-            Err(fault) => note_fault(&state, fault, from),
+        match decode_message(&buffer[..len], &socket.key) {
+            Ok(message) => handle_message(&state, &socket, message, from),
+            Err(cause) => record_drop(&state, cause, from),
         }
     }
 }
 
-/// Counts a datagram that was dropped, and logs each cause once.
-fn note_fault(state: &TrafficState, fault: MessageFault, from: SocketAddr) {
-    metrics::counter!("fleet_messages_dropped", "cause" => fault.name()).increment(1);
-    let is_usual = fault == MessageFault::Refused(MessageRefusal::Overtaken);
-    if !is_usual && lock(&state.fleet.faults).insert(fault) {
-        warn!(state.log, "message of a daemon dropped"; "cause" => fault.name(), "from" => from.to_string());
+/// Counts a dropped datagram, and logs each kind of fault once.
+fn record_drop(state: &TrafficState, cause: DropCause, from: SocketAddr) {
+    metrics::counter!("fleet_messages_dropped", "cause" => cause.name()).increment(1);
+    let is_usual = cause == DropCause::Refused(MessageRefusal::Overtaken);
+    if !is_usual && lock(&state.fleet.logged_causes).insert(cause) {
+        warn!(state.log, "dropped a message from another daemon"; "cause" => cause.name(), "from" => from.to_string());
     }
 }
 
-fn take(state: &TrafficState, socket: &MessageSocket, message: DaemonMessage, from: SocketAddr) {
+fn handle_message(
+    state: &TrafficState,
+    socket: &MessageSocket,
+    message: DaemonMessage,
+    from: SocketAddr,
+) {
     match message {
         DaemonMessage::State(message) if message.source().daemon != state.daemon => {
-            if let Err(refusal) = take_state(state, socket, message) {
-                note_fault(state, MessageFault::Refused(refusal), from);
+            if let Err(refusal) = handle_state(state, socket, message) {
+                record_drop(state, DropCause::Refused(refusal), from);
             }
         }
         DaemonMessage::ListChanged { daemon, address, change } if daemon != state.daemon => {
-            list::take_change(state, socket, (&daemon, address), &change)
+            list::handle_change(state, socket, (&daemon, address), &change)
         }
         DaemonMessage::ListWanted { daemon, address } if daemon != state.daemon => {
-            list::answer_wanted(state, socket, address)
+            list::handle_list_request(state, socket, address)
         }
-        DaemonMessage::ListPart(part) => list::take_part(state, part),
-        // Its own message, come back.
+        DaemonMessage::ListPart(part) => list::handle_part(state, part),
+        // This daemon's own message, received back.
         DaemonMessage::State(_)
         | DaemonMessage::ListChanged { .. }
         | DaemonMessage::ListWanted { .. } => {}
     }
 }
 
-fn take_state(
+fn handle_state(
     state: &TrafficState,
     socket: &MessageSocket,
     message: FleetMessage,
@@ -189,25 +198,26 @@
     let (daemon, suspects) = (message.source().daemon.clone(), message.suspects().clone());
     let is_summary = matches!(message, FleetMessage::Summary(_));
     let Some(mut fleet) = state.fleet.fleet() else { return Ok(()) };
-    let estimates = fleet.take(message, now)?;
+    let estimates = fleet.receive(message, now)?;
     let charges = fleet.drain_charges();
     let is_mesh = fleet.role(now) == FleetRole::Mesh;
     drop(fleet);
     if let Some(stamp) = stamp {
-        list::take_stamp(state, socket, address, stamp);
+        list::handle_stamp(state, socket, address, stamp);
     }
     state.quarantine.take(state, &daemon, &suspects);
-    charge(state, &charges);
-    level(state, &estimates);
-    // An aggregator hears many messages in one pause, and looks at them together when it sends its own.
+    apply_charges(state, &charges);
+    apply_estimates(state, &estimates);
+    // An aggregator receives many messages per interval, and applies them together when it sends
+    // its own.
     if is_summary || is_mesh {
-        refresh(state);
+        refresh_limits_and_pools(state);
     }
     Ok(())
 }
 
-/// Charges what others have let through.
-fn charge(state: &TrafficState, charges: &[(OrganisationHash, i64)]) {
+/// Charges the limits with the tokens that other daemons admitted.
+fn apply_charges(state: &TrafficState, charges: &[(OrganisationHash, i64)]) {
     if charges.is_empty() {
         return;
     }
@@ -221,8 +231,8 @@
     }
 }
 
-/// Moves the buckets towards what another daemon estimates.
-fn level(state: &TrafficState, estimates: &BucketEstimates) {
+/// Moves the buckets towards the estimates of another daemon.
+fn apply_estimates(state: &TrafficState, estimates: &BucketEstimates) {
     let snapshot = state.snapshot();
     let now = state.clock.now();
     let mut limits = state.limits();
@@ -234,13 +244,13 @@
     }
 }
 
-/// Gives the limits and each pool what is known of the others.
-fn refresh(state: &TrafficState) {
+/// Passes the known state of the other daemons to the limits and to each pool.
+fn refresh_limits_and_pools(state: &TrafficState) {
     let now = state.clock.now();
     let snapshot = state.snapshot();
     let Some(fleet) = state.fleet.fleet() else { return };
-    let (others, group) = (fleet.others(now), fleet.group());
-    let (waiting, horizon) = (fleet.others_waiting(now), fleet.group_horizon(now));
+    let (others, group) = (fleet.others_work(now), fleet.group());
+    let (waiting, group_delay) = (fleet.others_waiting(now), fleet.group_delay(now));
     let share = fleet.limit_share();
     let forecast = fleet.forecasts(now);
     let limited = snapshot.access.limited_hashes();
@@ -253,7 +263,7 @@
     drop(limits);
     for (service, pool) in state.pools().iter() {
         let levels = waiting.get(&ServiceHash::of(service)).cloned().unwrap_or_default();
-        let waiting = PeerWaiting { levels, age: horizon };
+        let waiting = PeerWaiting { levels, age: group_delay };
         let (rows, is_changed) = pool.inspect(|scheduler| {
             let upstreams = scheduler.upstreams();
             let is_changed = upstreams.group() != group || *scheduler.peer_waiting() != waiting;
@@ -279,64 +289,65 @@
     changed.map(|(name, _, work)| (name.clone(), work)).collect()
 }
 
-/// What was logged last of the fleet's state.
+/// The last logged values of the fleet's state.
 #[derive(Debug, Default, PartialEq)]
 struct LoggedState {
     role: Option<FleetRole>,
-    is_reader: bool,
+    is_list_reader: bool,
     /// True while less than half of the fleet is covered.
     is_partial: bool,
 }
 
-/// Sends what the others need of this daemon, again and again.
-async fn run(state: Arc<TrafficState>, socket: MessageSocket) {
+/// Sends this daemon's messages periodically.
+async fn send_messages(state: Arc<TrafficState>, socket: MessageSocket) {
     let mut logged = LoggedState::default();
-    let mut read_at = Moment::default();
+    let mut collected_at = Moment::default();
     loop {
         let now = state.clock.now();
-        let reading = own_reading(&state, read_at);
-        read_at = now;
+        let local = local_state(&state, collected_at);
+        collected_at = now;
         let rates = limit_rates(&state);
-        let Some((outgoing, charges, pause)) = state.fleet.fleet().map(|mut fleet| {
-            let outgoing = fleet.tick(reading, &rates, now);
-            state.fleet.daemons.store(fleet.addresses().len(), Ordering::Relaxed);
+        let Some((outgoing, charges, send_interval)) = state.fleet.fleet().map(|mut fleet| {
+            let outgoing = fleet.tick(local, &rates, now);
+            state.fleet.daemon_count.store(fleet.addresses().len(), Ordering::Relaxed);
             log_changes(&state, &fleet, &mut logged, now);
-            (outgoing, fleet.drain_charges(), fleet.pause())
+            (outgoing, fleet.drain_charges(), fleet.send_interval())
         }) else {
             return;
         };
-        charge(&state, &charges);
-        list::ask_while_unknown(&state, &socket);
+        apply_charges(&state, &charges);
+        list::request_unknown_list(&state, &socket);
         for OutgoingMessage { to, message } in outgoing {
             socket.send(&DaemonMessage::State(message), &to);
         }
-        refresh(&state);
-        tokio::time::sleep(pause).await;
+        refresh_limits_and_pools(&state);
+        tokio::time::sleep(send_interval).await;
     }
 }
 
-/// One line for each change of what this daemon does for the fleet, and of how much it knows.
+/// Updates the metrics, and logs a line when this daemon's role or the coverage of its sums
+/// changes.
 fn log_changes(state: &TrafficState, fleet: &FleetState, logged: &mut LoggedState, now: Moment) {
-    let (covers, daemons) = (fleet.coverage(now), fleet.addresses().len());
+    let (covered_daemons, daemons) = (fleet.covered_daemons(now), fleet.addresses().len());
     let age = fleet.sums_age(now);
-    metrics::gauge!("fleet_sums_daemons").set(covers as f64);
+    metrics::gauge!("fleet_sums_daemons").set(covered_daemons as f64);
     metrics::gauge!("fleet_sums_age_seconds").set(age.as_secs_f64());
     let current = LoggedState {
         role: Some(fleet.role(now)),
-        is_reader: fleet.is_informed() && fleet.is_reader(now),
-        is_partial: covers * 2 < daemons,
+        is_list_reader: fleet.has_serving_list() && fleet.is_list_reader(now),
+        is_partial: covered_daemons * 2 < daemons,
     };
     if current != *logged {
-        info!(state.log, "fleet state"; "role" => format!("{:?}", fleet.role(now)), "reads_list" => current.is_reader,
-            "covers" => covers, "daemons" => daemons, "age_ms" => age.as_millis() as u64);
+        info!(state.log, "fleet state"; "role" => format!("{:?}", fleet.role(now)), "reads_list" => current.is_list_reader,
+            "covers" => covered_daemons, "daemons" => daemons, "age_ms" => age.as_millis() as u64);
         *logged = current;
     }
 }
 
-/// What this daemon did; speeds are those learned since `since`.
-fn own_reading(state: &TrafficState, since: Moment) -> OwnReading {
+/// Collects this daemon's local state; speeds are those learned since `since`.
+fn local_state(state: &TrafficState, since: Moment) -> LocalState {
     let now = state.clock.now();
-    OwnReading {
+    LocalState {
         flows: own_flows(state),
         work: own_work(state, since),
         waiting: own_waiting(state),
@@ -367,7 +378,7 @@
     limited.filter_map(|(hash, index)| Some((hash, limits.rate(index)?))).collect()
 }
 
-/// What waits here.
+/// Collects the requests waiting at this daemon.
 fn own_waiting(state: &TrafficState) -> Vec<WaitingRow> {
     let pools = state.pools();
     let rows = pools.iter().flat_map(|(service, pool)| {
@@ -379,7 +390,7 @@
     rows.collect()
 }
 
-/// What this daemon has at each upstream, and the speeds that it learned since `since`.
+/// Collects this daemon's requests at each upstream, and the speeds learned since `since`.
 fn own_work(state: &TrafficState, since: Moment) -> Vec<WorkRow> {
     let mut rows = Vec::new();
     for pool in state.pools().values() {
--- a/src/traffic/fleet_exchange/wire.rs
+++ b/src/traffic/fleet_exchange/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons: what they hold, and the tag that proves the fleet's key.
+//! Encoding of datagrams between daemons, and the tag that authenticates them with the fleet's key.
 
 use crate::fleet_state::{FleetMessage, MessageRefusal};
 use crate::policy::{ListChange, ListPart};
@@ -7,85 +7,87 @@
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 
-/// The version of these messages: a daemon that speaks another one is not understood, and both go on with what they know.
-const VERSION: u8 = 6;
-/// Bytes of the tag that proves the fleet's key.
-const TAG_BYTES: usize = 8;
+/// Version of the message format. Messages of other versions are dropped, and both daemons continue
+/// with the state that they have.
+const FORMAT_VERSION: u8 = 6;
+/// Length of the authentication tag in bytes.
+const TAG_LEN: usize = 8;
 
-/// What one daemon sends another.
+/// A message from one daemon to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum DaemonMessage {
     /// The fleet's state, or a part of it.
     State(FleetMessage),
     /// What a reading of the platform's list changed.
     ListChanged {
-        /// The daemon that read it, or passes it on.
+        /// The daemon that read the list or forwards the change.
         daemon: DaemonName,
-        /// Where it hears messages.
+        /// The address at which that daemon receives messages.
         address: SocketAddr,
-        /// The change.
         change: ListChange,
     },
-    /// It knows no list, or another one than was read, and asks for the whole.
+    /// A request for the full list from a daemon that has no list, or one that differs from the
+    /// last reading.
     ListWanted {
-        /// The daemon that asks.
+        /// The daemon that requests the list.
         daemon: DaemonName,
-        /// Where it hears messages.
+        /// The address at which that daemon receives messages.
         address: SocketAddr,
     },
-    /// A part of the list that was asked for.
+    /// A part of a list that was requested.
     ListPart(ListPart),
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum MessageFault {
-    /// It is shorter than its tag, or was made without the fleet's key, or was damaged on its way.
+pub enum DropCause {
+    /// The datagram is shorter than its tag, was made without the fleet's key, or was damaged in
+    /// transit.
     BadTag,
-    /// It was made by a daemon that speaks another version.
+    /// The datagram has another version of the message format.
     OtherVersion,
-    /// It was made with the key and cannot be read.
+    /// The tag is valid, but the message cannot be decoded.
     Unreadable,
-    /// It says what cannot be.
+    /// The message was decoded but refused.
     Refused(MessageRefusal),
 }
 
-impl MessageFault {
-    /// Its name in logs and metrics.
+impl DropCause {
+    /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            MessageFault::BadTag => "bad-tag",
-            MessageFault::OtherVersion => "other-version",
-            MessageFault::Unreadable => "unreadable",
-            MessageFault::Refused(refusal) => refusal.name(),
+            DropCause::BadTag => "bad-tag",
+            DropCause::OtherVersion => "other-version",
+            DropCause::Unreadable => "unreadable",
+            DropCause::Refused(refusal) => refusal.name(),
         }
     }
 }
 
-fn tag(bytes: &[u8], key: &str) -> [u8; TAG_BYTES] {
+fn compute_tag(bytes: &[u8], key: &str) -> [u8; TAG_LEN] {
     let digest = Sha256::new().chain_update(key).chain_update(bytes).chain_update(key).finalize();
-    let mut tag = [0; TAG_BYTES];
-    tag.copy_from_slice(&digest[..TAG_BYTES]);
+    let mut tag = [0; TAG_LEN];
+    tag.copy_from_slice(&digest[..TAG_LEN]);
     tag
 }
 
-/// The datagram of a message.
-pub fn write_message(message: &DaemonMessage, key: &str) -> Vec<u8> {
-    let body = postcard::to_extend(message, vec![VERSION]).unwrap_or_default();
-    let mut bytes = tag(&body, key).to_vec();
+/// Encodes a message as a datagram.
+pub fn encode_message(message: &DaemonMessage, key: &str) -> Vec<u8> {
+    let body = postcard::to_extend(message, vec![FORMAT_VERSION]).unwrap_or_default();
+    let mut bytes = compute_tag(&body, key).to_vec();
     bytes.extend_from_slice(&body);
     bytes
 }
 
-/// The message in a datagram.
-pub fn read_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, MessageFault> {
-    let (given, body) = bytes.split_at_checked(TAG_BYTES).ok_or(MessageFault::BadTag)?;
-    if given != tag(body, key) {
-        return Err(MessageFault::BadTag);
+/// Verifies and decodes a datagram.
+pub fn decode_message(bytes: &[u8], key: &str) -> Result<DaemonMessage, DropCause> {
+    let (received_tag, body) = bytes.split_at_checked(TAG_LEN).ok_or(DropCause::BadTag)?;
+    if received_tag != compute_tag(body, key) {
+        return Err(DropCause::BadTag);
     }
-    let (version, body) = body.split_first().ok_or(MessageFault::Unreadable)?;
-    if *version != VERSION {
-        return Err(MessageFault::OtherVersion);
+    let (version, body) = body.split_first().ok_or(DropCause::Unreadable)?;
+    if *version != FORMAT_VERSION {
+        return Err(DropCause::OtherVersion);
     }
-    postcard::from_bytes(body).map_err(|_| MessageFault::Unreadable)
+    postcard::from_bytes(body).map_err(|_| DropCause::Unreadable)
 }
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -380,7 +380,7 @@
         let service = placed.pool.service.clone();
         let name = placed.name.clone();
         if history.sent == 0 {
-            let daemons = request.state.fleet.daemons();
+            let daemons = request.state.fleet.daemon_count();
             request.state.with_repeats(&service, |budget| budget.deposit(daemons));
         }
         request.set_charged(true);
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tarragonknot::fleet_state::{
-    DaemonIdentity, FleetMessage, FleetState, FlowRow, OrganisationHash, OwnReading, WorkRow,
+    DaemonIdentity, FleetMessage, FleetState, FlowRow, LocalState, OrganisationHash, WorkRow,
 };
 use tarragonknot::policy::{LimitTable, Moment, OrganisationIndex, OrganisationLimit};
 use tarragonknot::quarantine::CrashTable;
@@ -77,14 +77,14 @@
         }
     }
 
-    fn reading(&mut self, now: Moment) -> OwnReading {
+    fn reading(&mut self, now: Moment) -> LocalState {
         let flow = FlowRow {
             organisation: hot(),
             taken: self.limits.admitted_tokens(HOT),
             asked: self.limits.requested_tokens(HOT),
             refill_ms: self.limits.time_to_full(HOT, now).as_millis() as u32,
         };
-        OwnReading {
+        LocalState {
             flows: vec![flow],
             work: self.work.clone(),
             waiting: Vec::new(),
@@ -171,7 +171,7 @@
             .collect();
         let now = self.now;
         let daemons = self.daemons.iter_mut().filter(|daemon| daemon.is_running);
-        daemons.for_each(|daemon| daemon.fleet.set_named(named.clone(), now));
+        daemons.for_each(|daemon| daemon.fleet.set_serving_list(named.clone(), now));
     }
 
     /// A daemon stops without a word.
@@ -233,7 +233,7 @@
         let reading = daemon.reading(now);
         let outgoing = daemon.fleet.tick(reading, &[(hot(), rate)], now);
         daemon.settle(now);
-        let pause = daemon.fleet.pause();
+        let pause = daemon.fleet.send_interval();
         let mut deliveries = Vec::new();
         for out in outgoing {
             let bytes = postcard::to_stdvec(&out.message).expect("written").len() as u64;
@@ -275,7 +275,7 @@
         daemon.heard += 1;
         daemon.bytes += postcard::to_stdvec(&message).expect("written").len() as u64;
         let (from, suspects) = (message.source().daemon.clone(), message.suspects().clone());
-        let taken = daemon.fleet.take(message, self.now);
+        let taken = daemon.fleet.receive(message, self.now);
         if taken.is_ok() {
             daemon.crashes.take(&from, &suspects, self.now);
         }
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -28,7 +28,7 @@
     let layout = FleetLayout::new((0..count).rev().map(address).collect());
     let members: Vec<_> = (0..groups).map(|group| layout.members(group).to_vec()).collect();
 
-    assert_eq!(layout.groups(), groups);
+    assert_eq!(layout.group_count(), groups);
     assert_eq!(members.concat(), layout.addresses());
     assert!(members.iter().all(|members| (1..=largest).contains(&members.len())));
     let at = |group: usize| members[group].iter().map(|at| layout.group_of(*at).index);
@@ -58,7 +58,7 @@
         let mut take = |at: usize| {
             let rows = [row(totals[at])];
             let now = Moment::from_millis(at as u64 * 50);
-            let deltas = ledger.take(&daemon, stamp(1, at as u64 + 1), (&rows, true), now);
+            let deltas = ledger.apply(&daemon, stamp(1, at as u64 + 1), (&rows, true), now);
             sum += deltas.into_iter().flatten().map(|delta| delta.taken).sum::<i64>();
         };
         take(0);
@@ -75,10 +75,10 @@
     let daemon = DaemonName::from("entry-1");
     let mut ledger = FlowLedger::default();
     let now = Moment::from_millis(1_000);
-    ledger.take(&daemon, stamp(1, 9), (&[row(50_000)], true), now).expect("the first message");
+    ledger.apply(&daemon, stamp(1, 9), (&[row(50_000)], true), now).expect("the first message");
 
-    let restarted = ledger.take(&daemon, stamp(2, 1), (&[row(700)], true), now);
-    let late = ledger.take(&daemon, stamp(2, 1), (&[row(700)], true), now);
+    let restarted = ledger.apply(&daemon, stamp(2, 1), (&[row(700)], true), now);
+    let late = ledger.apply(&daemon, stamp(2, 1), (&[row(700)], true), now);
 
     assert_eq!(restarted.map(|deltas| deltas[0].taken), Ok(700));
     assert_eq!(late, Err(MessageRefusal::Overtaken));
@@ -92,9 +92,9 @@
     let daemon = DaemonName::from("entry-1");
     let mut ledger = FlowLedger::default();
     let now = Moment::from_millis(1_000);
-    let first = ledger.take(&daemon, stamp(1, 8), (&[], false), now);
-    let second = ledger.take(&daemon, stamp(1, 9), (&[row(900_000)], false), now);
-    let third = ledger.take(&daemon, stamp(1, 10), (&[row(900_500)], false), now);
+    let first = ledger.apply(&daemon, stamp(1, 8), (&[], false), now);
+    let second = ledger.apply(&daemon, stamp(1, 9), (&[row(900_000)], false), now);
+    let third = ledger.apply(&daemon, stamp(1, 10), (&[row(900_500)], false), now);
 
     assert_eq!((first, second), (Ok(vec![]), Ok(vec![])));
     assert_eq!(third.map(|deltas| deltas[0].taken), Ok(500));
@@ -113,16 +113,16 @@
     for sequence in 1..=40 {
         now = Moment::from_millis(sequence * 50);
         let rows = [row(sequence as i64 * 1_000)];
-        ledger.take(&daemon, stamp(1, sequence), (&rows, true), now).expect("a new message");
+        ledger.apply(&daemon, stamp(1, sequence), (&rows, true), now).expect("a new message");
         rates.add(hot(), 2_000, now);
     }
     let after = Duration::from_millis(600);
     let soon = now + Duration::from_millis(500);
     let later = now + Duration::from_secs(5);
-    let heard_soon = ledger.assume_silent(&limits, &rates, (0.1, after), soon);
+    let heard_soon = ledger.estimate_silent(&limits, &rates, (0.1, after), soon);
     rates.add(hot(), 200_000, later);
-    let assumed = ledger.assume_silent(&limits, &rates, (0.1, after), later);
-    let back = ledger.take(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
+    let assumed = ledger.estimate_silent(&limits, &rates, (0.1, after), later);
+    let back = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
 
     assert_eq!(heard_soon, []);
     assert!(assumed[0].taken > 0, "{assumed:?}");
@@ -146,9 +146,9 @@
     let mut rotation = RowRotation::default();
     let mut seen = BTreeSet::new();
     for _ in 0..60 {
-        seen.extend(rotation.choose(rows(None, 1)).iter().map(|row| row.organisation));
+        seen.extend(rotation.select_rows(rows(None, 1)).iter().map(|row| row.organisation));
     }
-    let sends: Vec<Vec<FlowRow>> = (0..6).map(|_| rotation.choose(rows(Some(7), 2))).collect();
+    let sends: Vec<Vec<FlowRow>> = (0..6).map(|_| rotation.select_rows(rows(Some(7), 2))).collect();
 
     assert_eq!(seen.len(), 300);
     let has = |rows: &[FlowRow]| rows.iter().any(|row| row.organisation == hash(7));
@@ -166,7 +166,7 @@
     let patient = choice.choose(&candidates, address(2), pause, at(1_300));
     let second = choice.choose(&candidates, address(2), pause, at(1_450));
     let third = choice.choose(&candidates, address(2), pause, at(1_750));
-    choice.hear(address(0), at(1_800));
+    choice.record_summary(address(0), at(1_800));
     let back = choice.choose(&candidates, address(2), pause, at(1_810));
 
     assert_eq!((first, patient, second), (address(0), address(0), address(1)));
@@ -197,7 +197,7 @@
     let mut play = FleetPlay::calm(count, 1);
     play.run(2_400, true);
     let covered: Vec<usize> =
-        play.daemons.iter().map(|daemon| daemon.fleet.coverage(play.now)).collect();
+        play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
     let tokens = (RATE as usize * 4 / 10 / count) as u32;
 
     let known = spread_tokens(&mut play, tokens);
@@ -277,7 +277,8 @@
 
     let alive = count - (aggregators.len() - 2);
     let covered = play.daemons.iter().filter(|daemon| daemon.is_running);
-    let covered: Vec<usize> = covered.map(|daemon| daemon.fleet.coverage(play.now)).collect();
+    let covered: Vec<usize> =
+        covered.map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
     assert!(covered.iter().all(|covers| *covers == alive), "{alive}: {covered:?}");
 }
 
@@ -296,7 +297,7 @@
     play.run_for(1_500);
 
     let fleet = &play.daemons[number].fleet;
-    assert!(fleet.coverage(play.now) >= 99, "{}", fleet.coverage(play.now));
+    assert!(fleet.covered_daemons(play.now) >= 99, "{}", fleet.covered_daemons(play.now));
     assert!(fleet.limit_share() >= 1.0);
 }
 
@@ -320,7 +321,7 @@
     (100..112).for_each(|number| play.start(number));
     play.run(3_200, true);
 
-    let covered = play.daemons.iter().map(|daemon| daemon.fleet.coverage(play.now));
+    let covered = play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now));
     let covered: Vec<usize> = covered.collect();
     let exact = covered.iter().filter(|covers| **covers == 112).count();
     assert!(exact >= 106, "{covered:?}");
@@ -337,7 +338,7 @@
             let now = play.now;
             let readers: Vec<usize> = (0..count)
                 .filter(|number| play.daemons[*number].is_running)
-                .filter(|number| play.daemons[*number].fleet.is_reader(now))
+                .filter(|number| play.daemons[*number].fleet.is_list_reader(now))
                 .collect();
             assert_eq!(readers.len(), 1, "{count}: {readers:?}");
             play.kill(readers[0]);
@@ -364,7 +365,7 @@
     play.daemons[60].work = vec![(engine(1), work(4, 0)), (engine(2), work(1, 0))];
     play.run(2_000, true);
 
-    let seen = |number: usize| play.daemons[number].fleet.others(play.now);
+    let seen = |number: usize| play.daemons[number].fleet.others_work(play.now);
     let places =
         |number: usize| (seen(number)[&engine(1)].requests, seen(number)[&engine(1)].hinted);
     assert_eq!((places(0), places(1), places(2)), ((5, 4), (3, 4), (2, 4)));
@@ -386,7 +387,7 @@
         play.run(2_000, true);
         let before = play.daemons[0].bytes;
         play.run(1_200, true);
-        let seen = play.daemons[5].fleet.others(play.now);
+        let seen = play.daemons[5].fleet.others_work(play.now);
         let far = seen.values().filter(|work| work.hinted > 0).count();
         assert!(far >= (64 - 8) * engines * 9 / 10, "{far} of {engines} a daemon are known");
         play.daemons[0].bytes - before
@@ -404,10 +405,10 @@
         let mut play = FleetPlay::calm(count, 9);
         play.daemons[1].work = vec![(engine(1), work(2, 0))];
         play.run(2_000, true);
-        let before = play.daemons[2].fleet.others(play.now)[&engine(1)].requests;
+        let before = play.daemons[2].fleet.others_work(play.now)[&engine(1)].requests;
         play.kill(1);
         play.run_for(2_500);
-        let after = play.daemons[2].fleet.others(play.now);
+        let after = play.daemons[2].fleet.others_work(play.now);
 
         assert_eq!(before, 2, "{count}");
         assert!(after.get(&engine(1)).is_none_or(|work| work.requests == 0), "{count}: {after:?}");
@@ -419,10 +420,10 @@
     let mut play = FleetPlay::calm(3, 10);
     play.run(1_000, true);
     let daemon = &mut play.daemons[0];
-    let before = daemon.fleet.coverage(play.now);
+    let before = daemon.fleet.covered_daemons(play.now);
     let outgoing = daemon.fleet.tick(Default::default(), &[], play.now);
-    outgoing.into_iter().for_each(|out| _ = daemon.fleet.take(out.message, play.now));
+    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, play.now));
 
-    assert_eq!(daemon.fleet.coverage(play.now), before);
+    assert_eq!(daemon.fleet.covered_daemons(play.now), before);
     assert!(name(0).starts_with("entry"));
 }
