--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic: the callers' front, dispatch and relay. Reads control state through snapshots only.
+//! Data plane: accepts callers' requests, dispatches them and relays the answers. It reads control
+//! state only through snapshots.
 
 mod access;
 mod claim_guard;
