--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -1,4 +1,5 @@
-//! Who a caller is and what the table lets it use: an index over one table, built once per edit.
+//! Caller authentication and access rules: an index over one table, rebuilt when the table is
+//! edited.
 
 use super::routed::RouteIndex;
 use crate::answer::AnswerKind;
@@ -12,22 +13,23 @@
 use std::sync::Arc;
 use subtle::ConstantTimeEq;
 
-/// A caller that proved its organisation.
+/// A caller authenticated by its organisation's key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerIdentity {
-    /// The organisation's number in this daemon.
+    /// Index of the organisation in this daemon.
     pub index: OrganisationIndex,
-    /// Its name.
+    /// Name of the organisation.
     pub organisation: OrganisationName,
-    /// Its weight.
+    /// Weight of the organisation.
     pub weight: u32,
-    /// What its limit counts.
+    /// Unit that the organisation's limit counts.
     pub limit_unit: LimitUnit,
-    /// Tokens that a request counts as that names none.
+    /// Tokens charged for a request that states no token count.
     pub uncounted_tokens: Option<u32>,
 }
 
-/// Numbers given to organisation names; kept over edits so that limits and queues keep their state.
+/// Indices assigned to organisation names; kept across table edits, so that limits and queues keep
+/// their state.
 #[derive(Clone, Debug, Default)]
 pub struct OrganisationNumbers(HashMap<OrganisationName, OrganisationIndex>);
 
@@ -38,7 +40,7 @@
     }
 }
 
-/// The index over one table.
+/// Index over one operator table.
 #[derive(Clone, Debug, Default)]
 pub struct AccessIndex {
     by_digest: HashMap<String, (String, CallerIdentity)>,
@@ -47,12 +49,12 @@
     table: OperatorTable,
     limits: HashMap<OrganisationIndex, OrganisationLimit>,
     routes: RouteIndex,
-    /// Organisations with a limit on tokens.
+    /// Organisations with a token rate limit.
     limited: HashMap<OrganisationHash, OrganisationIndex>,
 }
 
 impl AccessIndex {
-    /// Indexes `table`.
+    /// Builds the index of `table`; organisations not seen before are assigned new indices.
     pub fn new(table: &OperatorTable, numbers: &mut OrganisationNumbers) -> Self {
         let mut index = AccessIndex {
             services: table
@@ -87,8 +89,8 @@
         index
     }
 
-    /// Finds the organisation of a bearer key. Only digests are looked up and compared, and the
-    /// comparison takes the same time wherever they differ, so timing tells nothing about a key.
+    /// Authenticates a caller by its bearer key. Only digests are looked up, and they are compared
+    /// in constant time, so that timing reveals nothing about a key.
     pub fn identify(&self, bearer: Option<&str>) -> Result<&CallerIdentity, AnswerKind> {
         let key = bearer.ok_or(AnswerKind::KeyMissing)?;
         let digest = KeyDigest::of(key);
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The row of a service that `caller` may use.
+    /// Returns the row of a service, if `caller` may use the service.
     pub fn service(
         &self,
         name: &str,
@@ -109,7 +111,7 @@
         if row.allows(&caller.organisation) { Ok(row) } else { Err(AnswerKind::NotAllowed) }
     }
 
-    /// The tier of a request.
+    /// Tier of a request, with its rank.
     pub fn tier(
         &self,
         service: &ServiceRow,
@@ -117,12 +119,13 @@
         purpose: Option<&str>,
     ) -> (TierName, TierRank) {
         let name = self.table.tier_of(service, &caller.organisation, purpose);
-        // Checked tables have a rank for every name; an unknown one must not count as important.
+        // A validated table ranks every tier; an unknown one gets the lowest priority.
         let rank = self.ranks.get(name).copied().unwrap_or(TierRank(u8::MAX));
         (name.clone(), rank)
     }
 
-    /// The tier of a route's requests: the caller's own, if an assignment gives it one.
+    /// Rank of a route's requests: that of the tier assigned to the caller's organisation,
+    /// otherwise that of the route's tier.
     pub fn route_tier(&self, route: &RouteRow, caller: Option<&CallerIdentity>) -> TierRank {
         let assigned = caller.and_then(|caller| {
             let mut rows = self.table.assignments.iter();
@@ -132,27 +135,29 @@
         self.ranks.get(name).copied().unwrap_or(TierRank(u8::MAX))
     }
 
-    /// A route's rank by its own tier, which orders the requests of one organisation's tier.
+    /// Rank of a route's own tier; it orders requests within one organisation's tier.
     pub fn route_rank(&self, route: &RouteRow) -> u8 {
         self.ranks.get(&route.tier).map_or(u8::MAX, |rank| rank.0)
     }
 
-    /// Organisations with a limit on tokens, by the hash that daemons call them by, and their numbers.
+    /// Organisations with a token rate limit: the hash that identifies them between daemons, and
+    /// their index in this daemon.
     pub fn limited_hashes(&self) -> impl Iterator<Item = (OrganisationHash, OrganisationIndex)> {
         self.limited.iter().map(|(hash, index)| (*hash, *index))
     }
 
-    /// The number of an organisation with a limit on tokens.
+    /// Index of the organisation with this hash, if it has a token rate limit.
     pub fn limited_by_hash(&self, organisation: OrganisationHash) -> Option<OrganisationIndex> {
         self.limited.get(&organisation).copied()
     }
 
-    /// The routes.
+    /// Index of the routes.
     pub fn routes(&self) -> &RouteIndex {
         &self.routes
     }
 
-    /// What a request counts as against its organisation's limit: `tokens` if it says, else a fixed number.
+    /// Units that a request is charged against its organisation's limit. If the limit counts
+    /// tokens, this is `tokens` or, without it, the organisation's fixed number.
     pub fn counted(&self, caller: &CallerIdentity, tokens: Option<u32>) -> u32 {
         match caller.limit_unit {
             LimitUnit::Requests => 1,
@@ -160,22 +165,22 @@
         }
     }
 
-    /// All services.
+    /// Rows of all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceRow>> {
         self.services.values()
     }
 
-    /// The table.
+    /// The indexed table.
     pub fn table(&self) -> &OperatorTable {
         &self.table
     }
 
-    /// Limits by organisation.
+    /// Limits of all organisations.
     pub fn limits(&self) -> &HashMap<OrganisationIndex, OrganisationLimit> {
         &self.limits
     }
 
-    /// Tiers with their weights.
+    /// Weights of all tiers.
     pub fn tier_shares(&self) -> Vec<TierShare> {
         self.table
             .tiers
