--- a/src/traffic/claim_guard.rs
+++ b/src/traffic/claim_guard.rs
@@ -1,4 +1,4 @@
-//! A request's claim: taken before it may be dispatched, settled when it has ended.
+//! Idempotency claim of a request: acquired before its dispatch, settled when it ends.
 
 use super::access::CallerIdentity;
 use super::dispatch::ExchangeEnd;
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The header that marks an answer given from the record.
+/// Header that marks an answer replayed from the claim's record.
 const REPLAYED_HEADER: &str = "idempotency-replayed";
 
-/// A claim that this request holds. Dropped without an end (the task was cut off), it is settled as
-/// unknown: the request may have been sent.
+/// A claim held by a request. If it is dropped unsettled because the task was cancelled, it is
+/// settled as unknown, since the request may have been sent.
 pub struct ClaimGuard {
     state: Arc<TrafficState>,
     key: ClaimKey,
@@ -27,7 +27,7 @@
 }
 
 impl ClaimGuard {
-    /// Records how the request ended.
+    /// Records the outcome of the request.
     pub fn settle(mut self, end: &ExchangeEnd) {
         let outcome = match (&end.recorded, end.state) {
             (Some(answer), RequestState::Answered) => ClaimOutcome::Answered(answer.clone()),
@@ -53,7 +53,8 @@
     }
 }
 
-/// Takes the claim; an error holds the reply that answers the request instead.
+/// Acquires the claim for a request. The error contains the reply that determines the answer, or
+/// `None` if the claim could not be recorded.
 pub async fn take_claim(
     state: &Arc<TrafficState>,
     caller: &CallerIdentity,
@@ -76,7 +77,7 @@
     }
 }
 
-/// SHA-256 over method, path and body: what must be equal for a resend to be the same request.
+/// SHA-256 of method, path and body, which must all match for a retry to count as the same request.
 fn request_digest(call: &UpstreamCall) -> String {
     let mut digest = Sha256::new();
     digest.update(call.method.as_str());
@@ -87,7 +88,7 @@
     hex(&digest.finalize())
 }
 
-/// The answer to a request whose claim was not granted.
+/// Builds the answer to a request whose claim was not granted.
 pub fn claim_answer(reply: Option<ClaimReply>, id: &str, jitter: f64) -> Response<Body> {
     let kind = match reply {
         Some(ClaimReply::Answered(answer)) => match replay(answer, id) {
@@ -102,7 +103,7 @@
     RefusalAnswer::new(kind, "", jitter).response(id)
 }
 
-/// The recorded answer, if its body was kept.
+/// Builds the response from the recorded answer; `None` if its body was not kept.
 fn replay(answer: RecordedAnswer, id: &str) -> Option<Response<Body>> {
     let mut response = Response::new(Body::from(answer.body?));
     *response.status_mut() = StatusCode::from_u16(answer.status).ok()?;
