--- a/src/traffic/crash_check.rs
+++ b/src/traffic/crash_check.rs
@@ -1,8 +1,9 @@
-//! Finds out whether an upstream ended when connections to it broke.
+//! Determines whether an upstream terminated when connections to it broke.
 //!
-//! A broken connection alone says little: it may have been reset on the way, or the upstream gave up one answer. If the
-//! upstream does not answer a probe just after, it ended, and all requests that it ran ended with it. One look serves all
-//! requests that broke there at the same time.
+//! A broken connection alone proves little: it may have been reset by the network, or the upstream
+//! may have aborted a single answer. If the upstream also fails a probe immediately afterwards, it
+//! has terminated, and so have all requests that it ran. One check covers all requests that lost
+//! their connection to the upstream at the same time.
 
 use super::probe::{ProbeOutcome, probe};
 use super::state::TrafficState;
@@ -15,26 +16,28 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Looks at an upstream that takes connections and closes them, before it counts as ended: a proxy before it does so, but
-/// so does one that drops requests now and then.
+/// Number of probes that an upstream must answer by closing the connection before it counts as
+/// terminated. A proxy in front of a terminated upstream does so, but so does a live upstream that
+/// drops requests occasionally.
 const LOOKS: u32 = 2;
-/// Time between two looks. Far below the seconds that an upstream needs to start again.
+/// Delay between two probes; far below the seconds that an upstream needs to restart.
 const LOOK_PAUSE: Duration = Duration::from_millis(150);
 
-/// An upstream at which a request broke off.
+/// An upstream whose connection broke during a request.
 #[derive(Clone, Debug)]
 pub struct BrokenUpstream {
-    /// Its service.
+    /// Service of the upstream.
     pub service: ServiceName,
-    /// The version whose pool it is in; none if that takes any.
+    /// Software version of the pool that the upstream is in; `None` if the pool accepts any
+    /// version.
     pub version: Option<SoftwareVersion>,
-    /// Its name.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Its number in its pool.
+    /// Index of the upstream in its pool.
     pub index: UpstreamIndex,
-    /// Its incarnation, as far as it was known.
+    /// Last known incarnation; 0 if unknown.
     pub incarnation: u64,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
 }
 
@@ -44,16 +47,16 @@
     }
 }
 
-/// A request whose connection broke while an upstream had it.
+/// A request whose connection broke while an upstream was processing it.
 #[derive(Clone, Debug)]
 pub struct BrokenRequest {
-    /// Its id, for logs.
+    /// Request id, for logs.
     pub id: Arc<str>,
-    /// What it is known by.
+    /// Fingerprint of the request's content.
     pub fingerprint: RequestFingerprint,
 }
 
-/// Looks that are under way, each with the requests that wait for what it finds.
+/// Checks in progress, each with the requests that wait for its result.
 #[derive(Debug, Default)]
 pub struct CrashChecks(Mutex<HashMap<UpstreamHash, Vec<BrokenRequest>>>);
 
@@ -62,7 +65,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a request; true if no look at the upstream is under way.
+    /// Adds a request to the check of an upstream; true if the caller must start that check.
     fn add(&self, upstream: UpstreamHash, request: BrokenRequest) -> bool {
         let mut checks = self.lock();
         let requests = checks.entry(upstream).or_default();
@@ -75,7 +78,8 @@
     }
 }
 
-/// Looks whether the upstream at which a request broke off has ended.
+/// Checks in the background whether the upstream has terminated, unless such a check is in
+/// progress.
 pub fn check_upstream(state: &Arc<TrafficState>, upstream: BrokenUpstream, request: BrokenRequest) {
     if !state.crash_checks.add(upstream.hash(), request) {
         return;
@@ -89,16 +93,16 @@
     });
 }
 
-/// What is known of an upstream after a look.
+/// Result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpstreamFate {
     LivesOn,
     Ended,
-    /// It ended, and another incarnation has its address already.
+    /// The upstream terminated, and another incarnation already uses its address.
     Replaced,
 }
 
-/// An upstream that takes the connection and says nothing is busy, and lives.
+/// Probes the upstream. One that accepts the connection but stays silent is busy, and thus alive.
 async fn look(state: &TrafficState, upstream: &BrokenUpstream) -> UpstreamFate {
     let path = state.health_path(&upstream.service);
     let name = upstream.upstream.as_str();
@@ -116,7 +120,8 @@
     UpstreamFate::Ended
 }
 
-/// Tells the pool, so that no request of this daemon, and soon none of the others, is sent there for nothing.
+/// Updates the pool, so that this daemon, and soon the others, send no more requests to an upstream
+/// that cannot run them.
 fn tell_pool(state: &TrafficState, upstream: &BrokenUpstream, fate: UpstreamFate) {
     let event = match fate {
         UpstreamFate::LivesOn => return,
@@ -139,7 +144,7 @@
     metrics::counter!("tarragonknot_requests_broken_total", "service" => service.to_string(), "cause" => cause)
         .increment(requests.len() as u64);
     if !has_ended {
-        info!(state.log, "connections broke, upstream lives on"; "service" => service.as_str(), "upstream" => name.as_str(),
+        info!(state.log, "connections broke, but the upstream is alive"; "service" => service.as_str(), "upstream" => name.as_str(),
             "requests" => requests.len());
         return;
     }
