--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -1,4 +1,5 @@
-//! Carries one admitted request through its exchange: the chart says what, this does it.
+//! Executes the exchange of one admitted request: performs the actions that the request chart
+//! orders and reports events back to it.
 
 use super::crash_check::{BrokenRequest, BrokenUpstream, check_upstream};
 use super::pool_runtime::{PlacementWord, PoolRuntime, RequestGuard};
@@ -20,43 +21,43 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Token gaps are told to the scheduler once in this many pieces.
+/// Minimum number of pieces over which a mean token gap is reported to the scheduler.
 const GAP_STRETCH: u64 = 16;
 
-/// How a request ended, for logs, metrics and claims.
+/// Result of a request, for logs, metrics and claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExchangeEnd {
-    /// The final state.
+    /// Final state.
     pub state: RequestState,
-    /// Why, if there is no whole answer.
+    /// Reason why there is no whole answer.
     pub failure: Option<AnswerKind>,
-    /// The last upstream tried.
+    /// Last upstream that the request was placed at.
     pub upstream: Option<UpstreamName>,
-    /// Time to the first piece since arrival.
+    /// Time from arrival to the first piece.
     pub first_piece: Option<Duration>,
-    /// Output tokens.
+    /// Number of output tokens.
     pub tokens: u32,
-    /// The answer, where it was to be kept.
+    /// Recorded answer, if one was to be kept.
     pub recorded: Option<RecordedAnswer>,
-    /// True if a byte may have reached an upstream.
+    /// True if an upstream may have received any byte of the request.
     pub may_have_run: bool,
 }
 
-/// What is fixed about one request's run.
+/// Fixed inputs of an exchange.
 pub struct ExchangeCall {
-    /// The request as it goes to the upstream.
+    /// Request as sent to the upstream.
     pub call: Box<UpstreamCall>,
-    /// The request as the scheduler sees it.
+    /// Request as submitted to the scheduler.
     pub arrived: ArrivedRequest,
-    /// A stream is silent after this long without a byte.
+    /// Time without a byte after which a stream counts as silent.
     pub silence: Duration,
-    /// What the request is known by when it comes again.
+    /// Identifies the same request when it is sent again.
     pub fingerprint: RequestFingerprint,
-    /// True if the answer must be kept for resends.
+    /// True if the answer must be kept for retries.
     pub records: bool,
 }
 
-/// What can happen while an answer is awaited.
+/// Event observed while waiting for an answer.
 enum Happening {
     Read(PieceRead),
     Opened(Result<AnswerStream, OpenFault>),
@@ -65,7 +66,7 @@
     CallerLeft,
 }
 
-/// One request being carried.
+/// State of a running exchange.
 struct ExchangeRun<'a> {
     state: &'a Arc<TrafficState>,
     pool: &'a Arc<PoolRuntime>,
@@ -88,7 +89,7 @@
     may_have_run: bool,
 }
 
-/// Runs a request to its one end.
+/// Runs a request to its final state.
 pub async fn run_exchange(
     state: &Arc<TrafficState>,
     pool: &Arc<PoolRuntime>,
@@ -162,7 +163,7 @@
             self.target = Some((name, address));
             self.may_have_run = true;
             self.exchange.handle(ExchangeEvent::Placed(upstream), self.now());
-            // Boxed: while a request only waits, it must not hold the room that its conversation needs.
+            // Boxed so that a waiting request does not occupy the memory of the larger future.
             match Box::pin(self.converse(&mut guard, &mut sink)).await {
                 ConverseEnd::Requeue => {
                     self.may_have_run = false;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Gives the place back if the content is held back.
+    /// Releases the slot and refuses the request if its content is quarantined.
     fn pass_quarantine(&self, word: PlacementWord, guard: &mut RequestGuard) -> PlacementWord {
         let PlacementWord::Go { .. } = &word else { return word };
         match self.state.quarantine.check(self.state, &self.call.id, self.fingerprint) {
@@ -219,7 +220,8 @@
         sink.fail(&RefusalAnswer::new(kind, detail, self.state.jitter())).await;
     }
 
-    /// Sends, relays, resumes, until the exchange ends or goes back to the queue.
+    /// Sends the request, relays the answer and resumes it as needed, until the exchange ends or
+    /// the request is requeued.
     async fn converse(&mut self, guard: &mut RequestGuard, sink: &mut AnswerSink) -> ConverseEnd {
         let mut opening = Opening::First;
         loop {
@@ -288,13 +290,15 @@
             happening = read => happening,
             () = sink.closed() => Happening::CallerLeft,
             () = tokio::time::sleep(silence) => Happening::Silent,
-            // An answer that the caller already sees is let run on: cutting it would waste it.
+            // No deadline once the caller receives the answer: aborting would waste the work done.
             () = tokio::time::sleep(deadline), if !has_begun => Happening::Deadline,
         }
     }
 
-    /// Plain services and whole answers say nothing while they work: silence is judged by the
-    /// deadline, and for resumable whole answers by doubling waits.
+    /// Time without a byte after which an upstream counts as silent. Plain services, and engines
+    /// whose answer is not a stream, send nothing while they work. An upstream that cannot resume
+    /// is limited by the deadline only; for a resumable answer that is not a stream, the limit
+    /// doubles with each resume.
     fn silence_limit(&self) -> Duration {
         if !self.pool.driver.can_resume() {
             return Duration::from_secs(3_600);
@@ -305,7 +309,7 @@
         }
     }
 
-    /// Turns what happened into the exchange's event.
+    /// Passes an observed event to the exchange and returns the actions to execute.
     fn take(
         &mut self,
         happening: Happening,
@@ -364,7 +368,7 @@
                 self.exchange.handle(ExchangeEvent::Cut, now)
             }
             Happening::Silent => {
-                // The request may have left this machine before the silence began.
+                // The request may have been sent before the silence began.
                 self.exchange.handle(ExchangeEvent::Opened, now);
                 self.exchange.handle(ExchangeEvent::Silent, now)
             }
@@ -376,7 +380,8 @@
         }
     }
 
-    /// The connection ended before the answer did: has the upstream looked at, which may have ended.
+    /// Starts a crash check after the connection ended before the answer did, since the upstream
+    /// may have terminated.
     fn check_upstream(&self) {
         let (Some((name, address)), Some(index)) = (&self.target, self.exchange.upstream()) else {
             return;
@@ -399,7 +404,7 @@
         sink.relay(piece.bytes).await
     }
 
-    /// Tells the scheduler what the pieces' times say of the engine.
+    /// Reports the time to the first token and the token gaps of a stream to the scheduler.
     fn teach(&mut self, piece: &AnswerPiece) {
         let id = self.id;
         let now = self.now();
@@ -432,8 +437,8 @@
         }
     }
 
-    /// Closes the connection and asks the upstream to stop, in the background: the caller's refusal
-    /// and the place at the upstream must not wait for an upstream that does not answer.
+    /// Closes the connection and cancels the work at the upstream in the background. Neither the
+    /// caller's refusal nor the release of the slot may wait for an upstream that does not respond.
     fn cancel(&mut self) {
         self.pieces = None;
         let Some((_, address)) = self.target.clone() else { return };
