--- a/src/traffic/drain.rs
+++ b/src/traffic/drain.rs
@@ -1,50 +1,51 @@
-//! The life cycle of a daemon's shutdown.
+//! Life cycle of a daemon's graceful shutdown, as a state chart.
 
 use crate::chart::StateChart;
 use crate::chart_names;
 use std::sync::LazyLock;
 
 chart_names! {
-    /// Where a daemon is between its start and its end.
+    /// State of a daemon with respect to shutdown.
     DrainState {
-        /// Admitting, ready.
+        /// Ready and admitting requests.
         Serving,
-        /// Unready, still admitting until the balancer has noticed.
+        /// Not ready, but still admitting requests until the load balancer has noticed.
         Unready,
-        /// No new connections; what waits and runs is finished.
+        /// Accepting no new connections, and finishing the requests that are waiting or running.
         Closing,
-        /// Nothing is left.
+        /// All requests have ended.
         Done,
     }
 }
 
 chart_names! {
-    /// What moves it.
+    /// Event of the drain chart.
     DrainEvent {
-        /// SIGTERM, or an operator's drain. A second one changes nothing: it must not cut answers.
+        /// SIGTERM or an operator's drain command. A second one has no effect, since it must not
+        /// cut answers short.
         Signal,
-        /// The time the balancer needs has passed.
+        /// The time that the load balancer needs to notice has passed.
         BalancerNoticed,
-        /// No request is in progress.
+        /// The last request in progress ended.
         Idle,
     }
 }
 
 chart_names! {
-    /// What the daemon does.
+    /// Action for the daemon to execute.
     DrainAction {
-        /// Answer the balancer's health check with 503.
+        /// Answer the load balancer's health check with 503.
         TurnUnready,
         /// Close the listening socket.
         StopAccepting,
-        /// Close idle connections, and others after their present answer.
+        /// Close idle connections, and the others after their current answer.
         CloseKeepAlive,
-        /// End the process.
+        /// Terminate the process.
         Exit,
     }
 }
 
-/// The chart of a drain.
+/// State chart of a drain.
 pub type DrainChart = StateChart<DrainState, DrainEvent, DrainAction>;
 
 static CHART: LazyLock<DrainChart> = LazyLock::new(|| {
@@ -52,7 +53,7 @@
         .expect("charts/drain.json is checked by a test")
 });
 
-/// The drain chart, loaded once.
+/// The drain chart, loaded on first use.
 pub fn drain_chart() -> &'static DrainChart {
     &CHART
 }
