--- a/src/traffic/model_call.rs
+++ b/src/traffic/model_call.rs
@@ -1,14 +1,14 @@
-//! Reads what the daemon needs from a chat or completions request.
+//! Parses the fields of a chat or completions request that the daemon needs.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The parts of a request body that the daemon reads; the body itself is passed on unchanged.
+/// Fields of a request body that the daemon reads; the body itself is forwarded unchanged.
 #[derive(Debug, Deserialize)]
 pub struct ModelCall {
-    /// The model, which is the service's name.
+    /// Model name, which is also the service's name.
     pub model: String,
-    /// True for server-sent events.
+    /// True if the answer is to be sent as server-sent events.
     #[serde(default)]
     pub stream: bool,
     #[serde(default)]
@@ -28,17 +28,17 @@
 }
 
 impl ModelCall {
-    /// Reads a body; the error names line and column.
+    /// Parses a body; the error states line and column.
     pub fn read(body: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(body)
     }
 
-    /// Most output tokens, if the caller says.
+    /// Maximum number of output tokens, if the caller sets one.
     pub fn output_limit(&self) -> Option<u32> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 
-    /// The prompt's text, all parts in order.
+    /// Text of the prompt: all its parts, concatenated in order.
     pub fn prompt_text(&self) -> String {
         let mut text = String::new();
         self.messages.iter().for_each(|message| append_text(&message.content, &mut text));
