--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -1,4 +1,5 @@
-//! One pool at run time: the pure scheduler behind a lock, and who waits for its word.
+//! Runtime of one pool: the scheduler, which performs no I/O, behind a lock, and the requests that
+//! wait for its decisions.
 
 use crate::answer::AnswerKind;
 use crate::clock::TrafficClock;
@@ -17,19 +18,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// The scheduler's word on a waiting request.
+/// The scheduler's decision on a waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementWord {
-    /// Send it there.
+    /// Dispatch the request to an upstream.
     Go {
-        /// The upstream's number.
+        /// Index of the upstream in the pool.
         upstream: UpstreamIndex,
-        /// Its name.
+        /// Name of the upstream.
         name: UpstreamName,
-        /// Its address.
+        /// Address of the upstream.
         address: SocketAddr,
     },
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(AnswerKind),
 }
 
@@ -40,23 +41,23 @@
     actions: Vec<PoolAction>,
 }
 
-/// A pool at run time.
+/// Runtime of one pool.
 pub struct PoolRuntime {
-    /// The service.
+    /// Service of the pool.
     pub service: ServiceName,
-    /// The version of its upstreams' software; none if it takes any.
+    /// Software version of the pool's upstreams; `None` if it accepts any version.
     pub version: Option<SoftwareVersion>,
-    /// How to talk to its upstreams.
+    /// Driver for the pool's upstreams.
     pub driver: Arc<dyn UpstreamDriver>,
     clock: TrafficClock,
     event_tokens: AtomicU32,
-    /// How long an upstream reserves a place at most, in milliseconds; 0 if it reserves none.
+    /// Longest time that an upstream reserves a slot, in milliseconds; 0 without reservations.
     reservation: AtomicU64,
     core: Mutex<PoolCore>,
 }
 
 impl PoolRuntime {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     pub fn new(
         service: ServiceName,
         version: Option<SoftwareVersion>,
@@ -86,7 +87,7 @@
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the scheduler something and passes on its words.
+    /// Passes an event to the scheduler and its decisions to the waiting requests.
     pub fn tell(&self, event: PoolEvent) {
         self.tell_locked(&mut self.lock(), event);
     }
@@ -115,7 +116,7 @@
                     }
                 }
             };
-            // A waiter that has left is dropped here; its guard tells the scheduler.
+            // A failed send means that the waiter is gone; its guard notifies the scheduler.
             if let Some(waiter) = core.waiters.remove(&id) {
                 let _ = waiter.send(word);
             }
@@ -123,7 +124,7 @@
         core.actions = actions;
     }
 
-    /// Hands a request to the scheduler. The guard withdraws it when dropped.
+    /// Submits a request to the scheduler. Dropping the guard withdraws the request.
     pub fn arrive(
         self: &Arc<Self>,
         request: ArrivedRequest,
@@ -137,17 +138,17 @@
         (RequestGuard { pool: Arc::clone(self), id, is_open: true }, receiver)
     }
 
-    /// Numbers for status and metrics.
+    /// Counters for status pages and metrics.
     pub fn status(&self) -> PoolStatus {
         self.lock().scheduler.status()
     }
 
-    /// Breaks of the shedding order.
+    /// Number of violations of the shedding order.
     pub fn order_breaks(&self) -> u64 {
         self.lock().scheduler.shed_order_violations()
     }
 
-    /// The estimated cost of a request.
+    /// Estimates the cost of a request.
     pub fn cost_of(
         &self,
         organisation: OrganisationIndex,
@@ -158,12 +159,13 @@
         self.lock().scheduler.estimate_cost(organisation, tier, prompt_bytes, output_limit)
     }
 
-    /// Reads the scheduler's state.
+    /// Calls `read` with the locked scheduler.
     pub fn inspect<T>(&self, read: impl FnOnce(&PoolScheduler) -> T) -> T {
         read(&self.lock().scheduler)
     }
 
-    /// Numbers and addresses of all upstreams, and whether each could not be reached last.
+    /// Index and address of all upstreams, and whether each is suspect, that is, was unreachable at
+    /// the last attempt.
     pub fn addresses(&self) -> Vec<(UpstreamIndex, SocketAddr, bool)> {
         let core = self.lock();
         let is_suspect = |status: &UpstreamStatus| status.state() == UpstreamState::Suspect;
@@ -171,7 +173,7 @@
         statuses.map(|status| (status.index, status.source.address, is_suspect(status))).collect()
     }
 
-    /// Upstreams that could not be reached.
+    /// Upstreams that were unreachable at the last attempt.
     pub fn suspects(&self) -> Vec<(UpstreamIndex, UpstreamName, SocketAddr)> {
         let core = self.lock();
         let statuses = core.scheduler.upstreams().iter();
@@ -181,20 +183,20 @@
             .collect()
     }
 
-    /// The incarnation of an upstream; 0 if it is not known, or the upstream is not known any more.
+    /// Incarnation of an upstream; 0 if it is unknown or the upstream is no longer in the pool.
     pub fn incarnation(&self, upstream: UpstreamIndex) -> u64 {
         self.inspect(|scheduler| {
             scheduler.upstreams().get(upstream).map_or(0, |status| status.source.incarnation)
         })
     }
 
-    /// How many times slower than the pool's usual an upstream is; 1 if that is not known.
+    /// Slowdown of an upstream relative to the rest of the pool, as a factor; 1 if unknown.
     pub fn slowness(&self, upstream: UpstreamIndex) -> f64 {
         self.inspect(|scheduler| scheduler.slowness(upstream))
     }
 
-    /// True if the upstream is the one that it was when a place there was asked for, and takes work. Its own word on its
-    /// birth, if it came with the place, is taken first.
+    /// True if the upstream is still the incarnation at which a slot was requested, and accepts
+    /// work. An incarnation that the upstream reported with the slot is recorded first.
     pub fn is_still(&self, upstream: UpstreamIndex, incarnation: Option<u64>) -> bool {
         if let Some(incarnation) = incarnation {
             self.tell(PoolEvent::IncarnationReported { upstream, incarnation });
@@ -204,31 +206,32 @@
         status.is_some_and(|status| status.state() != UpstreamState::Leaving)
     }
 
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub fn event_tokens(&self) -> u32 {
         self.event_tokens.load(Ordering::Relaxed).max(1)
     }
 
-    /// How long an upstream reserves a place at most; none if it reserves none.
+    /// Longest time that an upstream reserves a slot; `None` without reservations.
     pub fn reservation(&self) -> Option<Duration> {
         let time = Duration::from_millis(self.reservation.load(Ordering::Relaxed));
         (!time.is_zero()).then_some(time)
     }
 
-    /// Takes what the service's row says of its upstreams.
+    /// Applies the settings of the service's row that concern its upstreams.
     pub fn set_manner(&self, row: &ServiceRow) {
         self.event_tokens.store(row.event_tokens, Ordering::Relaxed);
         let reservation = row.reservation_ms.unwrap_or_default().as_millis() as u64;
         self.reservation.store(reservation, Ordering::Relaxed);
     }
 
-    /// Now.
+    /// Current time.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 }
 
-/// A request in the scheduler's hands. Dropped early, it leaves the queue or gives back its place.
+/// Guard of a request submitted to the scheduler. Dropping it early withdraws the request from the
+/// queue or releases its slot.
 pub struct RequestGuard {
     pool: Arc<PoolRuntime>,
     id: RequestId,
@@ -236,7 +239,7 @@
 }
 
 impl RequestGuard {
-    /// Nothing was sent, for the reason that `outcome` names: the request waits again.
+    /// Returns the request to the queue, since nothing was sent; `outcome` is the reason.
     pub fn requeue(&mut self, outcome: DispatchOutcome) -> oneshot::Receiver<PlacementWord> {
         let (sender, receiver) = oneshot::channel();
         let mut core = self.pool.lock();
@@ -247,19 +250,19 @@
         receiver
     }
 
-    /// The upstream has a place for the request.
+    /// Reports that the upstream granted the request a slot.
     pub fn granted(&self) {
         self.pool.tell(PoolEvent::Granted(self.id));
     }
 
-    /// The dispatch ended.
+    /// Reports the end of the dispatch.
     pub fn end(&mut self, outcome: DispatchOutcome) {
         if std::mem::take(&mut self.is_open) {
             self.pool.tell(PoolEvent::Ended { id: self.id, outcome });
         }
     }
 
-    /// The scheduler refused: nothing to give back.
+    /// Disarms the guard after the scheduler refused the request, as there is nothing to release.
     pub fn refused(&mut self) {
         self.is_open = false;
     }
