--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an upstream whether it lives, and whether it is still the same one.
+//! Probes whether an upstream is alive and still the same incarnation.
 
 use super::routed::SendMetadata;
 use super::state::TrafficState;
@@ -10,32 +10,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A probe is answered within this time, or the upstream counts as silent. Longer than the second in which a connection
-/// must open, so that an upstream that cannot be reached is told from one that is busy.
+/// Time after which an unanswered upstream counts as silent. Longer than the connect timeout of one
+/// second, so that an unreachable upstream is distinguished from a busy one.
 const PROBE_TIME: Duration = Duration::from_millis(1_300);
-/// Asked for where a service names no path of its own.
+/// Path that is requested if the service has no health path.
 const DEFAULT_PATH: &str = "/";
 
-/// What came of a probe.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// The upstream answered.
     Answered,
-    /// Another incarnation has its address.
+    /// Another incarnation uses the upstream's address.
     OtherIncarnation,
     /// No connection could be opened.
     Refused,
     /// The connection ended without an answer.
     Closed,
-    /// It took the connection and said nothing in time.
+    /// The upstream accepted the connection, but did not answer in time.
     Silent,
 }
 
-/// Asks the upstream at `address` over a new connection.
+/// Probes the upstream at `address` over a new connection.
 ///
-/// What goes wrong with a connection alone as a sign of life: an upstream that crashed and started again at its
-/// address is another incarnation, which runs nothing that is meant for the old one, and a proxy before a dead upstream
-/// takes connections all the same. One would notice by requests that every daemon in turn sends there for nothing.
+/// A successful connect alone does not prove that the upstream is alive. An upstream that crashed
+/// and restarted at its address is another incarnation, which runs no request meant for the old
+/// one, and a proxy in front of a dead upstream still accepts connections. Without the check, every
+/// daemon in turn would send requests there in vain.
 pub async fn probe(
     state: &TrafficState,
     address: SocketAddr,
@@ -63,7 +64,8 @@
     }
 }
 
-/// None where no platform's manner of speaking is served, or the address makes no header.
+/// Builds the request; `None` if no platform interface is configured, or the address is not a valid
+/// header value.
 fn probe_request(
     state: &TrafficState,
     address: SocketAddr,
