--- a/src/traffic/quarantine_gate.rs
+++ b/src/traffic/quarantine_gate.rs
@@ -1,4 +1,4 @@
-//! The gate before upstreams: what may not pass, and what is learned of it.
+//! Quarantine check before a request is sent to an upstream, and the exchange of crash reports.
 
 use super::state::TrafficState;
 use crate::answer::AnswerKind;
@@ -11,7 +11,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The quarantine as all requests of this daemon share it.
+/// The daemon's crash table, shared by all requests.
 #[derive(Debug, Default)]
 pub struct QuarantineGate(Mutex<CrashTable>);
 
@@ -20,17 +20,18 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is left of a content's hold; none if it may pass.
+    /// Remaining quarantine time of a content; `None` if it may be sent.
     pub fn held_for(&self, request: RequestFingerprint, now: Moment) -> Option<Duration> {
         self.lock().held_for(request, now)
     }
 
-    /// Upstreams that ended under a content, as far as is known here and counts.
+    /// Number of upstreams known to have terminated while they ran this content, as far as they
+    /// count towards its quarantine.
     pub fn crashes(&self, request: RequestFingerprint) -> usize {
         self.lock().crashes(request)
     }
 
-    /// Refuses a request whose content is held back, with a line that says why.
+    /// Refuses a request whose content is quarantined, and logs the reason.
     pub fn check(
         &self,
         state: &TrafficState,
@@ -44,7 +45,7 @@
         Err(AnswerKind::Quarantined)
     }
 
-    /// An upstream ended under a content.
+    /// Records that an upstream terminated while it ran this content.
     pub fn note_crash(
         &self,
         state: &TrafficState,
@@ -55,28 +56,28 @@
         note_held(state, held.as_slice(), "seen here");
     }
 
-    /// A whole answer to a content came.
+    /// Records that the content received a whole answer.
     pub fn note_answer(&self, request: RequestFingerprint, now: Moment) {
         self.lock().note_answer(request, now);
     }
 
-    /// The next news for the peers.
+    /// Returns the next news for the other daemons.
     pub fn news(&self, now: Moment) -> SuspectNews {
         self.lock().news(now)
     }
 
-    /// Takes the news of a peer.
+    /// Merges the news of another daemon.
     pub fn take(&self, state: &TrafficState, from: &DaemonName, news: &SuspectNews) {
         let held = self.lock().take(from, news, state.clock.now());
         note_held(state, &held, from.as_str());
     }
 
-    /// The next report to the voters.
+    /// Returns the next report to the voters.
     pub fn reports(&self, now: Moment) -> Vec<SuspectRow> {
         self.lock().reports(now)
     }
 
-    /// Takes what the voters keep.
+    /// Merges the records kept by the voters.
     pub fn take_rows(&self, state: &TrafficState, rows: &[SuspectRow]) {
         let now = state.clock.now();
         let held = rows.iter().filter_map(|row| self.lock().take_row(row, now));
@@ -84,13 +85,13 @@
         note_held(state, &held, "voters");
     }
 
-    /// How many contents are known.
+    /// Number of known contents.
     pub fn sizes(&self, now: Moment) -> TableSizes {
         self.lock().sizes(now)
     }
 }
 
-/// One line for each content that is held back from now on.
+/// Logs each newly quarantined content.
 fn note_held(state: &TrafficState, held: &[HeldRequest], from: &str) {
     for request in held {
         warn!(state.log, "request quarantined"; "fingerprint" => request.request.to_string(), "upstreams_ended" => request.crashes,
