--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as a daemon acts on them: which version a request goes to, and what came of it.
+//! A daemon's part in roll-outs: selects the version for each request and counts the answers.
 
 use crate::policy::{Moment, UpstreamHash};
 use crate::rollout::{
@@ -13,10 +13,11 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// A daemon that has not heard the leader for this long sends nothing to a version on trial: it may have been rolled back.
+/// Time without contact to the leader after which a daemon sends nothing more to a version on
+/// trial, since that version may have been rolled back.
 const HEARD_FOR: Duration = Duration::from_millis(1_500);
 
-/// What this daemon sent to a roll-out's versions, and what came of it.
+/// This daemon's requests to the versions of a roll-out, and their answers.
 #[derive(Debug)]
 struct TrialState {
     number: u64,
@@ -26,10 +27,10 @@
 
 type TrialStates = Arc<Mutex<BTreeMap<ServiceName, TrialState>>>;
 
-/// The roll-outs that this daemon knows of.
+/// Roll-outs known to this daemon.
 #[derive(Debug)]
 pub struct RolloutGate {
-    /// None until the leader has named them.
+    /// Empty until the leader has sent the rows.
     rows: ArcSwapOption<RolloutRows>,
     heard_at: AtomicU64,
     states: TrialStates,
@@ -52,7 +53,8 @@
 }
 
 impl RolloutGate {
-    /// Takes the leader's rows; true if they differ from those known. `draw` is where new paces begin, 0.0 to 1.0.
+    /// Replaces the rows by the leader's; returns true if they changed. `draw` is the initial
+    /// position of new paces, 0.0 to 1.0.
     pub fn take(&self, rows: RolloutRows, draw: f64) -> bool {
         if self.rows.load().as_deref() == Some(&rows) {
             return false;
@@ -72,17 +74,17 @@
         true
     }
 
-    /// The leader was heard at `now`.
+    /// Records contact with the leader at `now`.
     pub fn confirm(&self, now: Moment) {
         self.heard_at.store(now.0, Ordering::Release);
     }
 
-    /// Digest of the rows that are known; 0 if none were received.
+    /// Digest of the known rows; 0 if none were received.
     pub fn digest(&self) -> u64 {
         self.rows.load().as_deref().map_or(0, RolloutRows::digest)
     }
 
-    /// The newest roll-out of a service.
+    /// Latest roll-out of a service.
     pub fn row(&self, service: &ServiceName) -> Option<RolloutRow> {
         let rows = self.rows.load();
         rows.as_ref()?.0.iter().find(|row| row.service == *service).cloned()
@@ -92,7 +94,8 @@
         now.since(Moment(self.heard_at.load(Ordering::Acquire))) < HEARD_FOR
     }
 
-    /// The request's part of the share of a version on trial, if one is due. `has_new`: that version has upstreams.
+    /// Returns a ticket if the next request is due to go to the version on trial. `has_new` is true
+    /// if that version has upstreams.
     pub fn ticket(&self, row: &RolloutRow, has_new: bool, now: Moment) -> Option<TrialTicket> {
         let is_trial = matches!(row.stage, RolloutStage::Trial | RolloutStage::Expanding);
         if !is_trial || !has_new || !self.is_heard(now) {
@@ -107,13 +110,15 @@
         })
     }
 
-    /// The version that requests without a ticket go to; `live` tells whether the old and the new one have upstreams.
+    /// Arm for requests without a ticket. `live` states whether the old and the new version have
+    /// live upstreams.
     pub fn arm_in_use(&self, row: &RolloutRow, live: (bool, bool), now: Moment) -> VersionArm {
         match row.stage {
             RolloutStage::Trial | RolloutStage::Expanding | RolloutStage::RolledBack => {
                 VersionArm::Old
             }
-            // It may have been rolled back since: what the list still names decides.
+            // Without contact to the leader it may have been rolled back: the old version is used
+            // while its upstreams are listed.
             RolloutStage::Draining if !self.is_heard(now) && live.0 => VersionArm::Old,
             RolloutStage::Draining | RolloutStage::Completed if live.1 => VersionArm::New,
             RolloutStage::Draining | RolloutStage::Completed if live.0 => VersionArm::Old,
@@ -121,7 +126,8 @@
         }
     }
 
-    /// True if a request that was meant for `arm` may still be sent there; `live` as for [`RolloutGate::arm_in_use`].
+    /// True if a request assigned to `arm` may still be sent there. `live` has the same meaning as
+    /// in [`RolloutGate::arm_in_use`].
     pub fn allows(
         &self,
         row: &RolloutRow,
@@ -134,17 +140,17 @@
         may_try || arm == self.arm_in_use(row, live, now)
     }
 
-    /// Wakes the requests that wait: the roll-outs have changed.
+    /// Wakes the waiting requests after a change of the roll-outs.
     pub fn tell_news(&self) {
         self.news.send_replace(());
     }
 
-    /// Hears of changes from now on.
+    /// Subscribes to changes from now on.
     pub fn news(&self) -> watch::Receiver<()> {
         self.news.subscribe()
     }
 
-    /// A request was sent to the old version of a service.
+    /// Records that a request was sent to the old version of a service.
     pub fn note_sent_to_old(&self, service: &ServiceName) {
         let Some(row) = self.row(service).filter(|row| !row.stage.is_final()) else { return };
         if row.share() < 1.0
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Counts what came of a request.
+    /// Counts the answer to a request.
     pub fn note_answer(
         &self,
         service: &ServiceName,
@@ -171,12 +177,14 @@
         }
     }
 
-    /// The reports for the leader; `on_old` counts the requests that wait for or run on a roll-out's old version.
+    /// Reports for the leader. `on_old` returns the number of requests that wait for or run on the
+    /// old version of a roll-out.
     pub fn reports(&self, on_old: impl Fn(&RolloutRow) -> u32) -> Vec<RolloutReport> {
         let rows = self.rows.load();
         let rows = rows.iter().flat_map(|rows| &rows.0).filter(|row| !row.stage.is_final());
         let report = |row: &RolloutRow| {
-            // Taken before the counts: a request that ends meanwhile is counted twice rather than not at all.
+            // Read before the counts, so that a request that ends in between is counted twice
+            // rather than not at all.
             let on_old = on_old(row);
             let states = lock(&self.states);
             let state = states.get(&row.service)?;
@@ -187,7 +195,8 @@
     }
 }
 
-/// A request's part of a trial's share. Dropped unsent, the part goes to a later request.
+/// Assigns a request to the share of a version on trial. If it is dropped unsent, a later request
+/// takes its part of the share.
 #[derive(Debug)]
 pub struct TrialTicket {
     states: TrialStates,
@@ -196,7 +205,7 @@
 }
 
 impl TrialTicket {
-    /// The request was sent to the version on trial.
+    /// Records that the request was sent to the version on trial.
     pub fn sent(&self) {
         self.is_sent.store(true, Ordering::Relaxed);
     }
