--- a/src/traffic/sink.rs
+++ b/src/traffic/sink.rs
@@ -1,4 +1,5 @@
-//! The caller's end of an answer: one head, then a body that ends well or is visibly cut.
+//! Writes an answer to its caller: one head, then a body that either completes or is visibly
+//! aborted.
 
 use crate::answer::{AnswerKind, RefusalAnswer};
 use crate::claim::RecordedAnswer;
@@ -12,20 +13,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// Pieces buffered between the upstream and a slow caller.
+/// Number of pieces buffered between the upstream and a slow caller.
 const BUFFERED_PIECES: usize = 64;
-/// An answer that is not a stream is held back whole up to this size, so that a cut upstream can
-/// still become a clear refusal.
+/// An answer that is not a stream is buffered up to this many bytes before its head is sent, so
+/// that an upstream that breaks off can still be reported as a refusal.
 const HELD_BYTES: usize = 1 << 20;
 
-/// Bytes of an answer kept for resends; a larger one is kept as an outcome without a body.
+/// Size in bytes up to which an answer is recorded for retries; a larger one is recorded without
+/// its body.
 const RECORD_BYTES: usize = 16 << 10;
 
-/// The caller has gone.
+/// The caller closed its connection.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// The caller's end of one answer.
+/// Writer of one answer to its caller.
 pub struct AnswerSink {
     request_id: Arc<str>,
     head_sender: Option<oneshot::Sender<Response<Body>>>,
@@ -39,7 +41,8 @@
 }
 
 impl AnswerSink {
-    /// A sink and the receiver of its response. With `streams`, pieces pass at once.
+    /// Creates a sink and the receiver of its response. With `streams`, pieces are forwarded at
+    /// once.
     pub fn new(request_id: Arc<str>, streams: bool) -> (Self, oneshot::Receiver<Response<Body>>) {
         let (sender, receiver) = oneshot::channel();
         let sink = AnswerSink {
@@ -56,7 +59,7 @@
         (sink, receiver)
     }
 
-    /// Resolves when the caller has gone.
+    /// Completes when the caller closes its connection.
     pub async fn closed(&mut self) {
         match (&mut self.head_sender, &self.body_sender) {
             (Some(head), _) => head.closed().await,
@@ -65,12 +68,12 @@
         }
     }
 
-    /// True once the caller has seen any part of an answer.
+    /// True once any part of an answer was sent to the caller.
     pub fn has_begun(&self) -> bool {
         self.head_sender.is_none()
     }
 
-    /// Takes the upstream's head; it is passed on with the first piece.
+    /// Sets the upstream's head, which is sent with the first piece. Later heads are ignored.
     pub fn set_head(&mut self, head: AnswerHead) {
         if self.head.is_none() {
             if let Some(record) = &mut self.record {
@@ -83,12 +86,12 @@
         }
     }
 
-    /// Keeps the answer for resends, as far as it is small and text.
+    /// Starts recording the answer for retries; its body is kept only if it is small and text.
     pub fn keep_record(&mut self) {
         self.record = Some(RecordedAnswer { status: 0, content_type: String::new(), body: None });
     }
 
-    /// The answer that was kept; its body is absent if it was too large or not text.
+    /// Returns the recorded answer; the body is absent if it was streamed, too large or not text.
     pub fn take_record(&mut self) -> Option<RecordedAnswer> {
         let mut record = self.record.take()?;
         let bytes = std::mem::take(&mut self.recorded);
@@ -100,7 +103,7 @@
         Some(record)
     }
 
-    /// Passes a piece on, waiting for a slow caller.
+    /// Forwards a piece; waits while the caller is slow.
     pub async fn relay(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
         if self.record.is_some() && self.recorded.len() <= RECORD_BYTES {
             self.recorded.extend_from_slice(&bytes);
@@ -147,14 +150,14 @@
         response
     }
 
-    /// Gives the whole answer at once, in place of an upstream's.
+    /// Sends a complete response in place of an upstream's answer.
     pub fn answer(mut self, response: Response<Body>) {
         if let Some(sender) = self.head_sender.take() {
             let _ = sender.send(response);
         }
     }
 
-    /// Ends the answer well.
+    /// Completes the answer.
     pub async fn finish(mut self, end_mark: Bytes) -> Result<(), CallerGone> {
         if self.streams && self.body_sender.is_none() {
             self.begin_body().await?;
@@ -169,8 +172,8 @@
         head_sender.send(response).map_err(|_| CallerGone)
     }
 
-    /// Says that there is no whole answer: a refusal if nothing was passed on yet, else a problem event
-    /// and a cut connection. The body is never ended as if it were complete.
+    /// Reports that there is no whole answer: as a refusal if nothing was sent yet, otherwise as an
+    /// error event, in a stream, and an aborted connection. The body must never look complete.
     pub async fn fail(mut self, refusal: &RefusalAnswer) {
         if let Some(sender) = self.head_sender.take() {
             let _ = sender.send(refusal.response(&self.request_id));
