--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -1,4 +1,4 @@
-//! What all requests of one daemon share: the snapshot, the pools, the limits, the clock.
+//! State shared by all requests of one daemon: table snapshot, pools, limits and clock.
 
 mod versions;
 
@@ -35,30 +35,30 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// One table as traffic sees it; replaced whole.
+/// The table in force, as used by the data plane; replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct TableSnapshot {
-    /// The table's version; 0 before any table was confirmed.
+    /// Version of the table; 0 before any table was confirmed.
     pub version: u64,
-    /// The index over it.
+    /// Index over the table.
     pub access: AccessIndex,
 }
 
-/// A platform's manner of speaking: how its tables are read, and its headers.
+/// Interface of a platform: its table format and its headers.
 pub struct PlatformManner {
-    /// Reads tables.
+    /// Parses the platform's tables.
     pub reader: Arc<dyn TableReader>,
-    /// Reads and writes headers.
+    /// Reads and writes the platform's headers.
     pub dialect: Arc<dyn CallDialect>,
 }
 
-/// Shared state of one daemon's traffic.
+/// Shared state of one daemon's data plane.
 pub struct TrafficState {
-    /// The daemon's name.
+    /// Name of the daemon.
     pub daemon: DaemonName,
-    /// Logs.
+    /// Logger.
     pub log: Logger,
-    /// Time.
+    /// Clock of the data plane.
     pub clock: TrafficClock,
     snapshot: ArcSwap<TableSnapshot>,
     pools: ArcSwap<HashMap<ServiceName, Arc<PoolRuntime>>>,
@@ -66,35 +66,35 @@
     limits: Mutex<LimitTable>,
     platform: ArcSwap<PlatformList>,
     connections: Arc<ConnectionPool>,
-    /// The table counts as current until then, in microseconds of the clock.
+    /// End of the table's lease, in microseconds of the clock.
     current_until: AtomicU64,
-    /// True if requests are admitted under the last known table when it cannot be confirmed.
+    /// True if requests are admitted under the last known table after its lease has expired.
     serves_cut_off: AtomicBool,
-    /// The platform's manner of speaking, where one is served.
+    /// Interface of the platform, if one is served.
     manner: OnceLock<PlatformManner>,
     repeats: Mutex<HashMap<ServiceName, RetryBudget>>,
     repeat_bound: OnceLock<RetryBound>,
     mechanisms: OnceLock<MechanismSet>,
-    /// The time that callers have, by route.
+    /// Detectors of retries by the callers' remaining time, by route.
     caller_times: Mutex<HashMap<String, RetryDetector>>,
     /// Sizes of recent requests, by route.
     route_sizes: Mutex<HashMap<String, RouteSizes>>,
     is_ready: AtomicBool,
     is_drained: AtomicBool,
     claims: OnceLock<ClaimKeeper>,
-    /// Told when a table is put in force.
+    /// Notified when a table takes effect.
     pub table_news: Notify,
-    /// True once a list of upstreams was received, or if none is read.
+    /// True once a list of upstreams was received, or if none is read at all.
     has_list: watch::Sender<bool>,
-    /// The other daemons that serve callers.
+    /// Exchange with the other daemons that serve callers.
     pub fleet: FleetExchange,
-    /// Requests under which upstreams end.
+    /// Quarantine of requests that crashed upstreams.
     pub quarantine: QuarantineGate,
     /// Roll-outs of upstreams' software.
     pub rollouts: RolloutGate,
-    /// Looks at upstreams whose connections broke.
+    /// Checks in progress of upstreams whose connections broke.
     pub crash_checks: CrashChecks,
-    /// Told when the leader should hear of a floor at once.
+    /// Notified when a shed floor must be reported to the leader at once.
     pub floor_news: Notify,
     in_progress: AtomicUsize,
     next_request: AtomicU64,
@@ -103,8 +103,8 @@
 }
 
 impl TrafficState {
-    /// State with no table: nothing is admitted until [`TrafficState::apply_table`] and
-    /// [`TrafficState::set_current_until`].
+    /// Creates the state without a table: nothing is admitted until [`TrafficState::apply_table`]
+    /// and [`TrafficState::set_current_until`] were called.
     pub fn new(daemon: DaemonName, log: Logger, seed: u64) -> Arc<Self> {
         let rng = ChaCha8Rng::seed_from_u64(seed);
 
@@ -143,12 +143,12 @@
         })
     }
 
-    /// The present snapshot.
+    /// Current snapshot of the table.
     pub fn snapshot(&self) -> Arc<TableSnapshot> {
         self.snapshot.load_full()
     }
 
-    /// The pool of a service, that of the version in use where it has been rolled out.
+    /// Pool of a service; if the service has a roll-out, the pool of the version in use.
     pub fn pool(&self, service: &ServiceName) -> Option<Arc<PoolRuntime>> {
         self.choose_pool(service, false).map(|chosen| chosen.pool)
     }
@@ -158,12 +158,12 @@
         self.pools.load_full()
     }
 
-    /// The organisations' limits.
+    /// Locks the organisations' limits.
     pub fn limits(&self) -> std::sync::MutexGuard<'_, LimitTable> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a table in force. Versions only rise: an older one is passed over.
+    /// Puts a table in force, unless its version is not newer than that of the current one.
     pub fn apply_table(&self, versioned: &VersionedTable) {
         let mut numbers = self.numbers.lock().unwrap_or_else(PoisonError::into_inner);
         if versioned.version <= self.snapshot.load().version {
@@ -178,7 +178,7 @@
         info!(self.log, "table in force"; "version" => versioned.version, "hash" => &versioned.hash);
     }
 
-    /// The table itself, read from its document where there is one.
+    /// Returns the table, parsed from the platform's document if there is one.
     fn read_table<'a>(&self, versioned: &'a VersionedTable) -> Option<Cow<'a, OperatorTable>> {
         let Some(document) = &versioned.document else {
             return Some(Cow::Borrowed(&versioned.table));
@@ -187,54 +187,56 @@
         match reader.map(|reader| reader.read(document)) {
             Some(Ok((_, table))) => Some(Cow::Owned(table)),
             Some(Err(faults)) => {
-                error!(self.log, "table not read; the one before stays in force"; "version" => versioned.version, "faults" => faults.to_string());
+                error!(self.log, "cannot parse table; keeping the previous one"; "version" => versioned.version, "faults" => faults.to_string());
                 None
             }
             None => {
-                error!(self.log, "table in another format, and no platform is set"; "version" => versioned.version);
+                error!(self.log, "table is in a platform's format, but no platform is configured"; "version" => versioned.version);
                 None
             }
         }
     }
 
-    /// Serves a platform's interface; only the first call counts.
+    /// Sets the platform interface to serve; only the first call has an effect.
     pub fn set_manner(&self, manner: PlatformManner) {
         let _ = self.manner.set(manner);
     }
 
-    /// The platform's manner of speaking, if one is served.
+    /// Interface of the platform, if one is served.
     pub fn manner(&self) -> Option<&PlatformManner> {
         self.manner.get()
     }
 
-    /// Admits under the last known table from now on, if the lease runs out.
+    /// Allows requests to be admitted under the last known table after its lease has expired.
     pub fn serve_cut_off(&self) {
         self.serves_cut_off.store(true, Ordering::Release);
     }
 
-    /// True if requests are admitted under the last known table when the lease runs out.
+    /// True if requests are admitted under the last known table after its lease has expired.
     pub fn may_serve_cut_off(&self) -> bool {
         self.serves_cut_off.load(Ordering::Acquire)
     }
 
-    /// Where a service's upstreams are asked whether they are sound, if it says.
+    /// Path of the health check of a service's upstreams, if the service has one.
     pub fn health_path(&self, service: &ServiceName) -> Option<String> {
         let snapshot = self.snapshot();
         let row = snapshot.access.table().service(service.as_str());
         row.and_then(|row| row.health_path.clone())
     }
 
-    /// The connections to upstreams.
+    /// Connections to upstreams.
     pub fn connections(&self) -> &Arc<ConnectionPool> {
         &self.connections
     }
 
-    /// Sets the operators' bound on repeats; only the first call counts, before any request.
+    /// Sets the operators' bound on retries, before the first request; only the first call has an
+    /// effect.
     pub fn set_repeat_bound(&self, bound: RetryBound) {
         let _ = self.repeat_bound.set(bound);
     }
 
-    /// Switches mechanisms off; only the first call counts, before any table is in force.
+    /// Sets the enabled mechanisms, before any table is in force; only the first call has an
+    /// effect.
     pub fn set_mechanisms(&self, mechanisms: MechanismSet) {
         self.limits().set_mechanisms(mechanisms.clone());
         let _ = self.mechanisms.set(mechanisms);
@@ -244,7 +246,7 @@
         self.mechanisms.get().cloned().unwrap_or_default()
     }
 
-    /// True if a caller of `route` that has `time` left has been here before, as far as that can be told.
+    /// True if a request to `route` whose caller has `time` left appears to be a retry.
     pub fn has_returned(&self, route: &str, time: Duration) -> bool {
         if !self.mechanisms().has(Mechanism::KnownReturns) {
             return false;
@@ -256,12 +258,14 @@
         times.entry(route.to_owned()).or_default().is_retry(time)
     }
 
-    /// The tenth by size of a request among the recent ones of its route; none while too few are known.
+    /// Decile of a request's size among the recent requests of its route; `None` while too few are
+    /// known.
     pub fn size_tenth(&self, route: &str, sizes: RequestSizes) -> Option<SizeDecile> {
         self.with_route_sizes(route, |known| known.decile(sizes))
     }
 
-    /// Takes what a request of a route costs of its organisation's limit; what one usually costs.
+    /// Records the cost of a request against its organisation's limit, and returns the usual cost
+    /// of the route's requests.
     pub fn usual_cost(&self, route: &str, cost: u32) -> u32 {
         self.with_route_sizes(route, |known| known.usual_cost(cost))
     }
@@ -274,7 +278,7 @@
         take(known.entry(route.to_owned()).or_default())
     }
 
-    /// The budget for second sends to a service.
+    /// Calls `change` with the budget for retries to a service.
     pub fn with_repeats<T>(
         &self,
         service: &ServiceName,
@@ -326,17 +330,17 @@
         self.update_sources(access.table());
     }
 
-    /// The platform's list as it is in force.
+    /// Current platform list.
     pub fn platform(&self) -> Arc<PlatformList> {
         self.platform.load_full()
     }
 
-    /// A list of upstreams is read from now on, and none is known yet.
+    /// Declares that a list of upstreams will be read, and that none was received yet.
     pub fn expect_list(&self) {
         self.has_list.send_replace(false);
     }
 
-    /// Waits for the first list of upstreams, `most` at most.
+    /// Waits for the first list of upstreams, for at most `most`.
     pub async fn list_soon(&self, most: Duration) {
         if *self.has_list.borrow() {
             return;
@@ -345,7 +349,7 @@
         let _ = tokio::time::timeout(most, news.wait_for(|has_list| *has_list)).await;
     }
 
-    /// Takes a new platform list.
+    /// Applies a new platform list.
     pub fn apply_platform(&self, list: PlatformList) {
         self.platform.store(Arc::new(list));
         self.update_sources(self.snapshot.load().access.table());
@@ -375,23 +379,23 @@
         self.rng.lock().unwrap_or_else(PoisonError::into_inner).next_u64()
     }
 
-    /// A number in 0.0..1.0 for jitter.
+    /// Random number in 0.0..1.0 for jitter.
     pub fn jitter(&self) -> f64 {
         (self.seed() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The daemon's boot number.
+    /// Boot number of the daemon.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// A new request number and the id that goes to upstreams and callers.
+    /// Returns a new request number and the request id sent to upstreams and callers.
     pub fn new_request_id(&self) -> (u64, Arc<str>) {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         (number, Arc::from(format!("{}-{:x}-{number}", self.daemon, self.boot)))
     }
 
-    /// The table counts as current until `until`.
+    /// Sets the end of the table's lease.
     pub fn set_current_until(&self, until: Moment) {
         self.current_until.store(until.0, Ordering::Release);
     }
@@ -403,17 +407,17 @@
         goes_on || self.clock.now().0 < self.current_until.load(Ordering::Acquire)
     }
 
-    /// True while the balancer should send callers here.
+    /// True while the load balancer should send requests to this daemon.
     pub fn is_ready(&self) -> bool {
         self.is_ready.load(Ordering::Acquire) && self.is_current()
     }
 
-    /// Turns readiness off for good.
+    /// Turns readiness off permanently.
     pub fn turn_unready(&self) {
         self.is_ready.store(false, Ordering::Release);
     }
 
-    /// The drain is complete: nothing is admitted or waits here any more.
+    /// Marks the drain as complete: no request is admitted or waiting any more.
     pub fn set_drained(&self) {
         self.is_drained.store(true, Ordering::Release);
     }
@@ -423,29 +427,29 @@
         self.is_drained.load(Ordering::Acquire)
     }
 
-    /// Gives the traffic its way to claims; only the first call counts.
+    /// Sets the access to claims; only the first call has an effect.
     pub fn set_claims(&self, keeper: ClaimKeeper) {
         let _ = self.claims.set(keeper);
     }
 
-    /// The way to claims.
+    /// Access to claims, if set.
     pub fn claims(&self) -> Option<&ClaimKeeper> {
         self.claims.get()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Counts a request in progress until the guard drops.
+    /// Counts a request as in progress until the guard is dropped.
     pub fn begin(self: &Arc<Self>) -> ProgressGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         ProgressGuard(Arc::clone(self))
     }
 }
 
-/// A request in progress.
+/// Counts a request as in progress until dropped.
 pub struct ProgressGuard(Arc<TrafficState>);
 
 impl Drop for ProgressGuard {
