--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -1,4 +1,4 @@
-//! Which of a service's versions a request goes to, and which upstreams serve it.
+//! Selects the version of a service for each request, and the upstreams of each version.
 
 use super::TrafficState;
 use crate::policy::{UpstreamHash, UpstreamSource};
@@ -10,18 +10,18 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, PoisonError};
 
-/// The pool for a request.
+/// Pool selected for a request.
 pub struct ChosenPool {
-    /// The pool.
+    /// Selected pool.
     pub pool: Arc<PoolRuntime>,
-    /// The version that it stands for in the service's roll-out.
+    /// Arm of the service's roll-out that the pool belongs to.
     pub arm: VersionArm,
-    /// Where the pool's version is on trial: the request's part of its share.
+    /// Set if the request counts towards the share of a version on trial.
     pub ticket: Option<TrialTicket>,
 }
 
 impl TrafficState {
-    /// The pool that holds the upstreams of one version of a service.
+    /// Pool with the upstreams of one version of a service.
     pub fn version_pool(
         &self,
         service: &ServiceName,
@@ -30,7 +30,8 @@
         self.pools.load().get(&version_pool(service, version)).cloned()
     }
 
-    /// The pool for a request of a service; `may_try` if the request may go to a version on trial.
+    /// Selects the pool for a request to a service. `may_try` is true if the request may go to a
+    /// version on trial.
     pub fn choose_pool(&self, service: &ServiceName, may_try: bool) -> Option<ChosenPool> {
         let Some(row) = self.rollouts.row(service) else {
             let pool = self.version_pool(service, None)?;
@@ -46,7 +47,7 @@
         Some(ChosenPool { pool, arm, ticket })
     }
 
-    /// Whether the old and the new version of a roll-out have upstreams.
+    /// Whether the old and the new version of a roll-out have live upstreams.
     fn live_versions(&self, row: &RolloutRow) -> (bool, bool) {
         let is_live = |arm| {
             let pool = self.version_pool(&row.service, row.version_of(arm));
@@ -55,13 +56,13 @@
         (is_live(VersionArm::Old), is_live(VersionArm::New))
     }
 
-    /// True if a request that was meant for an arm of its service's roll-out may still be sent there.
+    /// True if a request assigned to an arm of its service's roll-out may still be sent there.
     pub fn may_use(&self, service: &ServiceName, arm: VersionArm) -> bool {
         let Some(row) = self.rollouts.row(service) else { return true };
         self.rollouts.allows(&row, arm, self.live_versions(&row), self.clock.now())
     }
 
-    /// What this daemon saw of roll-outs, for the leader.
+    /// Reports on this daemon's part in roll-outs, for the leader.
     pub fn rollout_reports(&self) -> Vec<RolloutReport> {
         self.rollouts.reports(|row| {
             let pool = self.version_pool(&row.service, row.version_of(VersionArm::Old));
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Takes the roll-outs that the leader named.
+    /// Applies the roll-outs received from the leader.
     pub fn apply_rollouts(&self, rows: RolloutRows) {
         if !self.rollouts.take(rows, self.jitter()) {
             return;
@@ -80,7 +81,8 @@
         self.rollouts.tell_news();
     }
 
-    /// A service's row for each of its pools: one, or one for each version of a roll-out.
+    /// Versions of a service's pools: `None`, which accepts any version, and the versions of a
+    /// roll-out. Each is paired with the service's row.
     pub(super) fn versions_of<'a>(
         &self,
         row: &'a ServiceRow,
@@ -94,7 +96,7 @@
     }
 }
 
-/// The upstreams of a pool while its service has several versions.
+/// Upstreams of a pool whose service has a roll-out.
 pub(super) fn version_sources(
     row: &RolloutRow,
     platform: &PlatformList,
@@ -109,7 +111,7 @@
     if arm == VersionArm::Old {
         return platform.only(service, belongs).merged(table, service);
     }
-    // What the table itself names has no version.
+    // Upstreams listed in the table have no version, so only the platform list is used.
     let mut sources = platform.only(service, belongs).merged(&OperatorTable::default(), service);
     let hash =
         |source: &UpstreamSource| UpstreamHash::of(service, &source.name, source.incarnation);
