--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -17,7 +17,7 @@
     DaemonName, KeyDigest, LimitChoice, LimitUnit, OrganisationRow, PlacementChoice, QueueChoice,
     VersionedTable, check_document,
 };
-use tarragonknot::traffic::{AccessIndex, OrganisationNumbers};
+use tarragonknot::traffic::{AccessIndex, OrganisationIndices};
 
 const SHARES: [TierShare; 3] = [
     TierShare { rank: TierRank(0), weight: 6 },
@@ -266,7 +266,7 @@
             bencher.iter(|| {
                 let versioned: VersionedTable =
                     serde_json::from_str(black_box(&text)).expect("its own text");
-                AccessIndex::new(&versioned.table, &mut OrganisationNumbers::default())
+                AccessIndex::new(&versioned.table, &mut OrganisationIndices::default())
             });
         });
     }
--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -31,9 +31,9 @@
 /// Indices assigned to organisation names; kept across table edits, so that limits and queues keep
 /// their state.
 #[derive(Clone, Debug, Default)]
-pub struct OrganisationNumbers(HashMap<OrganisationName, OrganisationIndex>);
+pub struct OrganisationIndices(HashMap<OrganisationName, OrganisationIndex>);
 
-impl OrganisationNumbers {
+impl OrganisationIndices {
     fn number(&mut self, name: &OrganisationName) -> OrganisationIndex {
         let next = OrganisationIndex(self.0.len() as u32);
         *self.0.entry(name.clone()).or_insert(next)
@@ -55,7 +55,7 @@
 
 impl AccessIndex {
     /// Builds the index of `table`; organisations not seen before are assigned new indices.
-    pub fn new(table: &OperatorTable, numbers: &mut OrganisationNumbers) -> Self {
+    pub fn new(table: &OperatorTable, numbers: &mut OrganisationIndices) -> Self {
         let mut index = AccessIndex {
             services: table
                 .services
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -17,7 +17,7 @@
 mod sink;
 mod state;
 
-pub use access::{AccessIndex, CallerIdentity, OrganisationNumbers};
+pub use access::{AccessIndex, CallerIdentity, OrganisationIndices};
 pub use drain::{DrainAction, DrainEvent, DrainState, drain_chart};
 pub use fleet_exchange::{
     DaemonMessage, DropCause, FleetExchange, decode_message, encode_message, start_exchange,
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -5,7 +5,7 @@
 pub use versions::ChosenPool;
 use versions::version_sources;
 
-use super::access::{AccessIndex, OrganisationNumbers};
+use super::access::{AccessIndex, OrganisationIndices};
 use super::crash_check::CrashChecks;
 use super::fleet_exchange::FleetExchange;
 use super::pool_runtime::PoolRuntime;
@@ -62,7 +62,7 @@
     pub clock: TrafficClock,
     snapshot: ArcSwap<TableSnapshot>,
     pools: ArcSwap<HashMap<ServiceName, Arc<PoolRuntime>>>,
-    numbers: Mutex<OrganisationNumbers>,
+    numbers: Mutex<OrganisationIndices>,
     limits: Mutex<LimitTable>,
     platform: ArcSwap<PlatformList>,
     connections: Arc<ConnectionPool>,
