--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -142,7 +142,9 @@
 
     /// Organisations with a token rate limit: the hash that identifies them between daemons, and
     /// their index in this daemon.
-    pub fn limited_hashes(&self) -> impl Iterator<Item = (OrganisationHash, OrganisationIndex)> {
+    pub fn token_limited_hashes(
+        &self,
+    ) -> impl Iterator<Item = (OrganisationHash, OrganisationIndex)> {
         self.limited.iter().map(|(hash, index)| (*hash, *index))
     }
 
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -253,7 +253,7 @@
     let (waiting, group_delay) = (fleet.others_waiting(now), fleet.group_delay(now));
     let share = fleet.limit_share();
     let forecast = fleet.forecasts(now);
-    let limited = snapshot.access.limited_hashes();
+    let limited = snapshot.access.token_limited_hashes();
     let forecasts: Vec<_> = limited.map(|(hash, index)| (index, forecast(hash))).collect();
     drop(forecast);
     drop(fleet);
@@ -362,7 +362,7 @@
     let snapshot = state.snapshot();
     let now = state.clock.now();
     let limits = state.limits();
-    let rows = snapshot.access.limited_hashes().map(|(organisation, index)| FlowRow {
+    let rows = snapshot.access.token_limited_hashes().map(|(organisation, index)| FlowRow {
         organisation,
         taken: limits.admitted_tokens(index),
         asked: limits.requested_tokens(index),
@@ -374,7 +374,7 @@
 fn limit_rates(state: &TrafficState) -> Vec<(OrganisationHash, f64)> {
     let snapshot = state.snapshot();
     let limits = state.limits();
-    let limited = snapshot.access.limited_hashes();
+    let limited = snapshot.access.token_limited_hashes();
     limited.filter_map(|(hash, index)| Some((hash, limits.rate(index)?))).collect()
 }
 
