--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -149,7 +149,10 @@
     }
 
     /// Index of the organisation with this hash, if it has a token rate limit.
-    pub fn limited_by_hash(&self, organisation: OrganisationHash) -> Option<OrganisationIndex> {
+    pub fn token_limited_by_hash(
+        &self,
+        organisation: OrganisationHash,
+    ) -> Option<OrganisationIndex> {
         self.limited.get(&organisation).copied()
     }
 
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -225,7 +225,7 @@
     let now = state.clock.now();
     let mut limits = state.limits();
     for (organisation, tokens) in charges {
-        if let Some(index) = snapshot.access.limited_by_hash(*organisation) {
+        if let Some(index) = snapshot.access.token_limited_by_hash(*organisation) {
             limits.charge(index, *tokens, now);
         }
     }
@@ -237,7 +237,7 @@
     let now = state.clock.now();
     let mut limits = state.limits();
     for row in &estimates.rows {
-        if let Some(index) = snapshot.access.limited_by_hash(row.organisation) {
+        if let Some(index) = snapshot.access.token_limited_by_hash(row.organisation) {
             let refill = Duration::from_millis(u64::from(row.refill_ms));
             limits.converge(index, refill, estimates.senders, now);
         }
--- a/tests/test_routed.rs
+++ b/tests/test_routed.rs
@@ -341,7 +341,7 @@
     assert_eq!(engine_has_it, 1);
     let snapshot = fleet.state.snapshot();
     let organisation = OrganisationHash::of(&"agents".into());
-    let index = snapshot.access.limited_by_hash(organisation).expect("a limit");
+    let index = snapshot.access.token_limited_by_hash(organisation).expect("a limit");
     assert_eq!(fleet.state.limits().admitted_tokens(index), 1);
 }
 
