--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -163,7 +163,7 @@
 
     /// Units that a request is charged against its organisation's limit. If the limit counts
     /// tokens, this is `tokens` or, without it, the organisation's fixed number.
-    pub fn counted(&self, caller: &CallerIdentity, tokens: Option<u32>) -> u32 {
+    pub fn charged_units(&self, caller: &CallerIdentity, tokens: Option<u32>) -> u32 {
         match caller.limit_unit {
             LimitUnit::Requests => 1,
             LimitUnit::Tokens => tokens.or(caller.uncounted_tokens).unwrap_or(1),
--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -97,7 +97,7 @@
     let limit = match &matched.caller {
         Some(caller) => {
             let snapshot = state.snapshot();
-            let cost = snapshot.access.counted(caller, tokens);
+            let cost = snapshot.access.charged_units(caller, tokens);
             let rank = snapshot.access.route_rank(&matched.route);
             let now = state.clock.now();
             let usual_cost = state.usual_cost(&matched.route.route, cost);
