--- a/src/traffic/claim_guard.rs
+++ b/src/traffic/claim_guard.rs
@@ -55,7 +55,7 @@
 
 /// Acquires the claim for a request. The error contains the reply that determines the answer, or
 /// `None` if the claim could not be recorded.
-pub async fn take_claim(
+pub async fn acquire_claim(
     state: &Arc<TrafficState>,
     caller: &CallerIdentity,
     key: &str,
--- a/src/traffic/frontend/admitted.rs
+++ b/src/traffic/frontend/admitted.rs
@@ -12,7 +12,7 @@
 use crate::report::{RequestRecord, record_request};
 use crate::table::{ServiceKind, ServiceRow, TierName};
 use crate::traffic::access::CallerIdentity;
-use crate::traffic::claim_guard::{ClaimGuard, claim_answer, take_claim};
+use crate::traffic::claim_guard::{ClaimGuard, acquire_claim, claim_answer};
 use crate::traffic::dispatch::{ExchangeCall, ExchangeEnd, run_exchange};
 use crate::traffic::sink::AnswerSink;
 use crate::traffic::state::TrafficState;
@@ -115,7 +115,7 @@
     let key = admitted.claim_key.take()?;
     let call = &admitted.exchange.call;
     let id = Arc::clone(&call.id);
-    match take_claim(state, &admitted.caller, &key, call, admitted.service.claim_life_ms).await {
+    match acquire_claim(state, &admitted.caller, &key, call, admitted.service.claim_life_ms).await {
         Ok(guard) => {
             admitted.exchange.records = true;
             admitted.claim = Some(guard);
