--- a/src/traffic/claim_guard.rs
+++ b/src/traffic/claim_guard.rs
@@ -89,7 +89,7 @@
 }
 
 /// Builds the answer to a request whose claim was not granted.
-pub fn claim_answer(reply: Option<ClaimReply>, id: &str, jitter: f64) -> Response<Body> {
+pub fn claim_response(reply: Option<ClaimReply>, id: &str, jitter: f64) -> Response<Body> {
     let kind = match reply {
         Some(ClaimReply::Answered(answer)) => match replay(answer, id) {
             Some(response) => return response,
--- a/src/traffic/frontend/admitted.rs
+++ b/src/traffic/frontend/admitted.rs
@@ -12,7 +12,7 @@
 use crate::report::{RequestRecord, record_request};
 use crate::table::{ServiceKind, ServiceRow, TierName};
 use crate::traffic::access::CallerIdentity;
-use crate::traffic::claim_guard::{ClaimGuard, acquire_claim, claim_answer};
+use crate::traffic::claim_guard::{ClaimGuard, acquire_claim, claim_response};
 use crate::traffic::dispatch::{ExchangeCall, ExchangeEnd, run_exchange};
 use crate::traffic::sink::AnswerSink;
 use crate::traffic::state::TrafficState;
@@ -121,7 +121,7 @@
             admitted.claim = Some(guard);
             None
         }
-        Err(reply) => Some(claim_answer(reply, &id, state.jitter())),
+        Err(reply) => Some(claim_response(reply, &id, state.jitter())),
     }
 }
 
