--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -2,7 +2,7 @@
 //! orders and reports events back to it.
 
 use super::crash_check::{BrokenRequest, BrokenUpstream, check_upstream};
-use super::pool_runtime::{PlacementWord, PoolRuntime, RequestGuard};
+use super::pool_runtime::{PoolDecision, PoolRuntime, RequestGuard};
 use super::sink::{AnswerSink, CallerGone};
 use super::state::TrafficState;
 use crate::answer::{AnswerKind, RefusalAnswer};
@@ -146,19 +146,19 @@
     async fn carry(
         &mut self,
         mut guard: RequestGuard,
-        mut word: oneshot::Receiver<PlacementWord>,
+        mut word: oneshot::Receiver<PoolDecision>,
         mut sink: Box<AnswerSink>,
     ) {
         loop {
             let Some(placed) = self.wait_for_word(&mut word, &mut sink).await else { return };
             let placed = self.pass_quarantine(placed, &mut guard);
             let (upstream, name, address) = match placed {
-                PlacementWord::Refuse(kind) => {
+                PoolDecision::Refuse(kind) => {
                     guard.refused();
                     self.exchange.handle(ExchangeEvent::Refused(kind), self.now());
                     return Box::pin(self.refuse(sink, kind)).await;
                 }
-                PlacementWord::Go { upstream, name, address } => (upstream, name, address),
+                PoolDecision::Send { upstream, name, address } => (upstream, name, address),
             };
             self.target = Some((name, address));
             self.may_have_run = true;
@@ -185,12 +185,12 @@
 
     async fn wait_for_word(
         &mut self,
-        word: &mut oneshot::Receiver<PlacementWord>,
+        word: &mut oneshot::Receiver<PoolDecision>,
         sink: &mut AnswerSink,
-    ) -> Option<PlacementWord> {
+    ) -> Option<PoolDecision> {
         tokio::select! {
             biased;
-            placed = word => Some(placed.unwrap_or(PlacementWord::Refuse(AnswerKind::Internal))),
+            placed = word => Some(placed.unwrap_or(PoolDecision::Refuse(AnswerKind::Internal))),
             () = sink.closed() => {
                 self.exchange.handle(ExchangeEvent::CallerLeft, self.now());
                 None
@@ -199,13 +199,13 @@
     }
 
     /// Releases the slot and refuses the request if its content is quarantined.
-    fn pass_quarantine(&self, word: PlacementWord, guard: &mut RequestGuard) -> PlacementWord {
-        let PlacementWord::Go { .. } = &word else { return word };
+    fn pass_quarantine(&self, word: PoolDecision, guard: &mut RequestGuard) -> PoolDecision {
+        let PoolDecision::Send { .. } = &word else { return word };
         match self.state.quarantine.check(self.state, &self.call.id, self.fingerprint) {
             Ok(()) => word,
             Err(kind) => {
                 guard.end(DispatchOutcome::Cancelled);
-                PlacementWord::Refuse(kind)
+                PoolDecision::Refuse(kind)
             }
         }
     }
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -20,9 +20,9 @@
 
 /// The scheduler's decision on a waiting request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PlacementWord {
+pub enum PoolDecision {
     /// Dispatch the request to an upstream.
-    Go {
+    Send {
         /// Index of the upstream in the pool.
         upstream: UpstreamIndex,
         /// Name of the upstream.
@@ -37,7 +37,7 @@
 struct PoolCore {
     scheduler: PoolScheduler,
     rng: ChaCha8Rng,
-    waiters: HashMap<RequestId, oneshot::Sender<PlacementWord>>,
+    waiters: HashMap<RequestId, oneshot::Sender<PoolDecision>>,
     actions: Vec<PoolAction>,
 }
 
@@ -98,21 +98,21 @@
         core.scheduler.handle(event, now, &mut core.rng, &mut actions);
         for action in actions.drain(..) {
             let (id, word) = match action {
-                PoolAction::Refuse { id, kind } => (id, PlacementWord::Refuse(kind)),
+                PoolAction::Refuse { id, kind } => (id, PoolDecision::Refuse(kind)),
                 PoolAction::Dispatch { id, upstream } => {
                     match core.scheduler.upstreams().get(upstream) {
                         Some(status) => {
                             let source = &status.source;
                             (
                                 id,
-                                PlacementWord::Go {
+                                PoolDecision::Send {
                                     upstream,
                                     name: source.name.clone(),
                                     address: source.address,
                                 },
                             )
                         }
-                        None => (id, PlacementWord::Refuse(AnswerKind::UpstreamAbsent)),
+                        None => (id, PoolDecision::Refuse(AnswerKind::UpstreamAbsent)),
                     }
                 }
             };
@@ -128,7 +128,7 @@
     pub fn arrive(
         self: &Arc<Self>,
         request: ArrivedRequest,
-    ) -> (RequestGuard, oneshot::Receiver<PlacementWord>) {
+    ) -> (RequestGuard, oneshot::Receiver<PoolDecision>) {
         let id = request.id;
         let (sender, receiver) = oneshot::channel();
         let mut core = self.lock();
@@ -240,7 +240,7 @@
 
 impl RequestGuard {
     /// Returns the request to the queue, since nothing was sent; `outcome` is the reason.
-    pub fn requeue(&mut self, outcome: DispatchOutcome) -> oneshot::Receiver<PlacementWord> {
+    pub fn requeue(&mut self, outcome: DispatchOutcome) -> oneshot::Receiver<PoolDecision> {
         let (sender, receiver) = oneshot::channel();
         let mut core = self.pool.lock();
         core.waiters.insert(self.id, sender);
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -17,7 +17,7 @@
 use crate::table::{RouteKind, RouteRow, ServiceName, UpstreamName};
 use crate::traffic::access::CallerIdentity;
 use crate::traffic::crash_check::{BrokenRequest, BrokenUpstream, check_upstream};
-use crate::traffic::pool_runtime::{PlacementWord, PoolRuntime, RequestGuard};
+use crate::traffic::pool_runtime::{PoolDecision, PoolRuntime, RequestGuard};
 use crate::traffic::rollout_gate::TrialTicket;
 use crate::traffic::state::{ChosenPool, ProgressGuard, TrafficState};
 use axum::body::Body;
@@ -236,8 +236,8 @@
                 }
             };
             let (upstream, name, address) = match waited {
-                Ok(Ok(PlacementWord::Go { upstream, name, address })) => (upstream, name, address),
-                Ok(Ok(PlacementWord::Refuse(kind))) => {
+                Ok(Ok(PoolDecision::Send { upstream, name, address })) => (upstream, name, address),
+                Ok(Ok(PoolDecision::Refuse(kind))) => {
                     guard.refused();
                     return Err(kind);
                 }
