--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -191,8 +191,8 @@
                 self.state.limits().set_share(step.share);
             }
             let Some(pool) = pools.get(&step.service) else { continue };
-            pool.tell(PoolEvent::Share { share: step.share });
-            pool.tell(PoolEvent::FleetFloor(step.floor));
+            pool.handle_event(PoolEvent::Share { share: step.share });
+            pool.handle_event(PoolEvent::FleetFloor(step.floor));
         }
         // Only a daemon that has the version in force may go on: one that just learned of a newer one
         // has it in force by now, and an older one is never taken.
--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -67,7 +67,7 @@
         let mut is_busy = false;
         for (service, pool) in state.pools().iter() {
             refuse_without_lease(&state, pool);
-            pool.tell(PoolEvent::Tick);
+            pool.handle_event(PoolEvent::Tick);
             let floor =
                 pool.inspect(|scheduler| (scheduler.wanted_floor(), scheduler.effective_floor()));
             is_busy |= floor != (None, None) || pool.status().waiting > 0;
@@ -85,7 +85,7 @@
 fn refuse_without_lease(state: &TrafficState, pool: &PoolRuntime) {
     if !state.is_current() && pool.status().waiting > 0 {
         warn!(state.log, "lease ran out; refusing what waits"; "service" => pool.service.as_str());
-        pool.tell(PoolEvent::LeaseExpired);
+        pool.handle_event(PoolEvent::LeaseExpired);
     }
 }
 
@@ -104,7 +104,7 @@
                     let outcome = probe(&state, address, name.as_str(), path.as_deref()).await;
                     if let Some(event) = word_of(outcome) {
                         info!(state.log, "suspect upstream answers"; "upstream" => name.as_str(), "word" => format!("{event:?}"));
-                        pool.tell(PoolEvent::Lifecycle { upstream, event });
+                        pool.handle_event(PoolEvent::Lifecycle { upstream, event });
                     }
                 });
             }
@@ -145,9 +145,9 @@
     is_suspect: bool,
 ) {
     match pool.driver.report(address).await {
-        Some(report) => pool.tell(PoolEvent::LoadReported { upstream, report }),
+        Some(report) => pool.handle_event(PoolEvent::LoadReported { upstream, report }),
         None if is_suspect && pool.driver.probe(address).await => {
-            pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Answered });
+            pool.handle_event(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Answered });
         }
         None => {}
     }
--- a/src/traffic/crash_check.rs
+++ b/src/traffic/crash_check.rs
@@ -129,7 +129,7 @@
         UpstreamFate::Replaced => UpstreamEvent::Leaving,
     };
     if let Some(pool) = state.version_pool(&upstream.service, upstream.version.as_ref()) {
-        pool.tell(PoolEvent::Lifecycle { upstream: upstream.index, event });
+        pool.handle_event(PoolEvent::Lifecycle { upstream: upstream.index, event });
     }
 }
 
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -322,7 +322,7 @@
                 self.exchange.handle(ExchangeEvent::Opened, now);
                 let AnswerStream { head, pieces } = stream;
                 if let (Some(report), Some(upstream)) = (head.report, self.exchange.upstream()) {
-                    self.pool.tell(PoolEvent::LoadReported { upstream, report });
+                    self.pool.handle_event(PoolEvent::LoadReported { upstream, report });
                 }
                 let actions =
                     self.exchange.handle(ExchangeEvent::Head { echo: head.echo.as_deref() }, now);
@@ -336,8 +336,10 @@
                     return self.exchange.handle(ExchangeEvent::NotSent, now);
                 }
                 if let Some(upstream) = self.exchange.upstream() {
-                    self.pool
-                        .tell(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Unreachable });
+                    self.pool.handle_event(PoolEvent::Lifecycle {
+                        upstream,
+                        event: UpstreamEvent::Unreachable,
+                    });
                 }
                 self.exchange.handle(ExchangeEvent::Cut, now)
             }
@@ -414,7 +416,7 @@
             if let (Some(after), true) =
                 (self.exchange.time_to_first_piece(), self.call.wants_stream)
             {
-                self.pool.tell(PoolEvent::FirstToken { id, after });
+                self.pool.handle_event(PoolEvent::FirstToken { id, after });
             }
             return;
         }
@@ -422,7 +424,7 @@
         let count = piece.sequence - from;
         if self.call.wants_stream && self.pool.driver.can_resume() && count >= GAP_STRETCH {
             self.gap_from = (piece.sequence, now);
-            self.pool.tell(PoolEvent::TokenGap { id, gap: now.since(at) / count as u32 });
+            self.pool.handle_event(PoolEvent::TokenGap { id, gap: now.since(at) / count as u32 });
         }
     }
 
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -270,7 +270,7 @@
             (changed_rows(&pool.service, upstreams, &others), is_changed)
         });
         if !rows.is_empty() || is_changed {
-            pool.tell(PoolEvent::PeerLoad { rows, group, waiting });
+            pool.handle_event(PoolEvent::PeerLoad { rows, group, waiting });
         }
     }
 }
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -88,7 +88,7 @@
     }
 
     /// Passes an event to the scheduler and its decisions to the waiting requests.
-    pub fn tell(&self, event: PoolEvent) {
+    pub fn handle_event(&self, event: PoolEvent) {
         self.tell_locked(&mut self.lock(), event);
     }
 
@@ -199,7 +199,7 @@
     /// work. An incarnation that the upstream reported with the slot is recorded first.
     pub fn is_still(&self, upstream: UpstreamIndex, incarnation: Option<u64>) -> bool {
         if let Some(incarnation) = incarnation {
-            self.tell(PoolEvent::IncarnationReported { upstream, incarnation });
+            self.handle_event(PoolEvent::IncarnationReported { upstream, incarnation });
         }
         let core = self.lock();
         let status = core.scheduler.upstreams().get(upstream);
@@ -252,13 +252,13 @@
 
     /// Reports that the upstream granted the request a slot.
     pub fn granted(&self) {
-        self.pool.tell(PoolEvent::Granted(self.id));
+        self.pool.handle_event(PoolEvent::Granted(self.id));
     }
 
     /// Reports the end of the dispatch.
     pub fn end(&mut self, outcome: DispatchOutcome) {
         if std::mem::take(&mut self.is_open) {
-            self.pool.tell(PoolEvent::Ended { id: self.id, outcome });
+            self.pool.handle_event(PoolEvent::Ended { id: self.id, outcome });
         }
     }
 
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -273,7 +273,10 @@
                 }
                 ReservationOutcome::Full => decision = guard.requeue(DispatchOutcome::NoSlot),
                 ReservationOutcome::Gone => {
-                    pool.tell(PoolEvent::Lifecycle { upstream, event: UpstreamEvent::Leaving });
+                    pool.handle_event(PoolEvent::Lifecycle {
+                        upstream,
+                        event: UpstreamEvent::Leaving,
+                    });
                     decision = guard.requeue(DispatchOutcome::NoSlot);
                 }
                 ReservationOutcome::Unreachable => {
@@ -399,7 +402,7 @@
             Err(SendError::NotSent(detail)) => {
                 history.sent -= 1;
                 info!(request.state.log, "upstream not reached"; "request" => request.id(), "detail" => detail);
-                placed.pool.tell(PoolEvent::Lifecycle {
+                placed.pool.handle_event(PoolEvent::Lifecycle {
                     upstream: placed.upstream,
                     event: UpstreamEvent::Unreachable,
                 });
@@ -454,11 +457,13 @@
         check_upstream(&request.state, placed.broken_upstream(), broken);
     }
     if let SendError::NotRun { load: Some(report), .. } = error {
-        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report: *report });
+        placed
+            .pool
+            .handle_event(PoolEvent::LoadReported { upstream: placed.upstream, report: *report });
     }
     if let SendError::NotRun { is_other_incarnation: true, .. } = error {
         let event = UpstreamEvent::Leaving;
-        placed.pool.tell(PoolEvent::Lifecycle { upstream: placed.upstream, event });
+        placed.pool.handle_event(PoolEvent::Lifecycle { upstream: placed.upstream, event });
     }
     if let SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) = error {
         request.record_version_answer(placed, AnswerCount::Failed);
@@ -528,7 +533,7 @@
 ) -> AnswerOutcome {
     let status = answer.response.status();
     if let Some(report) = answer.metadata.load {
-        placed.pool.tell(PoolEvent::LoadReported { upstream: placed.upstream, report });
+        placed.pool.handle_event(PoolEvent::LoadReported { upstream: placed.upstream, report });
     }
     if request.route.kind.is_stream() && status.is_success() {
         request.stage = RequestStage::Answering;
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -263,12 +263,14 @@
                 self.gap_start = Some((events, now));
                 let after = now.since(self.placed.sent_at);
                 self.request.record_version_answer(&self.placed, AnswerCount::served(after));
-                self.placed.pool.tell(PoolEvent::FirstToken { id, after });
+                self.placed.pool.handle_event(PoolEvent::FirstToken { id, after });
             }
             Some((from, at)) if events >= from + GAP_REPORT_EVENTS => {
                 self.gap_start = Some((events, now));
                 let count = (events - from) as u32 * self.placed.pool.event_tokens();
-                self.placed.pool.tell(PoolEvent::TokenGap { id, gap: now.since(at) / count });
+                self.placed
+                    .pool
+                    .handle_event(PoolEvent::TokenGap { id, gap: now.since(at) / count });
             }
             Some(_) => {}
         }
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -303,7 +303,7 @@
             let name = version_pool(&row.service, version.as_ref());
             let pool = match old.get(&name) {
                 Some(pool) => {
-                    pool.tell(PoolEvent::Plan(plan));
+                    pool.handle_event(PoolEvent::Plan(plan));
                     Arc::clone(pool)
                 }
                 None => PoolRuntime::new(
@@ -363,7 +363,7 @@
                 Some(row) => version_sources(&row, &platform, table, pool),
                 None => platform.merged(table, &pool.service),
             };
-            pool.tell(PoolEvent::Sources(sources));
+            pool.handle_event(PoolEvent::Sources(sources));
         }
     }
 
