--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -111,7 +111,7 @@
     summary.wasted_tokens = bench.ledger.wasted_tokens();
     summary.most_dispatches = bench.most_dispatches();
     summary.order_breaks =
-        bench.daemon.state.pools().values().map(|pool| pool.order_breaks()).sum();
+        bench.daemon.state.pools().values().map(|pool| pool.shed_order_violations()).sum();
     bench.stop().await;
     Ok(summary)
 }
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -144,7 +144,7 @@
     }
 
     /// Number of violations of the shedding order.
-    pub fn order_breaks(&self) -> u64 {
+    pub fn shed_order_violations(&self) -> u64 {
         self.lock().scheduler.shed_order_violations()
     }
 
