--- a/src/traffic/frontend/admitted.rs
+++ b/src/traffic/frontend/admitted.rs
@@ -207,7 +207,8 @@
     let uri =
         if is_model { parts.uri.clone() } else { stripped_uri(&parts.uri, &properties.service)? };
     let pool = state.pool(&service.service).ok_or(AnswerKind::ServiceUnknown)?;
-    let cost = pool.cost_of(caller.index, rank, properties.prompt_bytes, properties.output_limit);
+    let cost =
+        pool.estimate_cost(caller.index, rank, properties.prompt_bytes, properties.output_limit);
     let now = state.clock.now();
     state.limits().admit(caller.index, cost, now)?;
     let limit = LimitGuard { state, organisation: caller.index, cost, is_charged: false };
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -149,7 +149,7 @@
     }
 
     /// Estimates the cost of a request.
-    pub fn cost_of(
+    pub fn estimate_cost(
         &self,
         organisation: OrganisationIndex,
         tier: TierRank,
