--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -122,7 +122,7 @@
         recorded: None,
         may_have_run: false,
     };
-    let (guard, word) = pool.arrive(arrived);
+    let (guard, word) = pool.submit(arrived);
     run.carry(guard, word, sink).await;
     if run.exchange.state() == RequestState::Answered {
         state.quarantine.note_answer(fingerprint, state.clock.now());
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -125,7 +125,7 @@
     }
 
     /// Submits a request to the scheduler. Dropping the guard withdraws the request.
-    pub fn arrive(
+    pub fn submit(
         self: &Arc<Self>,
         request: ArrivedRequest,
     ) -> (RequestGuard, oneshot::Receiver<PoolDecision>) {
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -222,7 +222,7 @@
     ) -> Result<Option<PlacedRequest>, AnswerKind> {
         let ChosenPool { pool, arm, ticket } = chosen;
         let number = RequestId(self.state.new_request_id().0);
-        let (mut guard, mut decision) = pool.arrive(self.arrived_request(number));
+        let (mut guard, mut decision) = pool.submit(self.arrived_request(number));
         loop {
             let limit = self.time_left();
             let waited = tokio::select! {
