--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -154,7 +154,7 @@
             let placed = self.pass_quarantine(placed, &mut guard);
             let (upstream, name, address) = match placed {
                 PoolDecision::Refuse(kind) => {
-                    guard.refused();
+                    guard.disarm();
                     self.exchange.handle(ExchangeEvent::Refused(kind), self.now());
                     return Box::pin(self.refuse(sink, kind)).await;
                 }
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -263,7 +263,7 @@
     }
 
     /// Disarms the guard after the scheduler refused the request, as there is nothing to release.
-    pub fn refused(&mut self) {
+    pub fn disarm(&mut self) {
         self.is_open = false;
     }
 }
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -238,7 +238,7 @@
             let (upstream, name, address) = match waited {
                 Ok(Ok(PoolDecision::Send { upstream, name, address })) => (upstream, name, address),
                 Ok(Ok(PoolDecision::Refuse(kind))) => {
-                    guard.refused();
+                    guard.disarm();
                     return Err(kind);
                 }
                 Ok(Err(_)) => return Err(AnswerKind::Internal),
