--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -197,7 +197,7 @@
 
     /// True if the upstream is still the incarnation at which a slot was requested, and accepts
     /// work. An incarnation that the upstream reported with the slot is recorded first.
-    pub fn is_still(&self, upstream: UpstreamIndex, incarnation: Option<u64>) -> bool {
+    pub fn is_same_incarnation(&self, upstream: UpstreamIndex, incarnation: Option<u64>) -> bool {
         if let Some(incarnation) = incarnation {
             self.handle_event(PoolEvent::IncarnationReported { upstream, incarnation });
         }
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -250,7 +250,7 @@
             };
             match reservation {
                 ReservationOutcome::Granted { incarnation, .. }
-                    if !pool.is_still(upstream, incarnation) =>
+                    if !pool.is_same_incarnation(upstream, incarnation) =>
                 {
                     // The upstream has restarted or is leaving; the reservation expires by itself.
                     decision = guard.requeue(DispatchOutcome::NoSlot);
