--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -218,7 +218,7 @@
     }
 
     /// Applies the settings of the service's row that concern its upstreams.
-    pub fn set_manner(&self, row: &ServiceRow) {
+    pub fn apply_service_row(&self, row: &ServiceRow) {
         self.event_tokens.store(row.event_tokens, Ordering::Relaxed);
         let reservation = row.reservation_ms.unwrap_or_default().as_millis() as u64;
         self.reservation.store(reservation, Ordering::Relaxed);
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -315,7 +315,7 @@
                     self.seed(),
                 ),
             };
-            pool.set_manner(row);
+            pool.apply_service_row(row);
             pools.insert(name, pool);
         }
         self.pools.store(Arc::new(pools));
