--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -94,7 +94,7 @@
     let control = control_listener.local_addr().with_context(|_| bind(settings.control))?;
     let state = TrafficState::new(settings.daemon.clone(), log.clone(), seed);
     if settings.platform.is_some() {
-        state.set_manner(platform::manner());
+        state.set_interface(platform::manner());
         let now = state.clock.now();
         state.limits().start_empty(now);
     }
@@ -294,7 +294,7 @@
     control: ControlHandle,
     state: &Arc<TrafficState>,
 ) -> Result<(), StartError> {
-    let Some(manner) = state.manner() else { return Ok(()) };
+    let Some(manner) = state.interface() else { return Ok(()) };
     let listener = listen(address).await?;
     let door = OperatorDoor::new(control, Arc::clone(&manner.reader), state.log.clone());
     let router = platform::operators_router(Arc::new(door), address.port());
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -13,10 +13,10 @@
 pub use operators::operators_router;
 pub use pages::{InstancePage, NextPage, read_page};
 
-use crate::traffic::PlatformManner;
+use crate::traffic::PlatformInterface;
 use std::sync::Arc;
 
 /// The platform's manner of speaking.
-pub fn manner() -> PlatformManner {
-    PlatformManner { reader: Arc::new(DocumentReader), dialect: Arc::new(HeaderDialect) }
+pub fn manner() -> PlatformInterface {
+    PlatformInterface { reader: Arc::new(DocumentReader), dialect: Arc::new(HeaderDialect) }
 }
--- a/src/traffic/frontend/mod.rs
+++ b/src/traffic/frontend/mod.rs
@@ -102,7 +102,7 @@
     mut drain_ordered: watch::Receiver<bool>,
     balancer_wait: Duration,
 ) {
-    let router = match state.manner() {
+    let router = match state.interface() {
         Some(_) => routed_router(Arc::clone(&state)),
         None => frontend_router(Arc::clone(&state)),
     };
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -31,4 +31,4 @@
     AnswerMetadata, CallDialect, CallerMetadata, EventSplitter, ReservationReply,
     ReservationRequest, RouteIndex, SendMetadata,
 };
-pub use state::{PlatformManner, TableSnapshot, TrafficState};
+pub use state::{PlatformInterface, TableSnapshot, TrafficState};
--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -44,7 +44,7 @@
     path: Option<&str>,
 ) -> ProbeOutcome {
     let Some((manner, request)) =
-        state.manner().zip(probe_request(state, address, incarnation, path))
+        state.interface().zip(probe_request(state, address, incarnation, path))
     else {
         let is_open = can_connect(address).await;
         return if is_open { ProbeOutcome::Answered } else { ProbeOutcome::Refused };
@@ -81,7 +81,7 @@
         last_event_id: None,
         place_id: None,
     };
-    state.manner()?.dialect.write_upstream_headers(&mut headers, &metadata);
+    state.interface()?.dialect.write_upstream_headers(&mut headers, &metadata);
     let path = path.unwrap_or(DEFAULT_PATH);
     let mut request = Request::get(path).body(Full::<Bytes>::default()).ok()?;
     *request.headers_mut() = headers;
--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -48,7 +48,7 @@
 }
 
 async fn answer_request(state: Arc<TrafficState>, request: Request<Body>) -> Response<Body> {
-    let Some(manner) = state.manner() else { return refusal(&state, AnswerKind::Internal, "") };
+    let Some(manner) = state.interface() else { return refusal(&state, AnswerKind::Internal, "") };
     let dialect = Arc::clone(&manner.dialect);
     let arrived_at = state.clock.now();
     let metadata = dialect.read_caller(request.headers());
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// Interface of a platform: its table format and its headers.
-pub struct PlatformManner {
+pub struct PlatformInterface {
     /// Parses the platform's tables.
     pub reader: Arc<dyn TableReader>,
     /// Reads and writes the platform's headers.
@@ -71,7 +71,7 @@
     /// True if requests are admitted under the last known table after its lease has expired.
     serves_cut_off: AtomicBool,
     /// Interface of the platform, if one is served.
-    manner: OnceLock<PlatformManner>,
+    manner: OnceLock<PlatformInterface>,
     repeats: Mutex<HashMap<ServiceName, RetryBudget>>,
     repeat_bound: OnceLock<RetryBound>,
     mechanisms: OnceLock<MechanismSet>,
@@ -198,12 +198,12 @@
     }
 
     /// Sets the platform interface to serve; only the first call has an effect.
-    pub fn set_manner(&self, manner: PlatformManner) {
+    pub fn set_interface(&self, manner: PlatformInterface) {
         let _ = self.manner.set(manner);
     }
 
     /// Interface of the platform, if one is served.
-    pub fn manner(&self) -> Option<&PlatformManner> {
+    pub fn interface(&self) -> Option<&PlatformInterface> {
         self.manner.get()
     }
 
