--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -173,14 +173,14 @@
         match read {
             Ok(reading) => {
                 note_unread(&state, &reading.unread, &mut causes);
-                let list = reading.over(&state.platform());
+                let list = reading.over(&state.platform_list());
                 if !was_read {
                     info!(state.log, "platform list read again");
                 }
                 was_read = true;
                 state.fleet.store_reading(&list, state.clock.now());
                 if last.as_ref() != Some(&list) {
-                    state.apply_platform(list.clone());
+                    state.apply_platform_list(list.clone());
                     last = Some(list);
                 }
             }
--- a/src/traffic/fleet_exchange/list.rs
+++ b/src/traffic/fleet_exchange/list.rs
@@ -207,7 +207,7 @@
             exchange.confirm(now);
             info!(state.log, "platform list changed"; "from" => daemon.as_str(), "changed" => change.changed.len(),
                 "gone" => change.gone.len());
-            list.into_iter().for_each(|list| state.apply_platform(list));
+            list.into_iter().for_each(|list| state.apply_platform_list(list));
             if state.fleet.fleet().is_some_and(|fleet| fleet.is_list_forwarder(now)) {
                 exchange.queue_change(change.clone());
             }
@@ -237,5 +237,5 @@
     let Some(list) = full_list else { return };
     info!(state.log, "full platform list received"; "upstreams" => list.vms.len());
     exchange.confirm(state.clock.now());
-    state.apply_platform(list);
+    state.apply_platform_list(list);
 }
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -331,7 +331,7 @@
     }
 
     /// Current platform list.
-    pub fn platform(&self) -> Arc<PlatformList> {
+    pub fn platform_list(&self) -> Arc<PlatformList> {
         self.platform.load_full()
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Applies a new platform list.
-    pub fn apply_platform(&self, list: PlatformList) {
+    pub fn apply_platform_list(&self, list: PlatformList) {
         self.platform.store(Arc::new(list));
         self.update_sources(self.snapshot.load().access.table());
         self.has_list.send_replace(true);
--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -357,7 +357,7 @@
             places: Some(4),
             version: Some((*version).into()),
         };
-        self.state.apply_platform(PlatformList { vms: engines.iter().map(row).collect() });
+        self.state.apply_platform_list(PlatformList { vms: engines.iter().map(row).collect() });
     }
 
     /// Sends a request and reads its answer.
--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -201,7 +201,7 @@
         bench.fleet.engine.address
     );
 
-    bench.fleet.state.apply_platform(PlatformList::read(&list).expect("a good list"));
+    bench.fleet.state.apply_platform_list(PlatformList::read(&list).expect("a good list"));
     let outcome = bench.call(1, "note", 5).await;
 
     assert_eq!(outcome, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
