--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -122,7 +122,7 @@
     /// A daemon that may serve when it is cut off, and has no table yet, takes what any voter knows to be
     /// committed: after a restart of the whole fleet that is there a second before the first leader.
     async fn take_known_table(&mut self) {
-        if self.state.snapshot().version > 0 || !self.state.may_serve_cut_off() {
+        if self.state.snapshot().version > 0 || !self.state.may_use_expired_table() {
             return;
         }
         let Some(client) = self.leader.open() else { return };
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -105,7 +105,7 @@
     });
     state.set_mechanisms(MechanismSet::without(&settings.mechanisms_off));
     if settings.when_cut_off == CutOffChoice::Serve {
-        state.serve_cut_off();
+        state.allow_expired_table();
     }
     let front = match settings.callers {
         Some(callers) => {
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -208,12 +208,12 @@
     }
 
     /// Allows requests to be admitted under the last known table after its lease has expired.
-    pub fn serve_cut_off(&self) {
+    pub fn allow_expired_table(&self) {
         self.serves_cut_off.store(true, Ordering::Release);
     }
 
     /// True if requests are admitted under the last known table after its lease has expired.
-    pub fn may_serve_cut_off(&self) -> bool {
+    pub fn may_use_expired_table(&self) -> bool {
         self.serves_cut_off.load(Ordering::Acquire)
     }
 
--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -294,7 +294,7 @@
         let log = Logger::root(Discard, o!());
         let state = TrafficState::new(daemon.into(), log, 7);
         state.set_interface(platform::manner());
-        state.serve_cut_off();
+        state.allow_expired_table();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let front = start_frontend(Arc::clone(&state), listener, Duration::from_millis(10));
         let fleet = RoutedFleet { state, front: front.expect("a front"), pool };
