--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -99,10 +99,8 @@
         state.limits().start_empty(now);
     }
     state.limits().set_tolerance(tolerance(settings));
-    state.set_repeat_bound(RetryBound {
-        ratio: settings.repeat_ratio,
-        slack: settings.repeat_slack,
-    });
+    state
+        .set_retry_bound(RetryBound { ratio: settings.repeat_ratio, slack: settings.repeat_slack });
     state.set_mechanisms(MechanismSet::without(&settings.mechanisms_off));
     if settings.when_cut_off == CutOffChoice::Serve {
         state.allow_expired_table();
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -179,7 +179,7 @@
             && self.state.quarantine.held_for(self.fingerprint, self.state.clock.now()).is_none()
             && history.sent < self.route.attempts
             && !self.time_left().is_zero()
-            && self.state.with_repeats(service, |budget| budget.try_withdraw())
+            && self.state.with_retry_budget(service, |budget| budget.try_withdraw())
     }
 
     /// Waits until the scheduler places the request at an upstream. The table is checked again
@@ -384,7 +384,7 @@
         let name = placed.name.clone();
         if history.sent == 0 {
             let daemons = request.state.fleet.daemon_count();
-            request.state.with_repeats(&service, |budget| budget.deposit(daemons));
+            request.state.with_retry_budget(&service, |budget| budget.deposit(daemons));
         }
         request.set_charged(true);
         let sent = request.try_send(&placed, &mut history, request.metadata.last_event_id).await;
@@ -560,7 +560,7 @@
                 return AnswerOutcome::Response(response);
             }
             // `may_send_again` has spent a unit of the budget, and `forward` calls it again.
-            request.state.with_repeats(&placed.pool.service, |budget| budget.refund());
+            request.state.with_retry_budget(&placed.pool.service, |budget| budget.refund());
             return AnswerOutcome::Retry(
                 request,
                 SendError::NoUsableAnswer(format!("status {status}")),
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -231,7 +231,7 @@
 
     /// Sets the operators' bound on retries, before the first request; only the first call has an
     /// effect.
-    pub fn set_repeat_bound(&self, bound: RetryBound) {
+    pub fn set_retry_bound(&self, bound: RetryBound) {
         let _ = self.repeat_bound.set(bound);
     }
 
@@ -279,7 +279,7 @@
     }
 
     /// Calls `change` with the budget for retries to a service.
-    pub fn with_repeats<T>(
+    pub fn with_retry_budget<T>(
         &self,
         service: &ServiceName,
         change: impl FnOnce(&mut RetryBudget) -> T,
--- a/tests/test_rollout_traffic.rs
+++ b/tests/test_rollout_traffic.rs
@@ -93,7 +93,7 @@
     let old = engine("i-old").await;
     let new = ScriptedEngine::start("i-new", |_| EngineMove::Answer(500, "broken")).await;
     let fleet = RoutedFleet::start(&[&old]).await;
-    fleet.state.set_repeat_bound(RetryBound { ratio: 1.0, slack: 100 });
+    fleet.state.set_retry_bound(RetryBound { ratio: 1.0, slack: 100 });
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
     OrderedRollout::begin().tell(&fleet);
 
