--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -90,10 +90,10 @@
     let fingerprint = request_fingerprint(&matched, &parts, &body);
     let progress = state.begin();
     let has_returned =
-        metadata.deadline.is_some_and(|time| state.has_returned(&matched.route.route, time));
+        metadata.deadline.is_some_and(|time| state.is_retry(&matched.route.route, time));
     let tokens = metadata.prompt_tokens.map(|prompt| prompt + metadata.output_limit.unwrap_or(0));
     let sizes = request_sizes(&metadata);
-    let size_tenth = sizes.and_then(|sizes| state.size_tenth(&matched.route.route, sizes));
+    let size_tenth = sizes.and_then(|sizes| state.size_decile(&matched.route.route, sizes));
     let limit = match &matched.caller {
         Some(caller) => {
             let snapshot = state.snapshot();
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -247,7 +247,7 @@
     }
 
     /// True if a request to `route` whose caller has `time` left appears to be a retry.
-    pub fn has_returned(&self, route: &str, time: Duration) -> bool {
+    pub fn is_retry(&self, route: &str, time: Duration) -> bool {
         if !self.mechanisms().has(Mechanism::KnownReturns) {
             return false;
         }
@@ -260,7 +260,7 @@
 
     /// Decile of a request's size among the recent requests of its route; `None` while too few are
     /// known.
-    pub fn size_tenth(&self, route: &str, sizes: RequestSizes) -> Option<SizeDecile> {
+    pub fn size_decile(&self, route: &str, sizes: RequestSizes) -> Option<SizeDecile> {
         self.with_route_sizes(route, |known| known.decile(sizes))
     }
 
