--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -54,7 +54,7 @@
     };
     tokio::spawn(probe_suspects(Arc::clone(&state)));
     if let Some(address) = platform.list {
-        state.expect_list();
+        state.expect_upstream_list();
         let lister = Box::new(InstanceLister::new(address, Arc::clone(state.connections())));
         tokio::spawn(read_lists(state, lister, INSTANCE_PAUSE));
     }
--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -83,7 +83,7 @@
     if !wait_for_table(state).await {
         return Err(AnswerKind::TableStale);
     }
-    state.list_soon(FIRST_LIST_TIMEOUT).await;
+    state.wait_for_upstream_list(FIRST_LIST_TIMEOUT).await;
     let (parts, body) = request.into_parts();
     let matched = match_route(&state.snapshot(), &parts, &metadata)?;
     let body = read_body(body).await?;
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -336,12 +336,12 @@
     }
 
     /// Declares that a list of upstreams will be read, and that none was received yet.
-    pub fn expect_list(&self) {
+    pub fn expect_upstream_list(&self) {
         self.has_list.send_replace(false);
     }
 
     /// Waits for the first list of upstreams, for at most `most`.
-    pub async fn list_soon(&self, most: Duration) {
+    pub async fn wait_for_upstream_list(&self, most: Duration) {
         if *self.has_list.borrow() {
             return;
         }
--- a/tests/test_routed.rs
+++ b/tests/test_routed.rs
@@ -362,7 +362,7 @@
 async fn callers_before_the_first_list_are_served_once_it_is_there() {
     let engine = ScriptedEngine::start("i-1", |_| EngineMove::Answer(200, "fine")).await;
     let fleet = Arc::new(RoutedFleet::start(&[]).await);
-    fleet.state.expect_list();
+    fleet.state.expect_upstream_list();
     let caller = Arc::clone(&fleet);
     let call = tokio::spawn(async move { caller.call("/unsafe/x", "id-1").await });
     tokio::time::sleep(Duration::from_millis(100)).await;
