--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -94,7 +94,7 @@
             biased;
             answer = tokio::time::timeout_at(until, client.report(report)) => answer,
             // A floor has changed here: the open report is given up for a new one.
-            () = self.state.floor_news.notified() => return true,
+            () = self.state.floor_changes.notified() => return true,
         };
         self.silent_since = None;
         match answer {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -331,7 +331,7 @@
 
     /// Stops a drained daemon.
     pub async fn stop(mut self) {
-        self.state.floor_news.notify_one();
+        self.state.floor_changes.notify_one();
         tokio::time::sleep(FAREWELL).await;
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -73,7 +73,7 @@
             is_busy |= floor != (None, None) || pool.status().waiting > 0;
             if floors.get(service).copied().unwrap_or_default() != floor {
                 floors.insert(service.clone(), floor);
-                state.floor_news.notify_one();
+                state.floor_changes.notify_one();
             }
         }
         tokio::time::sleep(if is_busy { TICK } else { IDLE_TICK }).await;
--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -151,7 +151,7 @@
 async fn wait_for_table(state: &TrafficState) -> bool {
     let table_arrival = async {
         loop {
-            let table_change = state.table_news.notified();
+            let table_change = state.table_changes.notified();
             if state.is_current() {
                 return;
             }
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -83,7 +83,7 @@
     is_drained: AtomicBool,
     claims: OnceLock<ClaimKeeper>,
     /// Notified when a table takes effect.
-    pub table_news: Notify,
+    pub table_changes: Notify,
     /// True once a list of upstreams was received, or if none is read at all.
     has_list: watch::Sender<bool>,
     /// Exchange with the other daemons that serve callers.
@@ -95,7 +95,7 @@
     /// Checks in progress of upstreams whose connections broke.
     pub crash_checks: CrashChecks,
     /// Notified when a shed floor must be reported to the leader at once.
-    pub floor_news: Notify,
+    pub floor_changes: Notify,
     in_progress: AtomicUsize,
     next_request: AtomicU64,
     boot: u64,
@@ -129,13 +129,13 @@
             is_ready: AtomicBool::new(true),
             is_drained: AtomicBool::new(false),
             claims: OnceLock::new(),
-            table_news: Notify::new(),
+            table_changes: Notify::new(),
             has_list: watch::Sender::new(true),
             fleet: FleetExchange::default(),
             quarantine: QuarantineGate::default(),
             rollouts: RolloutGate::default(),
             crash_checks: CrashChecks::default(),
-            floor_news: Notify::new(),
+            floor_changes: Notify::new(),
             in_progress: AtomicUsize::new(0),
             next_request: AtomicU64::new(1),
             boot: seed,
@@ -174,7 +174,7 @@
         self.limits().set_limits(access.limits().clone());
         self.update_pools(&access);
         self.snapshot.store(Arc::new(TableSnapshot { version: versioned.version, access }));
-        self.table_news.notify_waiters();
+        self.table_changes.notify_waiters();
         info!(self.log, "table in force"; "version" => versioned.version, "hash" => &versioned.hash);
     }
 
