--- a/src/traffic/frontend/admitted.rs
+++ b/src/traffic/frontend/admitted.rs
@@ -130,7 +130,7 @@
     mut admitted: Box<AdmittedRequest>,
     sink: Box<AnswerSink>,
 ) {
-    let progress = state.begin();
+    let progress = state.begin_request();
     if let Some(answer) = Box::pin(claim(&state, &mut admitted)).await {
         return sink.answer(answer);
     }
--- a/src/traffic/routed/admission.rs
+++ b/src/traffic/routed/admission.rs
@@ -88,7 +88,7 @@
     let matched = match_route(&state.snapshot(), &parts, &metadata)?;
     let body = read_body(body).await?;
     let fingerprint = request_fingerprint(&matched, &parts, &body);
-    let progress = state.begin();
+    let progress = state.begin_request();
     let has_returned =
         metadata.deadline.is_some_and(|time| state.is_retry(&matched.route.route, time));
     let tokens = metadata.prompt_tokens.map(|prompt| prompt + metadata.output_limit.unwrap_or(0));
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -443,7 +443,7 @@
     }
 
     /// Counts a request as in progress until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> ProgressGuard {
+    pub fn begin_request(self: &Arc<Self>) -> ProgressGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         ProgressGuard(Arc::clone(self))
     }
