--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -203,7 +203,7 @@
             let Some(placed) = self.wait_in_pool(chosen, &mut changes).await? else { continue };
             self.check_quarantine()?;
             let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
-            if matched.route.allows(&service) && self.state.may_use(&service, placed.arm) {
+            if matched.route.allows(&service) && self.state.may_use_arm(&service, placed.arm) {
                 return Ok(placed);
             }
         }
@@ -229,7 +229,7 @@
                 biased;
                 waited = tokio::time::timeout(limit, &mut decision) => waited,
                 Ok(()) = changes.changed() => {
-                    if self.state.may_use(&pool.service, arm) {
+                    if self.state.may_use_arm(&pool.service, arm) {
                         continue;
                     }
                     return Ok(None);
--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -57,7 +57,7 @@
     }
 
     /// True if a request assigned to an arm of its service's roll-out may still be sent there.
-    pub fn may_use(&self, service: &ServiceName, arm: VersionArm) -> bool {
+    pub fn may_use_arm(&self, service: &ServiceName, arm: VersionArm) -> bool {
         let Some(row) = self.rollouts.row(service) else { return true };
         self.rollouts.allows(&row, arm, self.live_versions(&row), self.clock.now())
     }
