--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -177,7 +177,7 @@
             None => self.state.fleet.confirm_serving_list(now),
         }
         self.leader.set_voters(moves.voters.clone());
-        self.state.quarantine.take_rows(&self.state, &moves.suspects);
+        self.state.quarantine.merge_rows(&self.state, &moves.suspects);
         self.state.rollouts.confirm(now);
         if let Some(rollouts) = moves.rollouts {
             self.state.apply_rollouts(rollouts);
--- a/src/traffic/fleet_exchange/mod.rs
+++ b/src/traffic/fleet_exchange/mod.rs
@@ -205,7 +205,7 @@
     if let Some(stamp) = stamp {
         list::handle_stamp(state, socket, address, stamp);
     }
-    state.quarantine.take(state, &daemon, &suspects);
+    state.quarantine.merge_news(state, &daemon, &suspects);
     apply_charges(state, &charges);
     apply_estimates(state, &estimates);
     // An aggregator receives many messages per interval, and applies them together when it sends
@@ -354,7 +354,7 @@
         list: state.fleet.list.stamp(now),
         can_read_list: state.fleet.list.can_read(now),
         has_left: state.is_drained(),
-        suspects: state.quarantine.news(now),
+        suspects: state.quarantine.next_news(now),
     }
 }
 
--- a/src/traffic/quarantine_gate.rs
+++ b/src/traffic/quarantine_gate.rs
@@ -62,12 +62,12 @@
     }
 
     /// Returns the next news for the other daemons.
-    pub fn news(&self, now: Moment) -> SuspectNews {
+    pub fn next_news(&self, now: Moment) -> SuspectNews {
         self.lock().news(now)
     }
 
     /// Merges the news of another daemon.
-    pub fn take(&self, state: &TrafficState, from: &DaemonName, news: &SuspectNews) {
+    pub fn merge_news(&self, state: &TrafficState, from: &DaemonName, news: &SuspectNews) {
         let held = self.lock().take(from, news, state.clock.now());
         note_held(state, &held, from.as_str());
     }
@@ -78,7 +78,7 @@
     }
 
     /// Merges the records kept by the voters.
-    pub fn take_rows(&self, state: &TrafficState, rows: &[SuspectRow]) {
+    pub fn merge_rows(&self, state: &TrafficState, rows: &[SuspectRow]) {
         let now = state.clock.now();
         let held = rows.iter().filter_map(|row| self.lock().take_row(row, now));
         let held: Vec<HeldRequest> = held.collect();
