--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -178,7 +178,7 @@
         }
         self.leader.set_voters(moves.voters.clone());
         self.state.quarantine.merge_rows(&self.state, &moves.suspects);
-        self.state.rollouts.confirm(now);
+        self.state.rollouts.confirm_leader(now);
         if let Some(rollouts) = moves.rollouts {
             self.state.apply_rollouts(rollouts);
         }
--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -75,7 +75,7 @@
     }
 
     /// Records contact with the leader at `now`.
-    pub fn confirm(&self, now: Moment) {
+    pub fn confirm_leader(&self, now: Moment) {
         self.heard_at.store(now.0, Ordering::Release);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Subscribes to changes from now on.
-    pub fn news(&self) -> watch::Receiver<()> {
+    pub fn subscribe(&self) -> watch::Receiver<()> {
         self.news.subscribe()
     }
 
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -190,7 +190,7 @@
     /// `may_use_trial` allows a version on trial; a request that has already failed goes to the
     /// proven version.
     pub async fn place(&mut self, may_use_trial: bool) -> Result<PlacedRequest, AnswerKind> {
-        let mut changes = self.state.rollouts.news();
+        let mut changes = self.state.rollouts.subscribe();
         loop {
             self.check_quarantine()?;
             let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
--- a/tests/test_rollout_traffic.rs
+++ b/tests/test_rollout_traffic.rs
@@ -37,7 +37,7 @@
     }
 
     fn tell(&self, fleet: &RoutedFleet) {
-        fleet.state.rollouts.confirm(fleet.state.clock.now());
+        fleet.state.rollouts.confirm_leader(fleet.state.clock.now());
         fleet.state.apply_rollouts(RolloutRows::new(&self.0, BOUND));
     }
 }
