--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -206,7 +206,7 @@
 
 impl TrialTicket {
     /// Records that the request was sent to the version on trial.
-    pub fn sent(&self) {
+    pub fn mark_sent(&self) {
         self.is_sent.store(true, Ordering::Relaxed);
     }
 }
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -338,7 +338,7 @@
     ) -> Result<OpenAnswer, SendError> {
         history.sent += 1;
         match &placed.ticket {
-            Some(ticket) => ticket.sent(),
+            Some(ticket) => ticket.mark_sent(),
             None => self.state.rollouts.note_sent_to_old(&placed.pool.service),
         }
         let is_last_send = history.sent >= self.route.attempts;
