--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -54,7 +54,7 @@
     /// Identifies the same request when it is sent again.
     pub fingerprint: RequestFingerprint,
     /// True if the answer must be kept for retries.
-    pub records: bool,
+    pub is_recorded: bool,
 }
 
 /// Event observed while waiting for an answer.
@@ -96,9 +96,9 @@
     exchange_call: Box<ExchangeCall>,
     sink: Box<AnswerSink>,
 ) -> ExchangeEnd {
-    let ExchangeCall { call, arrived, silence, fingerprint, records } = *exchange_call;
+    let ExchangeCall { call, arrived, silence, fingerprint, is_recorded } = *exchange_call;
     let mut sink = sink;
-    if records {
+    if is_recorded {
         sink.keep_record();
     }
     let mut run = ExchangeRun {
--- a/src/traffic/frontend/admitted.rs
+++ b/src/traffic/frontend/admitted.rs
@@ -117,7 +117,7 @@
     let id = Arc::clone(&call.id);
     match acquire_claim(state, &admitted.caller, &key, call, admitted.service.claim_life_ms).await {
         Ok(guard) => {
-            admitted.exchange.records = true;
+            admitted.exchange.is_recorded = true;
             admitted.claim = Some(guard);
             None
         }
@@ -240,7 +240,8 @@
     };
     let silence = service.silence_ms;
     let fingerprint = request_fingerprint(&caller, &service, &call);
-    let exchange = Box::new(ExchangeCall { call, arrived, silence, fingerprint, records: false });
+    let exchange =
+        Box::new(ExchangeCall { call, arrived, silence, fingerprint, is_recorded: false });
     Ok(Box::new(AdmittedRequest { exchange, service, tier, caller, limit, claim: None, claim_key }))
 }
 
