--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -34,7 +34,7 @@
 pub struct OrganisationIndices(HashMap<OrganisationName, OrganisationIndex>);
 
 impl OrganisationIndices {
-    fn number(&mut self, name: &OrganisationName) -> OrganisationIndex {
+    fn get_or_assign(&mut self, name: &OrganisationName) -> OrganisationIndex {
         let next = OrganisationIndex(self.0.len() as u32);
         *self.0.entry(name.clone()).or_insert(next)
     }
@@ -50,12 +50,12 @@
     limits: HashMap<OrganisationIndex, OrganisationLimit>,
     routes: RouteIndex,
     /// Organisations with a token rate limit.
-    limited: HashMap<OrganisationHash, OrganisationIndex>,
+    token_limited: HashMap<OrganisationHash, OrganisationIndex>,
 }
 
 impl AccessIndex {
     /// Builds the index of `table`; organisations not seen before are assigned new indices.
-    pub fn new(table: &OperatorTable, numbers: &mut OrganisationIndices) -> Self {
+    pub fn new(table: &OperatorTable, indices: &mut OrganisationIndices) -> Self {
         let mut index = AccessIndex {
             services: table
                 .services
@@ -68,13 +68,15 @@
             ..AccessIndex::default()
         };
         for row in &table.organisations {
-            let number = numbers.number(&row.organisation);
-            index.limits.insert(number, limit_of(row));
+            let organisation_index = indices.get_or_assign(&row.organisation);
+            index.limits.insert(organisation_index, limit_of(row));
             if row.tokens_per_second.is_some() {
-                index.limited.insert(OrganisationHash::of(&row.organisation), number);
+                index
+                    .token_limited
+                    .insert(OrganisationHash::of(&row.organisation), organisation_index);
             }
             let identity = CallerIdentity {
-                index: number,
+                index: organisation_index,
                 organisation: row.organisation.clone(),
                 weight: row.weight,
                 limit_unit: row.limit_unit,
@@ -145,7 +147,7 @@
     pub fn token_limited_hashes(
         &self,
     ) -> impl Iterator<Item = (OrganisationHash, OrganisationIndex)> {
-        self.limited.iter().map(|(hash, index)| (*hash, *index))
+        self.token_limited.iter().map(|(hash, index)| (*hash, *index))
     }
 
     /// Index of the organisation with this hash, if it has a token rate limit.
@@ -153,7 +155,7 @@
         &self,
         organisation: OrganisationHash,
     ) -> Option<OrganisationIndex> {
-        self.limited.get(&organisation).copied()
+        self.token_limited.get(&organisation).copied()
     }
 
     /// Index of the routes.
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -62,7 +62,7 @@
     pub clock: TrafficClock,
     snapshot: ArcSwap<TableSnapshot>,
     pools: ArcSwap<HashMap<ServiceName, Arc<PoolRuntime>>>,
-    numbers: Mutex<OrganisationIndices>,
+    organisation_indices: Mutex<OrganisationIndices>,
     limits: Mutex<LimitTable>,
     platform: ArcSwap<PlatformList>,
     connections: Arc<ConnectionPool>,
@@ -114,7 +114,7 @@
             clock: TrafficClock::start(),
             snapshot: ArcSwap::default(),
             pools: ArcSwap::default(),
-            numbers: Mutex::default(),
+            organisation_indices: Mutex::default(),
             limits: Mutex::default(),
             platform: ArcSwap::default(),
             connections: Arc::default(),
@@ -165,12 +165,12 @@
 
     /// Puts a table in force, unless its version is not newer than that of the current one.
     pub fn apply_table(&self, versioned: &VersionedTable) {
-        let mut numbers = self.numbers.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut indices = self.organisation_indices.lock().unwrap_or_else(PoisonError::into_inner);
         if versioned.version <= self.snapshot.load().version {
             return;
         }
         let Some(table) = self.read_table(versioned) else { return };
-        let access = AccessIndex::new(&table, &mut numbers);
+        let access = AccessIndex::new(&table, &mut indices);
         self.limits().set_limits(access.limits().clone());
         self.update_pools(&access);
         self.snapshot.store(Arc::new(TableSnapshot { version: versioned.version, access }));
--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -75,9 +75,9 @@
         if !self.rollouts.take(rows, self.jitter()) {
             return;
         }
-        let numbers = self.numbers.lock().unwrap_or_else(PoisonError::into_inner);
+        let indices = self.organisation_indices.lock().unwrap_or_else(PoisonError::into_inner);
         self.update_pools(&self.snapshot.load().access);
-        drop(numbers);
+        drop(indices);
         self.rollouts.tell_news();
     }
 
