--- a/src/traffic/claim_guard.rs
+++ b/src/traffic/claim_guard.rs
@@ -60,7 +60,7 @@
     caller: &CallerIdentity,
     key: &str,
     call: &UpstreamCall,
-    life: Duration,
+    ttl: Duration,
 ) -> Result<ClaimGuard, Option<ClaimReply>> {
     let keeper = state.claims().ok_or(None)?;
     let key = ClaimKey { organisation: caller.organisation.clone(), key: key.to_owned() };
@@ -69,7 +69,7 @@
         boot: state.boot(),
         request: call.id.to_string(),
     };
-    match keeper.take(&key, request_digest(call), &owner, life).await {
+    match keeper.take(&key, request_digest(call), &owner, ttl).await {
         Some(ClaimReply::Granted) => {
             Ok(ClaimGuard { state: Arc::clone(state), key, owner, is_open: true })
         }
