--- a/src/traffic/crash_check.rs
+++ b/src/traffic/crash_check.rs
@@ -19,9 +19,9 @@
 /// Number of probes that an upstream must answer by closing the connection before it counts as
 /// terminated. A proxy in front of a terminated upstream does so, but so does a live upstream that
 /// drops requests occasionally.
-const LOOKS: u32 = 2;
+const PROBE_ATTEMPTS: u32 = 2;
 /// Delay between two probes; far below the seconds that an upstream needs to restart.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// An upstream whose connection broke during a request.
 #[derive(Clone, Debug)]
@@ -86,54 +86,54 @@
     }
     let state = Arc::clone(state);
     tokio::spawn(async move {
-        let fate = look(&state, &upstream).await;
+        let result = probe_upstream(&state, &upstream).await;
         let requests = state.crash_checks.take(upstream.hash());
-        tell_pool(&state, &upstream, fate);
-        conclude(&state, &upstream, &requests, fate != UpstreamFate::LivesOn);
+        notify_pool(&state, &upstream, result);
+        record_result(&state, &upstream, &requests, result != CheckResult::Alive);
     });
 }
 
 /// Result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum UpstreamFate {
-    LivesOn,
+enum CheckResult {
+    Alive,
     Ended,
     /// The upstream terminated, and another incarnation already uses its address.
     Replaced,
 }
 
 /// Probes the upstream. One that accepts the connection but stays silent is busy, and thus alive.
-async fn look(state: &TrafficState, upstream: &BrokenUpstream) -> UpstreamFate {
+async fn probe_upstream(state: &TrafficState, upstream: &BrokenUpstream) -> CheckResult {
     let path = state.health_path(&upstream.service);
     let name = upstream.upstream.as_str();
-    for look in 0..LOOKS {
-        if look > 0 {
-            tokio::time::sleep(LOOK_PAUSE).await;
+    for attempt in 0..PROBE_ATTEMPTS {
+        if attempt > 0 {
+            tokio::time::sleep(PROBE_RETRY_DELAY).await;
         }
         match probe(state, upstream.address, name, path.as_deref()).await {
-            ProbeOutcome::Refused => return UpstreamFate::Ended,
-            ProbeOutcome::OtherIncarnation => return UpstreamFate::Replaced,
-            ProbeOutcome::Answered | ProbeOutcome::Silent => return UpstreamFate::LivesOn,
+            ProbeOutcome::Refused => return CheckResult::Ended,
+            ProbeOutcome::OtherIncarnation => return CheckResult::Replaced,
+            ProbeOutcome::Answered | ProbeOutcome::Silent => return CheckResult::Alive,
             ProbeOutcome::Closed => {}
         }
     }
-    UpstreamFate::Ended
+    CheckResult::Ended
 }
 
 /// Updates the pool, so that this daemon, and soon the others, send no more requests to an upstream
 /// that cannot run them.
-fn tell_pool(state: &TrafficState, upstream: &BrokenUpstream, fate: UpstreamFate) {
-    let event = match fate {
-        UpstreamFate::LivesOn => return,
-        UpstreamFate::Ended => UpstreamEvent::Unreachable,
-        UpstreamFate::Replaced => UpstreamEvent::Leaving,
+fn notify_pool(state: &TrafficState, upstream: &BrokenUpstream, result: CheckResult) {
+    let event = match result {
+        CheckResult::Alive => return,
+        CheckResult::Ended => UpstreamEvent::Unreachable,
+        CheckResult::Replaced => UpstreamEvent::Leaving,
     };
     if let Some(pool) = state.version_pool(&upstream.service, upstream.version.as_ref()) {
         pool.handle_event(PoolEvent::Lifecycle { upstream: upstream.index, event });
     }
 }
 
-fn conclude(
+fn record_result(
     state: &TrafficState,
     upstream: &BrokenUpstream,
     requests: &[BrokenRequest],
