--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 
 /// Minimum number of pieces over which a mean token gap is reported to the scheduler.
-const GAP_STRETCH: u64 = 16;
+const MIN_TOKEN_GAP_PIECES: u64 = 16;
 
 /// Result of a request, for logs, metrics and claims.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
 }
 
 /// Event observed while waiting for an answer.
-enum Happening {
+enum ObservedEvent {
     Read(PieceRead),
     Opened(Result<AnswerStream, OpenFault>),
     Silent,
@@ -81,7 +81,7 @@
     tokens: u32,
     prompt_tokens: Option<u32>,
     end_mark: Bytes,
-    gap_from: (u64, Moment),
+    gap_start: (u64, Moment),
     resumes: u32,
     arrived_at: Moment,
     first_piece: Option<Duration>,
@@ -115,15 +115,15 @@
         tokens: 0,
         prompt_tokens: None,
         end_mark: Bytes::new(),
-        gap_from: (0, Moment(0)),
+        gap_start: (0, Moment(0)),
         resumes: 0,
         arrived_at: state.clock.now(),
         first_piece: None,
         recorded: None,
         may_have_run: false,
     };
-    let (guard, word) = pool.submit(arrived);
-    run.carry(guard, word, sink).await;
+    let (guard, decision) = pool.submit(arrived);
+    run.run(guard, decision, sink).await;
     if run.exchange.state() == RequestState::Answered {
         state.quarantine.note_answer(fingerprint, state.clock.now());
     }
@@ -143,15 +143,15 @@
         self.state.clock.now()
     }
 
-    async fn carry(
+    async fn run(
         &mut self,
         mut guard: RequestGuard,
-        mut word: oneshot::Receiver<PoolDecision>,
+        mut decision: oneshot::Receiver<PoolDecision>,
         mut sink: Box<AnswerSink>,
     ) {
         loop {
-            let Some(placed) = self.wait_for_word(&mut word, &mut sink).await else { return };
-            let placed = self.pass_quarantine(placed, &mut guard);
+            let Some(placed) = self.await_decision(&mut decision, &mut sink).await else { return };
+            let placed = self.check_quarantine(placed, &mut guard);
             let (upstream, name, address) = match placed {
                 PoolDecision::Refuse(kind) => {
                     guard.disarm();
@@ -164,33 +164,33 @@
             self.may_have_run = true;
             self.exchange.handle(ExchangeEvent::Placed(upstream), self.now());
             // Boxed so that a waiting request does not occupy the memory of the larger future.
-            match Box::pin(self.converse(&mut guard, &mut sink)).await {
-                ConverseEnd::Requeue => {
+            match Box::pin(self.run_dispatch(&mut guard, &mut sink)).await {
+                DispatchEnd::Requeue => {
                     self.may_have_run = false;
-                    word = guard.requeue(DispatchOutcome::NotSent);
+                    decision = guard.requeue(DispatchOutcome::NotSent);
                 }
-                ConverseEnd::Finish => {
+                DispatchEnd::Finish => {
                     self.recorded = sink.take_record();
                     let _ = Box::pin(sink.finish(std::mem::take(&mut self.end_mark))).await;
                     return;
                 }
-                ConverseEnd::Fail => {
+                DispatchEnd::Fail => {
                     let kind = self.exchange.failure();
                     return Box::pin(self.refuse(sink, kind)).await;
                 }
-                ConverseEnd::CallerGone => return,
+                DispatchEnd::CallerGone => return,
             }
         }
     }
 
-    async fn wait_for_word(
+    async fn await_decision(
         &mut self,
-        word: &mut oneshot::Receiver<PoolDecision>,
+        decision: &mut oneshot::Receiver<PoolDecision>,
         sink: &mut AnswerSink,
     ) -> Option<PoolDecision> {
         tokio::select! {
             biased;
-            placed = word => Some(placed.unwrap_or(PoolDecision::Refuse(AnswerKind::Internal))),
+            placed = decision => Some(placed.unwrap_or(PoolDecision::Refuse(AnswerKind::Internal))),
             () = sink.closed() => {
                 self.exchange.handle(ExchangeEvent::CallerLeft, self.now());
                 None
@@ -199,10 +199,10 @@
     }
 
     /// Releases the slot and refuses the request if its content is quarantined.
-    fn pass_quarantine(&self, word: PoolDecision, guard: &mut RequestGuard) -> PoolDecision {
-        let PoolDecision::Send { .. } = &word else { return word };
+    fn check_quarantine(&self, decision: PoolDecision, guard: &mut RequestGuard) -> PoolDecision {
+        let PoolDecision::Send { .. } = &decision else { return decision };
         match self.state.quarantine.check(self.state, &self.call.id, self.fingerprint) {
-            Ok(()) => word,
+            Ok(()) => decision,
             Err(kind) => {
                 guard.end(DispatchOutcome::Cancelled);
                 PoolDecision::Refuse(kind)
@@ -222,13 +222,17 @@
 
     /// Sends the request, relays the answer and resumes it as needed, until the exchange ends or
     /// the request is requeued.
-    async fn converse(&mut self, guard: &mut RequestGuard, sink: &mut AnswerSink) -> ConverseEnd {
-        let mut opening = Opening::First;
+    async fn run_dispatch(
+        &mut self,
+        guard: &mut RequestGuard,
+        sink: &mut AnswerSink,
+    ) -> DispatchEnd {
+        let mut open_mode = OpenMode::Initial;
         loop {
-            let happening = self.next_happening(opening, sink).await;
-            opening = Opening::None;
+            let observed = self.next_event(open_mode, sink).await;
+            open_mode = OpenMode::None;
             let mut piece = None;
-            let actions = self.take(happening, sink, &mut piece);
+            let actions = self.handle_event(observed, sink, &mut piece);
             for action in actions {
                 match action {
                     ExchangeAction::Relay => {
@@ -238,31 +242,31 @@
                             self.exchange.handle(ExchangeEvent::CallerLeft, now);
                             self.cancel();
                             guard.end(DispatchOutcome::Cancelled);
-                            return ConverseEnd::CallerGone;
+                            return DispatchEnd::CallerGone;
                         }
                     }
                     ExchangeAction::Resume => {
                         self.pieces = None;
                         self.resumes += 1;
-                        opening = Opening::Again;
+                        open_mode = OpenMode::Resume;
                         debug!(self.state.log, "stream interrupted, resuming"; "request" => &*self.call.id, "pieces" => self.exchange.pieces());
                     }
-                    ExchangeAction::Requeue => return ConverseEnd::Requeue,
+                    ExchangeAction::Requeue => return DispatchEnd::Requeue,
                     ExchangeAction::Cancel => self.cancel(),
                     ExchangeAction::Release => guard.end(self.outcome()),
-                    ExchangeAction::Finish => return ConverseEnd::Finish,
-                    ExchangeAction::Fail => return ConverseEnd::Fail,
+                    ExchangeAction::Finish => return DispatchEnd::Finish,
+                    ExchangeAction::Fail => return DispatchEnd::Fail,
                     ExchangeAction::Connect | ExchangeAction::Refuse | ExchangeAction::Withdraw => {
                     }
                 }
             }
             if self.exchange.state() == RequestState::Abandoned {
-                return ConverseEnd::CallerGone;
+                return DispatchEnd::CallerGone;
             }
         }
     }
 
-    async fn next_happening(&mut self, opening: Opening, sink: &mut AnswerSink) -> Happening {
+    async fn next_event(&mut self, open_mode: OpenMode, sink: &mut AnswerSink) -> ObservedEvent {
         let now = self.now();
         let has_begun = sink.has_begun();
         let deadline = self.deadline.since(now);
@@ -272,26 +276,26 @@
         let after = self.exchange.pieces();
         let call = &*self.call;
         let read = async {
-            match (opening, address) {
-                (Opening::First, Some(address)) => {
-                    Happening::Opened(driver.open(call, address).await)
+            match (open_mode, address) {
+                (OpenMode::Initial, Some(address)) => {
+                    ObservedEvent::Opened(driver.open(call, address).await)
                 }
-                (Opening::Again, Some(address)) => {
-                    Happening::Opened(driver.resume(call, address, after).await)
+                (OpenMode::Resume, Some(address)) => {
+                    ObservedEvent::Opened(driver.resume(call, address, after).await)
                 }
                 _ => match &mut self.pieces {
-                    Some(pieces) => Happening::Read(pieces.next().await),
+                    Some(pieces) => ObservedEvent::Read(pieces.next().await),
                     None => std::future::pending().await,
                 },
             }
         };
         tokio::select! {
             biased;
-            happening = read => happening,
-            () = sink.closed() => Happening::CallerLeft,
-            () = tokio::time::sleep(silence) => Happening::Silent,
+            observed = read => observed,
+            () = sink.closed() => ObservedEvent::CallerLeft,
+            () = tokio::time::sleep(silence) => ObservedEvent::Silent,
             // No deadline once the caller receives the answer: aborting would waste the work done.
-            () = tokio::time::sleep(deadline), if !has_begun => Happening::Deadline,
+            () = tokio::time::sleep(deadline), if !has_begun => ObservedEvent::Deadline,
         }
     }
 
@@ -310,15 +314,15 @@
     }
 
     /// Passes an observed event to the exchange and returns the actions to execute.
-    fn take(
+    fn handle_event(
         &mut self,
-        happening: Happening,
+        observed: ObservedEvent,
         sink: &mut AnswerSink,
-        kept: &mut Option<AnswerPiece>,
+        received_piece: &mut Option<AnswerPiece>,
     ) -> &'static [ExchangeAction] {
         let now = self.now();
-        match happening {
-            Happening::Opened(Ok(stream)) => {
+        match observed {
+            ObservedEvent::Opened(Ok(stream)) => {
                 self.exchange.handle(ExchangeEvent::Opened, now);
                 let AnswerStream { head, pieces } = stream;
                 if let (Some(report), Some(upstream)) = (head.report, self.exchange.upstream()) {
@@ -330,7 +334,7 @@
                 self.pieces = Some(pieces);
                 actions
             }
-            Happening::Opened(Err(OpenFault::NotSent { detail })) => {
+            ObservedEvent::Opened(Err(OpenFault::NotSent { detail })) => {
                 info!(self.state.log, "upstream not reached"; "request" => &*self.call.id, "detail" => detail);
                 if self.exchange.state() == RequestState::Connecting {
                     return self.exchange.handle(ExchangeEvent::NotSent, now);
@@ -343,7 +347,7 @@
                 }
                 self.exchange.handle(ExchangeEvent::Cut, now)
             }
-            Happening::Opened(Err(OpenFault::Lost { detail })) => {
+            ObservedEvent::Opened(Err(OpenFault::Lost { detail })) => {
                 info!(self.state.log, "upstream gave no answer"; "request" => &*self.call.id, "detail" => detail);
                 self.check_upstream();
                 let was_resuming = self.exchange.state() == RequestState::Resuming;
@@ -353,32 +357,32 @@
                     now,
                 )
             }
-            Happening::Read(PieceRead::Piece(piece)) => {
+            ObservedEvent::Read(PieceRead::Piece(piece)) => {
                 let event =
                     ExchangeEvent::Piece { sequence: piece.sequence, echo: piece.echo.as_deref() };
                 let actions = self.exchange.handle(event, now);
-                *kept = Some(piece);
+                *received_piece = Some(piece);
                 actions
             }
-            Happening::Read(PieceRead::Ended { prompt_tokens, end_mark }) => {
+            ObservedEvent::Read(PieceRead::Ended { prompt_tokens, end_mark }) => {
                 self.prompt_tokens = prompt_tokens;
                 self.end_mark = end_mark;
                 self.exchange.handle(ExchangeEvent::Ended, now)
             }
-            Happening::Read(PieceRead::Cut) => {
+            ObservedEvent::Read(PieceRead::Cut) => {
                 self.check_upstream();
                 self.exchange.handle(ExchangeEvent::Cut, now)
             }
-            Happening::Silent => {
+            ObservedEvent::Silent => {
                 // The request may have been sent before the silence began.
                 self.exchange.handle(ExchangeEvent::Opened, now);
                 self.exchange.handle(ExchangeEvent::Silent, now)
             }
-            Happening::Deadline => {
+            ObservedEvent::Deadline => {
                 self.exchange.handle(ExchangeEvent::Opened, now);
                 self.exchange.handle(ExchangeEvent::Deadline, now)
             }
-            Happening::CallerLeft => self.exchange.handle(ExchangeEvent::CallerLeft, now),
+            ObservedEvent::CallerLeft => self.exchange.handle(ExchangeEvent::CallerLeft, now),
         }
     }
 
@@ -402,17 +406,17 @@
 
     async fn relay(&mut self, piece: AnswerPiece, sink: &mut AnswerSink) -> Result<(), CallerGone> {
         self.tokens += piece.tokens;
-        self.teach(&piece);
+        self.report_timing(&piece);
         sink.relay(piece.bytes).await
     }
 
     /// Reports the time to the first token and the token gaps of a stream to the scheduler.
-    fn teach(&mut self, piece: &AnswerPiece) {
+    fn report_timing(&mut self, piece: &AnswerPiece) {
         let id = self.id;
         let now = self.now();
         if piece.sequence == 1 {
             self.first_piece = Some(now.since(self.arrived_at));
-            self.gap_from = (1, now);
+            self.gap_start = (1, now);
             if let (Some(after), true) =
                 (self.exchange.time_to_first_piece(), self.call.wants_stream)
             {
@@ -420,10 +424,11 @@
             }
             return;
         }
-        let (from, at) = self.gap_from;
+        let (from, at) = self.gap_start;
         let count = piece.sequence - from;
-        if self.call.wants_stream && self.pool.driver.can_resume() && count >= GAP_STRETCH {
-            self.gap_from = (piece.sequence, now);
+        if self.call.wants_stream && self.pool.driver.can_resume() && count >= MIN_TOKEN_GAP_PIECES
+        {
+            self.gap_start = (piece.sequence, now);
             self.pool.handle_event(PoolEvent::TokenGap { id, gap: now.since(at) / count as u32 });
         }
     }
@@ -451,13 +456,13 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Opening {
+enum OpenMode {
     None,
-    First,
-    Again,
+    Initial,
+    Resume,
 }
 
-enum ConverseEnd {
+enum DispatchEnd {
     Requeue,
     Finish,
     Fail,
