--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -89,15 +89,15 @@
 
     /// Passes an event to the scheduler and its decisions to the waiting requests.
     pub fn handle_event(&self, event: PoolEvent) {
-        self.tell_locked(&mut self.lock(), event);
+        self.handle_event_locked(&mut self.lock(), event);
     }
 
-    fn tell_locked(&self, core: &mut PoolCore, event: PoolEvent) {
+    fn handle_event_locked(&self, core: &mut PoolCore, event: PoolEvent) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut core.actions);
         core.scheduler.handle(event, now, &mut core.rng, &mut actions);
         for action in actions.drain(..) {
-            let (id, word) = match action {
+            let (id, decision) = match action {
                 PoolAction::Refuse { id, kind } => (id, PoolDecision::Refuse(kind)),
                 PoolAction::Dispatch { id, upstream } => {
                     match core.scheduler.upstreams().get(upstream) {
@@ -118,7 +118,7 @@
             };
             // A failed send means that the waiter is gone; its guard notifies the scheduler.
             if let Some(waiter) = core.waiters.remove(&id) {
-                let _ = waiter.send(word);
+                let _ = waiter.send(decision);
             }
         }
         core.actions = actions;
@@ -133,7 +133,7 @@
         let (sender, receiver) = oneshot::channel();
         let mut core = self.lock();
         core.waiters.insert(id, sender);
-        self.tell_locked(&mut core, PoolEvent::Arrived(request));
+        self.handle_event_locked(&mut core, PoolEvent::Arrived(request));
         drop(core);
         (RequestGuard { pool: Arc::clone(self), id, is_open: true }, receiver)
     }
@@ -245,7 +245,7 @@
         let mut core = self.pool.lock();
         core.waiters.insert(self.id, sender);
         let event = PoolEvent::Ended { id: self.id, outcome };
-        self.pool.tell_locked(&mut core, event);
+        self.pool.handle_event_locked(&mut core, event);
         drop(core);
         receiver
     }
@@ -275,8 +275,8 @@
         }
         let mut core = self.pool.lock();
         core.waiters.remove(&self.id);
-        self.pool.tell_locked(&mut core, PoolEvent::CallerLeft(self.id));
+        self.pool.handle_event_locked(&mut core, PoolEvent::CallerLeft(self.id));
         let event = PoolEvent::Ended { id: self.id, outcome: DispatchOutcome::Cancelled };
-        self.pool.tell_locked(&mut core, event);
+        self.pool.handle_event_locked(&mut core, event);
     }
 }
