--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -12,9 +12,9 @@
 
 /// Time after which an unanswered upstream counts as silent. Longer than the connect timeout of one
 /// second, so that an unreachable upstream is distinguished from a busy one.
-const PROBE_TIME: Duration = Duration::from_millis(1_300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Path that is requested if the service has no health path.
-const DEFAULT_PATH: &str = "/";
+const DEFAULT_HEALTH_PATH: &str = "/";
 
 /// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,16 +43,16 @@
     incarnation: &str,
     path: Option<&str>,
 ) -> ProbeOutcome {
-    let Some((manner, request)) =
+    let Some((interface, request)) =
         state.interface().zip(probe_request(state, address, incarnation, path))
     else {
         let is_open = can_connect(address).await;
         return if is_open { ProbeOutcome::Answered } else { ProbeOutcome::Refused };
     };
     let sent = state.connections().send(address, request, Duration::ZERO);
-    match tokio::time::timeout(PROBE_TIME, sent).await {
+    match tokio::time::timeout(PROBE_TIMEOUT, sent).await {
         Ok(Ok((response, _connection))) => {
-            let metadata = manner.dialect.read_answer(response.status(), response.headers());
+            let metadata = interface.dialect.read_answer(response.status(), response.headers());
             match metadata.is_other_incarnation {
                 true => ProbeOutcome::OtherIncarnation,
                 false => ProbeOutcome::Answered,
@@ -82,7 +82,7 @@
         place_id: None,
     };
     state.interface()?.dialect.write_upstream_headers(&mut headers, &metadata);
-    let path = path.unwrap_or(DEFAULT_PATH);
+    let path = path.unwrap_or(DEFAULT_HEALTH_PATH);
     let mut request = Request::get(path).body(Full::<Bytes>::default()).ok()?;
     *request.headers_mut() = headers;
     Some(request)
