--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -15,7 +15,7 @@
 
 /// Time without contact to the leader after which a daemon sends nothing more to a version on
 /// trial, since that version may have been rolled back.
-const HEARD_FOR: Duration = Duration::from_millis(1_500);
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// This daemon's requests to the versions of a roll-out, and their answers.
 #[derive(Debug)]
@@ -32,18 +32,18 @@
 pub struct RolloutGate {
     /// Empty until the leader has sent the rows.
     rows: ArcSwapOption<RolloutRows>,
-    heard_at: AtomicU64,
+    leader_heard_at: AtomicU64,
     states: TrialStates,
-    news: watch::Sender<()>,
+    changes: watch::Sender<()>,
 }
 
 impl Default for RolloutGate {
     fn default() -> Self {
         RolloutGate {
             rows: ArcSwapOption::empty(),
-            heard_at: AtomicU64::new(0),
+            leader_heard_at: AtomicU64::new(0),
             states: TrialStates::default(),
-            news: watch::Sender::new(()),
+            changes: watch::Sender::new(()),
         }
     }
 }
@@ -55,7 +55,7 @@
 impl RolloutGate {
     /// Replaces the rows by the leader's; returns true if they changed. `draw` is the initial
     /// position of new paces, 0.0 to 1.0.
-    pub fn take(&self, rows: RolloutRows, draw: f64) -> bool {
+    pub fn replace_rows(&self, rows: RolloutRows, draw: f64) -> bool {
         if self.rows.load().as_deref() == Some(&rows) {
             return false;
         }
@@ -76,7 +76,7 @@
 
     /// Records contact with the leader at `now`.
     pub fn confirm_leader(&self, now: Moment) {
-        self.heard_at.store(now.0, Ordering::Release);
+        self.leader_heard_at.store(now.0, Ordering::Release);
     }
 
     /// Digest of the known rows; 0 if none were received.
@@ -90,15 +90,20 @@
         rows.as_ref()?.0.iter().find(|row| row.service == *service).cloned()
     }
 
-    fn is_heard(&self, now: Moment) -> bool {
-        now.since(Moment(self.heard_at.load(Ordering::Acquire))) < HEARD_FOR
+    fn has_leader_contact(&self, now: Moment) -> bool {
+        now.since(Moment(self.leader_heard_at.load(Ordering::Acquire))) < LEADER_TIMEOUT
     }
 
-    /// Returns a ticket if the next request is due to go to the version on trial. `has_new` is true
-    /// if that version has upstreams.
-    pub fn ticket(&self, row: &RolloutRow, has_new: bool, now: Moment) -> Option<TrialTicket> {
+    /// Returns a ticket if the next request is due to go to the version on trial.
+    /// `has_new_upstreams` is true if that version has upstreams.
+    pub fn ticket(
+        &self,
+        row: &RolloutRow,
+        has_new_upstreams: bool,
+        now: Moment,
+    ) -> Option<TrialTicket> {
         let is_trial = matches!(row.stage, RolloutStage::Trial | RolloutStage::Expanding);
-        if !is_trial || !has_new || !self.is_heard(now) {
+        if !is_trial || !has_new_upstreams || !self.has_leader_contact(now) {
             return None;
         }
         let mut states = lock(&self.states);
@@ -119,7 +124,7 @@
             }
             // Without contact to the leader it may have been rolled back: the old version is used
             // while its upstreams are listed.
-            RolloutStage::Draining if !self.is_heard(now) && live.0 => VersionArm::Old,
+            RolloutStage::Draining if !self.has_leader_contact(now) && live.0 => VersionArm::Old,
             RolloutStage::Draining | RolloutStage::Completed if live.1 => VersionArm::New,
             RolloutStage::Draining | RolloutStage::Completed if live.0 => VersionArm::Old,
             RolloutStage::Draining | RolloutStage::Completed => VersionArm::New,
@@ -136,18 +141,18 @@
         now: Moment,
     ) -> bool {
         let is_trial = matches!(row.stage, RolloutStage::Trial | RolloutStage::Expanding);
-        let may_try = is_trial && arm == VersionArm::New && self.is_heard(now);
+        let may_try = is_trial && arm == VersionArm::New && self.has_leader_contact(now);
         may_try || arm == self.arm_in_use(row, live, now)
     }
 
     /// Wakes the waiting requests after a change of the roll-outs.
-    pub fn tell_news(&self) {
-        self.news.send_replace(());
+    pub fn notify_changed(&self) {
+        self.changes.send_replace(());
     }
 
     /// Subscribes to changes from now on.
     pub fn subscribe(&self) -> watch::Receiver<()> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
     /// Records that a request was sent to the old version of a service.
--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -72,13 +72,13 @@
 
     /// Applies the roll-outs received from the leader.
     pub fn apply_rollouts(&self, rows: RolloutRows) {
-        if !self.rollouts.take(rows, self.jitter()) {
+        if !self.rollouts.replace_rows(rows, self.jitter()) {
             return;
         }
         let indices = self.organisation_indices.lock().unwrap_or_else(PoisonError::into_inner);
         self.update_pools(&self.snapshot.load().access);
         drop(indices);
-        self.rollouts.tell_news();
+        self.rollouts.notify_changed();
     }
 
     /// Versions of a service's pools: `None`, which accepts any version, and the versions of a
