--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -99,7 +99,7 @@
     let ExchangeCall { call, arrived, silence, fingerprint, is_recorded } = *exchange_call;
     let mut sink = sink;
     if is_recorded {
-        sink.keep_record();
+        sink.start_record();
     }
     let mut run = ExchangeRun {
         state,
--- a/src/traffic/sink.rs
+++ b/src/traffic/sink.rs
@@ -14,14 +14,14 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 /// Number of pieces buffered between the upstream and a slow caller.
-const BUFFERED_PIECES: usize = 64;
+const BODY_CHANNEL_PIECES: usize = 64;
 /// An answer that is not a stream is buffered up to this many bytes before its head is sent, so
 /// that an upstream that breaks off can still be reported as a refusal.
-const HELD_BYTES: usize = 1 << 20;
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
 /// Size in bytes up to which an answer is recorded for retries; a larger one is recorded without
 /// its body.
-const RECORD_BYTES: usize = 16 << 10;
+const MAX_RECORD_BYTES: usize = 16 << 10;
 
 /// The caller closed its connection.
 #[derive(Debug, PartialEq, Eq)]
@@ -33,28 +33,28 @@
     head_sender: Option<oneshot::Sender<Response<Body>>>,
     body_sender: Option<mpsc::Sender<io::Result<Bytes>>>,
     head: Option<Box<AnswerHead>>,
-    held: Vec<Bytes>,
-    held_bytes: usize,
-    streams: bool,
+    buffered: Vec<Bytes>,
+    buffered_bytes: usize,
+    is_stream: bool,
     record: Option<RecordedAnswer>,
-    recorded: Vec<u8>,
+    record_bytes: Vec<u8>,
 }
 
 impl AnswerSink {
-    /// Creates a sink and the receiver of its response. With `streams`, pieces are forwarded at
+    /// Creates a sink and the receiver of its response. With `is_stream`, pieces are forwarded at
     /// once.
-    pub fn new(request_id: Arc<str>, streams: bool) -> (Self, oneshot::Receiver<Response<Body>>) {
+    pub fn new(request_id: Arc<str>, is_stream: bool) -> (Self, oneshot::Receiver<Response<Body>>) {
         let (sender, receiver) = oneshot::channel();
         let sink = AnswerSink {
             request_id,
             head_sender: Some(sender),
             body_sender: None,
             head: None,
-            held: Vec::new(),
-            held_bytes: 0,
-            streams,
+            buffered: Vec::new(),
+            buffered_bytes: 0,
+            is_stream,
             record: None,
-            recorded: Vec::new(),
+            record_bytes: Vec::new(),
         };
         (sink, receiver)
     }
@@ -87,15 +87,15 @@
     }
 
     /// Starts recording the answer for retries; its body is kept only if it is small and text.
-    pub fn keep_record(&mut self) {
+    pub fn start_record(&mut self) {
         self.record = Some(RecordedAnswer { status: 0, content_type: String::new(), body: None });
     }
 
     /// Returns the recorded answer; the body is absent if it was streamed, too large or not text.
     pub fn take_record(&mut self) -> Option<RecordedAnswer> {
         let mut record = self.record.take()?;
-        let bytes = std::mem::take(&mut self.recorded);
-        record.body = if bytes.len() <= RECORD_BYTES && !self.streams {
+        let bytes = std::mem::take(&mut self.record_bytes);
+        record.body = if bytes.len() <= MAX_RECORD_BYTES && !self.is_stream {
             String::from_utf8(bytes).ok()
         } else {
             None
@@ -105,13 +105,13 @@
 
     /// Forwards a piece; waits while the caller is slow.
     pub async fn relay(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
-        if self.record.is_some() && self.recorded.len() <= RECORD_BYTES {
-            self.recorded.extend_from_slice(&bytes);
+        if self.record.is_some() && self.record_bytes.len() <= MAX_RECORD_BYTES {
+            self.record_bytes.extend_from_slice(&bytes);
         }
         if self.body_sender.is_none() {
-            self.held_bytes += bytes.len();
-            self.held.push(bytes);
-            if !self.streams && self.held_bytes <= HELD_BYTES {
+            self.buffered_bytes += bytes.len();
+            self.buffered.push(bytes);
+            if !self.is_stream && self.buffered_bytes <= MAX_BUFFERED_BYTES {
                 return Ok(());
             }
             return self.begin_body().await;
@@ -120,12 +120,12 @@
     }
 
     async fn begin_body(&mut self) -> Result<(), CallerGone> {
-        let (sender, receiver) = mpsc::channel(BUFFERED_PIECES);
+        let (sender, receiver) = mpsc::channel(BODY_CHANNEL_PIECES);
         let response = self.response(Body::from_stream(ReceiverStream::new(receiver)));
         let head_sender = self.head_sender.take().ok_or(CallerGone)?;
         head_sender.send(response).map_err(|_| CallerGone)?;
         self.body_sender = Some(sender);
-        for bytes in std::mem::take(&mut self.held) {
+        for bytes in std::mem::take(&mut self.buffered) {
             self.send(Ok(bytes)).await?;
         }
         Ok(())
@@ -159,14 +159,14 @@
 
     /// Completes the answer.
     pub async fn finish(mut self, end_mark: Bytes) -> Result<(), CallerGone> {
-        if self.streams && self.body_sender.is_none() {
+        if self.is_stream && self.body_sender.is_none() {
             self.begin_body().await?;
         }
         if self.body_sender.is_some() {
             // Dropping the sender ends the body.
             return if end_mark.is_empty() { Ok(()) } else { self.send(Ok(end_mark)).await };
         }
-        let body = std::mem::take(&mut self.held).concat();
+        let body = std::mem::take(&mut self.buffered).concat();
         let response = self.response(Body::from(body));
         let head_sender = self.head_sender.take().ok_or(CallerGone)?;
         head_sender.send(response).map_err(|_| CallerGone)
@@ -179,16 +179,16 @@
             let _ = sender.send(refusal.response(&self.request_id));
             return;
         }
-        if self.streams {
+        if self.is_stream {
             let problem =
                 serde_json::to_string(&refusal.body(&self.request_id)).unwrap_or_default();
             let _ = self.send(Ok(Bytes::from(format!("event: error\ndata: {problem}\n\n")))).await;
         }
-        let cut = io::Error::new(io::ErrorKind::UnexpectedEof, kind_text(refusal.kind));
+        let cut = io::Error::new(io::ErrorKind::UnexpectedEof, kind_name(refusal.kind));
         let _ = self.send(Err(cut)).await;
     }
 }
 
-fn kind_text(kind: AnswerKind) -> &'static str {
+fn kind_name(kind: AnswerKind) -> &'static str {
     kind.row().name
 }
