--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -64,19 +64,19 @@
     pools: ArcSwap<HashMap<ServiceName, Arc<PoolRuntime>>>,
     organisation_indices: Mutex<OrganisationIndices>,
     limits: Mutex<LimitTable>,
-    platform: ArcSwap<PlatformList>,
+    platform_list: ArcSwap<PlatformList>,
     connections: Arc<ConnectionPool>,
     /// End of the table's lease, in microseconds of the clock.
     current_until: AtomicU64,
     /// True if requests are admitted under the last known table after its lease has expired.
-    serves_cut_off: AtomicBool,
+    may_use_expired_table: AtomicBool,
     /// Interface of the platform, if one is served.
-    manner: OnceLock<PlatformInterface>,
-    repeats: Mutex<HashMap<ServiceName, RetryBudget>>,
-    repeat_bound: OnceLock<RetryBound>,
+    interface: OnceLock<PlatformInterface>,
+    retry_budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
+    retry_bound: OnceLock<RetryBound>,
     mechanisms: OnceLock<MechanismSet>,
     /// Detectors of retries by the callers' remaining time, by route.
-    caller_times: Mutex<HashMap<String, RetryDetector>>,
+    retry_detectors: Mutex<HashMap<String, RetryDetector>>,
     /// Sizes of recent requests, by route.
     route_sizes: Mutex<HashMap<String, RouteSizes>>,
     is_ready: AtomicBool,
@@ -85,7 +85,7 @@
     /// Notified when a table takes effect.
     pub table_changes: Notify,
     /// True once a list of upstreams was received, or if none is read at all.
-    has_list: watch::Sender<bool>,
+    has_upstream_list: watch::Sender<bool>,
     /// Exchange with the other daemons that serve callers.
     pub fleet: FleetExchange,
     /// Quarantine of requests that crashed upstreams.
@@ -116,21 +116,21 @@
             pools: ArcSwap::default(),
             organisation_indices: Mutex::default(),
             limits: Mutex::default(),
-            platform: ArcSwap::default(),
+            platform_list: ArcSwap::default(),
             connections: Arc::default(),
             current_until: AtomicU64::new(0),
-            serves_cut_off: AtomicBool::new(false),
-            manner: OnceLock::new(),
-            repeats: Mutex::default(),
-            repeat_bound: OnceLock::new(),
+            may_use_expired_table: AtomicBool::new(false),
+            interface: OnceLock::new(),
+            retry_budgets: Mutex::default(),
+            retry_bound: OnceLock::new(),
             mechanisms: OnceLock::new(),
-            caller_times: Mutex::default(),
+            retry_detectors: Mutex::default(),
             route_sizes: Mutex::default(),
             is_ready: AtomicBool::new(true),
             is_drained: AtomicBool::new(false),
             claims: OnceLock::new(),
             table_changes: Notify::new(),
-            has_list: watch::Sender::new(true),
+            has_upstream_list: watch::Sender::new(true),
             fleet: FleetExchange::default(),
             quarantine: QuarantineGate::default(),
             rollouts: RolloutGate::default(),
@@ -183,7 +183,7 @@
         let Some(document) = &versioned.document else {
             return Some(Cow::Borrowed(&versioned.table));
         };
-        let reader = self.manner.get().map(|manner| &manner.reader);
+        let reader = self.interface.get().map(|interface| &interface.reader);
         match reader.map(|reader| reader.read(document)) {
             Some(Ok((_, table))) => Some(Cow::Owned(table)),
             Some(Err(faults)) => {
@@ -198,23 +198,23 @@
     }
 
     /// Sets the platform interface to serve; only the first call has an effect.
-    pub fn set_interface(&self, manner: PlatformInterface) {
-        let _ = self.manner.set(manner);
+    pub fn set_interface(&self, interface: PlatformInterface) {
+        let _ = self.interface.set(interface);
     }
 
     /// Interface of the platform, if one is served.
     pub fn interface(&self) -> Option<&PlatformInterface> {
-        self.manner.get()
+        self.interface.get()
     }
 
     /// Allows requests to be admitted under the last known table after its lease has expired.
     pub fn allow_expired_table(&self) {
-        self.serves_cut_off.store(true, Ordering::Release);
+        self.may_use_expired_table.store(true, Ordering::Release);
     }
 
     /// True if requests are admitted under the last known table after its lease has expired.
     pub fn may_use_expired_table(&self) -> bool {
-        self.serves_cut_off.load(Ordering::Acquire)
+        self.may_use_expired_table.load(Ordering::Acquire)
     }
 
     /// Path of the health check of a service's upstreams, if the service has one.
@@ -232,7 +232,7 @@
     /// Sets the operators' bound on retries, before the first request; only the first call has an
     /// effect.
     pub fn set_retry_bound(&self, bound: RetryBound) {
-        let _ = self.repeat_bound.set(bound);
+        let _ = self.retry_bound.set(bound);
     }
 
     /// Sets the enabled mechanisms, before any table is in force; only the first call has an
@@ -251,11 +251,11 @@
         if !self.mechanisms().has(Mechanism::KnownReturns) {
             return false;
         }
-        let mut times = self.caller_times.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(times) = times.get_mut(route) {
-            return times.is_retry(time);
+        let mut detectors = self.retry_detectors.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(detector) = detectors.get_mut(route) {
+            return detector.is_retry(time);
         }
-        times.entry(route.to_owned()).or_default().is_retry(time)
+        detectors.entry(route.to_owned()).or_default().is_retry(time)
     }
 
     /// Decile of a request's size among the recent requests of its route; `None` while too few are
@@ -284,9 +284,9 @@
         service: &ServiceName,
         change: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
-        let mut repeats = self.repeats.lock().unwrap_or_else(PoisonError::into_inner);
-        let budget = repeats.entry(service.clone()).or_insert_with(|| {
-            let bound = self.repeat_bound.get().copied().unwrap_or_default();
+        let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        let budget = budgets.entry(service.clone()).or_insert_with(|| {
+            let bound = self.retry_bound.get().copied().unwrap_or_default();
             RetryBudget::new(bound, self.fleet.daemon_count())
         });
         change(budget)
@@ -321,9 +321,9 @@
         self.pools.store(Arc::new(pools));
         let routes: HashSet<&str> =
             access.table().routes.iter().map(|row| row.route.as_str()).collect();
-        let mut times = self.caller_times.lock().unwrap_or_else(PoisonError::into_inner);
-        times.retain(|route, _| routes.contains(route.as_str()));
-        drop(times);
+        let mut detectors = self.retry_detectors.lock().unwrap_or_else(PoisonError::into_inner);
+        detectors.retain(|route, _| routes.contains(route.as_str()));
+        drop(detectors);
         let mut sizes = self.route_sizes.lock().unwrap_or_else(PoisonError::into_inner);
         sizes.retain(|route, _| routes.contains(route.as_str()));
         drop(sizes);
@@ -332,32 +332,36 @@
 
     /// Current platform list.
     pub fn platform_list(&self) -> Arc<PlatformList> {
-        self.platform.load_full()
+        self.platform_list.load_full()
     }
 
     /// Declares that a list of upstreams will be read, and that none was received yet.
     pub fn expect_upstream_list(&self) {
-        self.has_list.send_replace(false);
+        self.has_upstream_list.send_replace(false);
     }
 
-    /// Waits for the first list of upstreams, for at most `most`.
-    pub async fn wait_for_upstream_list(&self, most: Duration) {
-        if *self.has_list.borrow() {
+    /// Waits for the first list of upstreams, for at most `max_wait`.
+    pub async fn wait_for_upstream_list(&self, max_wait: Duration) {
+        if *self.has_upstream_list.borrow() {
             return;
         }
-        let mut news = self.has_list.subscribe();
-        let _ = tokio::time::timeout(most, news.wait_for(|has_list| *has_list)).await;
+        let mut changes = self.has_upstream_list.subscribe();
+        let _ = tokio::time::timeout(
+            max_wait,
+            changes.wait_for(|has_upstream_list| *has_upstream_list),
+        )
+        .await;
     }
 
     /// Applies a new platform list.
     pub fn apply_platform_list(&self, list: PlatformList) {
-        self.platform.store(Arc::new(list));
+        self.platform_list.store(Arc::new(list));
         self.update_sources(self.snapshot.load().access.table());
-        self.has_list.send_replace(true);
+        self.has_upstream_list.send_replace(true);
     }
 
     fn update_sources(&self, table: &OperatorTable) {
-        let platform = self.platform.load();
+        let platform = self.platform_list.load();
         for pool in self.pools.load().values() {
             let sources = match self.rollouts.row(&pool.service) {
                 Some(row) => version_sources(&row, &platform, table, pool),
@@ -402,9 +406,9 @@
 
     /// True while this daemon may admit requests under its table.
     pub fn is_current(&self) -> bool {
-        let goes_on =
-            self.serves_cut_off.load(Ordering::Acquire) && self.snapshot.load().version > 0;
-        goes_on || self.clock.now().0 < self.current_until.load(Ordering::Acquire)
+        let is_exempt =
+            self.may_use_expired_table.load(Ordering::Acquire) && self.snapshot.load().version > 0;
+        is_exempt || self.clock.now().0 < self.current_until.load(Ordering::Acquire)
     }
 
     /// True while the load balancer should send requests to this daemon.
