--- a/src/traffic/access.rs
+++ b/src/traffic/access.rs
@@ -18,9 +18,7 @@
 pub struct CallerIdentity {
     /// Index of the organisation in this daemon.
     pub index: OrganisationIndex,
-    /// Name of the organisation.
     pub organisation: OrganisationName,
-    /// Weight of the organisation.
     pub weight: u32,
     /// Unit that the organisation's limit counts.
     pub limit_unit: LimitUnit,
@@ -158,7 +156,6 @@
         self.token_limited.get(&organisation).copied()
     }
 
-    /// Index of the routes.
     pub fn routes(&self) -> &RouteIndex {
         &self.routes
     }
@@ -172,7 +169,6 @@
         }
     }
 
-    /// Rows of all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceRow>> {
         self.services.values()
     }
@@ -182,7 +178,6 @@
         &self.table
     }
 
-    /// Limits of all organisations.
     pub fn limits(&self) -> &HashMap<OrganisationIndex, OrganisationLimit> {
         &self.limits
     }
