--- a/src/traffic/crash_check.rs
+++ b/src/traffic/crash_check.rs
@@ -26,18 +26,15 @@
 /// An upstream whose connection broke during a request.
 #[derive(Clone, Debug)]
 pub struct BrokenUpstream {
-    /// Service of the upstream.
     pub service: ServiceName,
     /// Software version of the pool that the upstream is in; `None` if the pool accepts any
     /// version.
     pub version: Option<SoftwareVersion>,
-    /// Name of the upstream.
     pub upstream: UpstreamName,
     /// Index of the upstream in its pool.
     pub index: UpstreamIndex,
     /// Last known incarnation; 0 if unknown.
     pub incarnation: u64,
-    /// Address of the upstream.
     pub address: SocketAddr,
 }
 
