--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -27,7 +27,6 @@
 /// Result of a request, for logs, metrics and claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExchangeEnd {
-    /// Final state.
     pub state: RequestState,
     /// Reason why there is no whole answer.
     pub failure: Option<AnswerKind>,
@@ -35,7 +34,6 @@
     pub upstream: Option<UpstreamName>,
     /// Time from arrival to the first piece.
     pub first_piece: Option<Duration>,
-    /// Number of output tokens.
     pub tokens: u32,
     /// Recorded answer, if one was to be kept.
     pub recorded: Option<RecordedAnswer>,
