--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -25,9 +25,7 @@
     Send {
         /// Index of the upstream in the pool.
         upstream: UpstreamIndex,
-        /// Name of the upstream.
         name: UpstreamName,
-        /// Address of the upstream.
         address: SocketAddr,
     },
     /// Refuse the request.
@@ -43,11 +41,9 @@
 
 /// Runtime of one pool.
 pub struct PoolRuntime {
-    /// Service of the pool.
     pub service: ServiceName,
     /// Software version of the pool's upstreams; `None` if it accepts any version.
     pub version: Option<SoftwareVersion>,
-    /// Driver for the pool's upstreams.
     pub driver: Arc<dyn UpstreamDriver>,
     clock: TrafficClock,
     event_tokens: AtomicU32,
@@ -148,7 +144,6 @@
         self.lock().scheduler.shed_order_violations()
     }
 
-    /// Estimates the cost of a request.
     pub fn estimate_cost(
         &self,
         organisation: OrganisationIndex,
@@ -224,7 +219,6 @@
         self.reservation.store(reservation, Ordering::Relaxed);
     }
 
-    /// Current time.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
