--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -54,11 +54,8 @@
 
 /// Shared state of one daemon's data plane.
 pub struct TrafficState {
-    /// Name of the daemon.
     pub daemon: DaemonName,
-    /// Logger.
     pub log: Logger,
-    /// Clock of the data plane.
     pub clock: TrafficClock,
     snapshot: ArcSwap<TableSnapshot>,
     pools: ArcSwap<HashMap<ServiceName, Arc<PoolRuntime>>>,
@@ -143,7 +140,6 @@
         })
     }
 
-    /// Current snapshot of the table.
     pub fn snapshot(&self) -> Arc<TableSnapshot> {
         self.snapshot.load_full()
     }
@@ -224,7 +220,6 @@
         row.and_then(|row| row.health_path.clone())
     }
 
-    /// Connections to upstreams.
     pub fn connections(&self) -> &Arc<ConnectionPool> {
         &self.connections
     }
@@ -330,7 +325,6 @@
         self.update_sources(access.table());
     }
 
-    /// Current platform list.
     pub fn platform_list(&self) -> Arc<PlatformList> {
         self.platform_list.load_full()
     }
@@ -431,12 +425,12 @@
         self.is_drained.load(Ordering::Acquire)
     }
 
-    /// Sets the access to claims; only the first call has an effect.
+    /// Sets the [`ClaimKeeper`]; only the first call has an effect.
     pub fn set_claims(&self, keeper: ClaimKeeper) {
         let _ = self.claims.set(keeper);
     }
 
-    /// Access to claims, if set.
+    /// The [`ClaimKeeper`], once set.
     pub fn claims(&self) -> Option<&ClaimKeeper> {
         self.claims.get()
     }
