--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -12,7 +12,6 @@
 
 /// Pool selected for a request.
 pub struct ChosenPool {
-    /// Selected pool.
     pub pool: Arc<PoolRuntime>,
     /// Arm of the service's roll-out that the pool belongs to.
     pub arm: VersionArm,
