--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -19,7 +19,6 @@
 /// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The upstream answered.
     Answered,
     /// Another incarnation uses the upstream's address.
     OtherIncarnation,
