--- a/src/traffic/drain.rs
+++ b/src/traffic/drain.rs
@@ -26,7 +26,7 @@
         Signal,
         /// The time that the load balancer needs to notice has passed.
         BalancerNoticed,
-        /// The last request in progress ended.
+        /// No request is in progress.
         Idle,
     }
 }
