--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -121,7 +121,7 @@
         may_have_run: false,
     };
     let (guard, decision) = pool.submit(arrived);
-    run.run(guard, decision, sink).await;
+    run.execute(guard, decision, sink).await;
     if run.exchange.state() == RequestState::Answered {
         state.quarantine.note_answer(fingerprint, state.clock.now());
     }
@@ -141,7 +141,7 @@
         self.state.clock.now()
     }
 
-    async fn run(
+    async fn execute(
         &mut self,
         mut guard: RequestGuard,
         mut decision: oneshot::Receiver<PoolDecision>,
