--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -400,9 +400,9 @@
 
     /// True while this daemon may admit requests under its table.
     pub fn is_current(&self) -> bool {
-        let is_exempt =
+        let may_use_expired =
             self.may_use_expired_table.load(Ordering::Acquire) && self.snapshot.load().version > 0;
-        is_exempt || self.clock.now().0 < self.current_until.load(Ordering::Acquire)
+        may_use_expired || self.clock.now().0 < self.current_until.load(Ordering::Acquire)
     }
 
     /// True while the load balancer should send requests to this daemon.
