--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,8 +1,10 @@
-//! Roll-outs of upstreams' software: a new version is let in by a small share, then used or rolled back by what it does.
+//! Canary roll-outs of upstream software: a new version first receives a small share of the
+//! requests and is then promoted or rolled back according to its results.
 //!
-//! Pure: time and draws are inputs. The voters keep the orders and stages ([`RolloutLog`]); daemons send the new version
-//! its share ([`SharePace`]) and count what comes of it ([`AnswerCounts`]); the leader adds the counts up and decides
-//! ([`RolloutDirector`]). A new version that fails or is slow is found by comparison with the old one in the same time.
+//! This module is pure: time and random numbers are inputs. The voters store orders and stages
+//! ([`RolloutLog`]), daemons send the new version its share ([`SharePace`]) and count the outcomes
+//! ([`AnswerCounts`]), and the leader sums the counts and decides ([`RolloutDirector`]). A new
+//! version that fails or is slow is detected by comparison with the old one over the same period.
 
 mod counts;
 mod director;
