--- a/src/rollout/counts.rs
+++ b/src/rollout/counts.rs
@@ -1,79 +1,81 @@
-//! What requests on the old and the new version of a service came to, as counters that only rise.
+//! Cumulative counts of request outcomes on the old and the new version of a service.
 
 use crate::policy::{RouteKey, SizeDecile, UpstreamHash};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Tenths by size that count together.
+/// Number of size deciles that form one request group.
 const TENTHS_IN_GROUP: u8 = 4;
-/// The group of requests whose size is not known.
+/// Size group of requests of unknown size.
 const NO_GROUP: u8 = 3;
-/// Buckets of times, two for each doubling.
+/// Number of latency buckets, two per doubling.
 pub const TIME_BUCKETS: u8 = 36;
 
-/// Which version a request went to.
+/// The version that a request was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum VersionArm {
     /// The version in use.
     Old,
-    /// The version that is rolled out.
+    /// The version being rolled out.
     New,
 }
 
-/// What a request came to.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AnswerCount {
-    /// It was answered; its first event or its answer came in this bucket of time after it was sent.
+    /// The request was answered; the bucket holds the time from sending it to its first event or
+    /// its answer.
     Served(u8),
-    /// It failed, was cut, or was answered with bytes that are not its answer.
+    /// The request failed, its answer was cut short, or the bytes received were not its answer.
     Failed,
 }
 
 impl AnswerCount {
-    /// An answer that came `after` its send.
+    /// The outcome of a request answered `after` it was sent.
     pub fn served(after: Duration) -> Self {
         let millis = (after.as_secs_f64() * 1_000.0).max(1.0);
         AnswerCount::Served(((millis.log2() * 2.0) as u8).min(TIME_BUCKETS - 1))
     }
 }
 
-/// Requests that are compared with each other: those of one route and of like size.
+/// A group of comparable requests: those of one route and of similar size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestGroup {
-    /// The route.
+    /// Short hash of the route.
     pub route: u32,
-    /// The group by size.
+    /// Size group.
     pub size: u8,
 }
 
 impl RequestGroup {
-    /// The group of a request.
+    /// Returns the group of a request in size decile `tenth`, if that is known.
     pub fn of(route: RouteKey, tenth: Option<SizeDecile>) -> Self {
         let size = tenth.map_or(NO_GROUP, |tenth| tenth.number() / TENTHS_IN_GROUP);
         RequestGroup { route: route.short(), size }
     }
 }
 
-/// What is counted apart. Times on the old version are not kept by engine: there are many.
+/// Key of one counter. Latencies on the old version are not counted per upstream, since it has
+/// many upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CountKey {
-    /// The version.
+    /// Version that served the request.
     pub arm: VersionArm,
-    /// The group.
+    /// Group of the request.
     pub group: RequestGroup,
-    /// The engine; none where engines count together.
+    /// The upstream; none where the counter covers all upstreams.
     pub upstream: Option<UpstreamHash>,
-    /// What came of it.
+    /// Outcome of the request.
     pub answer: AnswerCount,
 }
 
-/// The answers on both versions, counted from the beginning of a roll-out.
+/// Outcomes on both versions, counted since the start of a roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerCounts(BTreeMap<CountKey, u32>);
 
 impl AnswerCounts {
-    /// Counts an answer.
+    /// Counts one outcome.
     pub fn note(
         &mut self,
         arm: VersionArm,
@@ -86,29 +88,29 @@
         *self.0.entry(key).or_default() += 1;
     }
 
-    /// Adds another one's.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &AnswerCounts) {
         other.0.iter().for_each(|(key, count)| *self.0.entry(*key).or_default() += count);
     }
 
-    /// What was counted since `earlier`.
+    /// Returns the counts added since `earlier`.
     pub fn since(&self, earlier: &AnswerCounts) -> AnswerCounts {
         let before = |key| earlier.0.get(key).copied().unwrap_or(0);
         let rows = self.0.iter().map(|(key, count)| (*key, count.saturating_sub(before(key))));
         AnswerCounts(rows.filter(|(_, count)| *count > 0).collect())
     }
 
-    /// All rows.
+    /// Iterates over all counters.
     pub fn iter(&self) -> impl Iterator<Item = (&CountKey, u32)> {
         self.0.iter().map(|(key, count)| (key, *count))
     }
 
-    /// Answers on a version.
+    /// Number of requests counted on a version, failed ones included.
     pub fn total(&self, arm: VersionArm) -> u64 {
         self.iter().filter(|(key, _)| key.arm == arm).map(|(_, count)| u64::from(count)).sum()
     }
 
-    /// Failures on a version.
+    /// Number of failed requests on a version.
     pub fn failures(&self, arm: VersionArm) -> u64 {
         let failed = |key: &CountKey| key.arm == arm && key.answer == AnswerCount::Failed;
         self.iter().filter(|(key, _)| failed(key)).map(|(_, count)| u64::from(count)).sum()
