--- a/src/rollout/director.rs
+++ b/src/rollout/director.rs
@@ -1,4 +1,5 @@
-//! The leader's side: gathers what daemons count, and says when a roll-out goes on, ends or is rolled back.
+//! The leader's part of a roll-out: sums the daemons' counts and decides when the roll-out
+//! advances, completes or is rolled back.
 
 use super::counts::{AnswerCounts, VersionArm};
 use super::judge::{VersionVerdict, judge};
@@ -10,57 +11,59 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Part of the time ordered that the trial takes: a version that turns bad after half of it is still found in the trial.
+/// Minimum fraction of the ordered duration spent in the trial. A version that degrades after half
+/// of the duration is still detected in the trial.
 const TRIAL_PART: f64 = 0.55;
-/// Part after which a trial whose answers are too few to say anything ends.
+/// Fraction of the ordered duration after which a trial that is still inconclusive ends.
 const LONGEST_TRIAL_PART: f64 = 0.8;
-/// Part of the time ordered that the larger share is kept for.
+/// Fraction of the ordered duration spent at the larger share.
 const EXPANDING_PART: f64 = 0.08;
-/// At least this long, so that the daemons' counts under the larger share arrive.
+/// Minimum time spent at the larger share, so that the daemons' counts from it arrive.
 const LEAST_EXPANDING: Duration = Duration::from_millis(1_000);
-/// Answers are judged over the whole time, and over the last moments: a version that turns bad later has many good answers.
+/// Outcomes are evaluated over the whole roll-out and over this most recent window: a version that
+/// degrades late has many earlier successes that would hide it.
 const RECENT: Duration = Duration::from_millis(2_000);
-/// Time between two readings of the counts.
+/// Minimum time between two evaluations of the counts.
 const READING_PAUSE: Duration = Duration::from_millis(250);
-/// Answers on the new version without which nothing is said of it.
+/// Minimum number of outcomes on the new version before it is evaluated.
 const LEAST_ANSWERS: u64 = 10;
 
-/// What one daemon reported last.
+/// The last report of one daemon.
 #[derive(Clone, Debug)]
 struct DaemonCounts {
     boot: u64,
     report: RolloutReport,
 }
 
-/// Why a roll-out's stage changes; for logs.
+/// A stage change of a roll-out and the data that led to it, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutDecision {
-    /// What happens.
+    /// Event that changes the stage.
     pub event: RolloutEvent,
-    /// What the answers say.
+    /// Verdict on the new version.
     pub verdict: VersionVerdict,
-    /// Answers on the old version and on the new one.
+    /// Number of outcomes on the old version and on the new one.
     pub answers: (u64, u64),
-    /// Failures among them.
+    /// Number of failures among them.
     pub failures: (u64, u64),
 }
 
-/// One roll-out as the leader sees it.
+/// The leader's state of one roll-out.
 #[derive(Clone, Debug)]
 pub struct RolloutDirector {
     number: u64,
-    /// The time passed when this leader began, and when that was.
+    /// Milliseconds elapsed when this leader took over, and the moment when it did.
     began: (u64, Moment),
     stage: RolloutStage,
     stage_since: Moment,
     daemons: BTreeMap<DaemonName, DaemonCounts>,
-    /// Counts of daemons' earlier starts.
+    /// Counts from earlier process starts of the daemons.
     ended: AnswerCounts,
     readings: VecDeque<(Moment, AnswerCounts)>,
 }
 
 impl RolloutDirector {
-    /// The director of a roll-out that had lasted `elapsed_ms` at `now`.
+    /// Takes over a roll-out that has been running for `elapsed_ms` at `now`.
     pub fn new(record: &RolloutRecord, elapsed_ms: u64, now: Moment) -> Self {
         RolloutDirector {
             number: record.number,
@@ -73,17 +76,17 @@
         }
     }
 
-    /// The roll-out's number.
+    /// Number of the roll-out.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Milliseconds from the roll-out's beginning.
+    /// Milliseconds since the start of the roll-out.
     pub fn elapsed_ms(&self, now: Moment) -> u64 {
         self.began.0 + now.since(self.began.1).as_millis() as u64
     }
 
-    /// Takes a daemon's report of it.
+    /// Stores a daemon's report; reports on other roll-outs are ignored.
     pub fn take(&mut self, daemon: &DaemonName, boot: u64, report: RolloutReport) {
         if report.number != self.number {
             return;
@@ -100,7 +103,8 @@
         counts
     }
 
-    /// What happens now, if anything. `live` are the daemons that serve callers and hold a lease, with their boots.
+    /// Returns the stage change that is due, if any. `live` maps the daemons that serve callers and
+    /// hold a lease to their boot numbers.
     pub fn decide(
         &mut self,
         record: &RolloutRecord,
@@ -157,7 +161,8 @@
         match record.stage {
             RolloutStage::Trial if elapsed >= part(LONGEST_TRIAL_PART) => match verdict {
                 VersionVerdict::Sound => Some(RolloutEvent::Approved),
-                // Nothing speaks for it, and the old version serves: callers lose nothing by staying.
+                // There is no evidence for the new version. The old one still serves, so rolling
+                // back costs callers nothing.
                 _ => Some(RolloutEvent::Condemned),
             },
             RolloutStage::Trial if elapsed >= part(TRIAL_PART) => {
@@ -173,7 +178,8 @@
         }
     }
 
-    /// True once every live daemon sends all requests to the new version and has none left on the old one.
+    /// Returns true once every live daemon sends all requests to the new version and has none left
+    /// on the old one.
     fn is_drained(&self, live: &BTreeMap<DaemonName, u64>) -> bool {
         !live.is_empty()
             && live.iter().all(|(daemon, boot)| {
