--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -1,68 +1,75 @@
-//! Whether the answers of a new version are worse than those of the old one: two tests on their counts.
+//! Compares a new version with the old one by two sequential tests on the outcome counts.
 //!
-//! Failures are tested by Wald's sequential probability ratio test (A. Wald, *Sequential Analysis*, 1947), times by betting
-//! on their rank among the old version's (I. Waudby-Smith and A. Ramdas, *Estimating means of bounded random variables by
-//! betting*, 2024). Both may be looked at after every answer without more false alarms. The engines that do worst are left
-//! out: an engine that is in trouble by itself says nothing of its version.
+//! Failures are tested with Wald's sequential probability ratio test (A. Wald, *Sequential
+//! Analysis*, 1947). Latencies are tested by betting on their rank among those of the old version
+//! (I. Waudby-Smith and A. Ramdas, *Estimating means of bounded random variables by betting*,
+//! 2024). Both tests remain valid when evaluated after every answer: repeated evaluation does not
+//! raise the false-alarm rate. The worst upstreams are excluded, since a fault of a single upstream
+//! says nothing about its version.
 
 use super::counts::{AnswerCount, AnswerCounts, RequestGroup, TIME_BUCKETS, VersionArm};
 use crate::policy::UpstreamHash;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Part of a version's engines that are left out, those that fail most.
+/// Share of a version's upstreams excluded from the failure test: those with the most failures.
 const LEFT_OUT: f64 = 0.2;
-/// Part that is left out of the test on times, the slowest: engines differ in speed severalfold, and a version that is
-/// slow is so on the fastest engines too.
+/// Share of upstreams excluded from the latency test: the slowest ones. Upstreams differ in speed
+/// severalfold, and a slow version is also slow on the fastest upstreams.
 const SLOWEST_LEFT_OUT: f64 = 0.5;
-/// Fewer engines are all counted.
+/// With fewer upstreams than this, none is excluded.
 const LEAST_ENGINES: usize = 3;
-/// Failures of a new version beyond the old one's that are worth a roll-back, as a share of its answers.
+/// Increase in the failure rate over the old version that justifies a roll-back, as a share of the
+/// answers that would otherwise succeed.
 const WORSE_BY: f64 = 0.07;
-/// A share of failures below this is no concern, whatever the old version's is.
+/// Lower bound of the assumed baseline failure rate; rates below it are tolerated whatever the old
+/// version's rate is.
 const LEAST_SHARE: f64 = 0.01;
-/// The old version's share of failures may be exceeded by this factor: it is an estimate.
+/// Factor applied to the old version's failure rate, which is only an estimate.
 const SHARE_MARGIN: f64 = 1.25;
-/// Answers of the old version that are assumed beside those seen, so that few answers do not pass for certainty.
+/// Number of answers assumed for the old version in addition to those counted, so that a small
+/// sample is not treated as certain.
 const PRIOR_ANSWERS: f64 = 20.0;
-/// Odds against a good version at which it is condemned.
+/// Odds against the new version at which it is rejected.
 const CONDEMNING_ODDS: f64 = 2_000.0;
-/// Odds for a good version at which it is approved.
+/// Odds in favour of the new version at which it is approved.
 const APPROVING_ODDS: f64 = 20.0;
-/// The mean rank of a good version's times among the old one's, 0.5 if they are alike, that is still tolerated.
+/// Highest tolerated mean rank of the new version's latencies among the old one's. The mean is 0.5
+/// if both have the same distribution.
 const TOLERATED_RANK: f64 = 0.58;
-/// Stakes of the bets on ranks; the mean of what they win counts.
+/// Stakes of the bets on ranks. The test uses the mean of the resulting wealth.
 const STAKES: [f64; 2] = [0.6, 1.2];
-/// Answers of the old version to requests of a group without which ranks say nothing.
+/// Minimum number of answers of the old version in a request group for ranks to be meaningful.
 const LEAST_RANKED: u64 = 10;
 
-/// What the counts say of a new version.
+/// Verdict on the new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionVerdict {
-    /// It fails more often.
+    /// It fails more often than the old version.
     Failing,
-    /// It answers several times slower.
+    /// It answers several times slower than the old version.
     Slow,
-    /// Neither, and enough answers say so.
+    /// It is neither, and there are enough answers to say so.
     Sound,
-    /// Too few answers.
+    /// There are too few answers.
     Unclear,
 }
 
 impl VersionVerdict {
-    /// True if the new version must not be used.
+    /// Returns true if the new version must be rolled back.
     pub fn is_bad(self) -> bool {
         matches!(self, VersionVerdict::Failing | VersionVerdict::Slow)
     }
 }
 
-/// Answers and failures of one engine, or of several.
+/// Answers and failures of one or several upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct FailureTally {
     answers: f64,
     failures: f64,
 }
 
-/// Judges the new version's counts. `usual` is what the old version's are taken from where `counts` hold too few of them.
+/// Evaluates the new version. The old version's failure rate is taken from `usual` where `counts`
+/// hold too few of its answers.
 pub fn judge(counts: &AnswerCounts, usual: &AnswerCounts) -> VersionVerdict {
     let mut odds = Vec::new();
     for route in routes(counts).into_iter().map(Some).chain([None]) {
@@ -86,7 +93,7 @@
     new.map(|(key, _)| key.group.route).collect()
 }
 
-/// The logarithm of the odds that the new version fails more often, on one route or on all.
+/// Returns the log odds that the new version fails more often, on one route or on all of them.
 fn failure_odds(counts: &AnswerCounts, usual: &AnswerCounts, route: Option<u32>) -> f64 {
     let usual_share = old_share(counts, route).or_else(|| old_share(usual, route));
     let usual_share = (usual_share.unwrap_or(0.0) * SHARE_MARGIN).clamp(LEAST_SHARE, 0.8);
@@ -96,7 +103,8 @@
     new.failures * failed.ln() + (new.answers - new.failures) * answered.ln()
 }
 
-/// The old version's share of failures, without the engines that fail most; none where it has answered too little.
+/// Returns the old version's failure rate without the upstreams that fail most, or none if it has
+/// too few answers.
 fn old_share(counts: &AnswerCounts, route: Option<u32>) -> Option<f64> {
     let mut answers = 0.0;
     let mut failures: BTreeMap<Option<UpstreamHash>, f64> = BTreeMap::new();
@@ -114,7 +122,8 @@
     }
     let mut ranked: Vec<f64> = failures.into_values().collect();
     ranked.sort_by(|a, b| b.total_cmp(a));
-    // An engine that fails alone is in trouble by itself; where all fail, that is the version's usual.
+    // A few failing upstreams are faulty themselves; if all of them fail, that is the version's
+    // normal failure rate.
     let left_out = if ranked.len() < LEAST_ENGINES { 0 } else { left_out(ranked.len()) };
     let failures: f64 = ranked.iter().skip(left_out).sum();
     Some(failures / (answers + PRIOR_ANSWERS))
@@ -140,7 +149,7 @@
     tallies
 }
 
-/// The sum without the engines that fail most often beyond their part.
+/// Returns the sum over all upstreams except those with the most failures.
 fn trimmed(tallies: BTreeMap<Option<UpstreamHash>, FailureTally>) -> FailureTally {
     let engines = tallies.len();
     let mut ranked: Vec<FailureTally> = tallies.into_values().collect();
@@ -164,7 +173,8 @@
     times
 }
 
-/// The part of the times that are shorter, with half of those alike.
+/// Returns the mid-rank of a latency bucket: the share of shorter latencies plus half of the equal
+/// ones.
 fn rank(times: &TimeHistogram, bucket: u8) -> Option<f64> {
     let bucket = usize::from(bucket.min(TIME_BUCKETS - 1));
     let all: u64 = times.iter().sum();
@@ -172,7 +182,7 @@
     (all >= LEAST_RANKED).then(|| (shorter as f64 + times[bucket] as f64 / 2.0) / all as f64)
 }
 
-/// The logarithm of what bets on late ranks have won, without the engines that are slowest.
+/// Returns the log wealth of the bets that ranks are high, without the slowest upstreams.
 fn rank_odds(counts: &AnswerCounts) -> f64 {
     let old = old_times(counts);
     let mut won: BTreeMap<Option<UpstreamHash>, [f64; 2]> = BTreeMap::new();
