--- a/src/rollout/log.rs
+++ b/src/rollout/log.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as the voters keep them: one for each service, the newest.
+//! Roll-outs as stored by the voters: the most recent one of each service.
 
 use super::stage::{RolloutEvent, RolloutStage};
 use crate::table::{ServiceName, SoftwareVersion};
@@ -6,57 +6,56 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Services whose roll-outs are kept, at most; beyond, the oldest that has ended is forgotten.
+/// Maximum number of roll-outs stored; beyond it, the oldest finished one is evicted.
 const MOST_RECORDS: usize = 1_024;
-/// A leader counts at most this long for the time in which nobody led.
+/// Maximum time that a new leader adds for the period without a leader.
 const MOST_GAP_MS: u64 = 5_000;
 
-/// An operator's order: a service's requests are to move to engines of another software version.
+/// An operator's order to move a service's requests to upstreams of another software version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The service.
     pub service: ServiceName,
-    /// The software version that its engines are to have.
+    /// Target software version.
     pub to: SoftwareVersion,
-    /// Milliseconds within which the roll-out is to end.
+    /// Deadline of the roll-out in milliseconds from its start.
     pub duration_ms: u64,
 }
 
-/// A roll-out and how far it has come.
+/// A roll-out and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// What was ordered.
+    /// The operator's order.
     pub order: RolloutOrder,
-    /// Rises with each roll-out of the fleet.
+    /// Sequence number, increasing with each roll-out in the fleet.
     pub number: u64,
-    /// The version that an earlier roll-out of the service completed; none before the first.
+    /// Version that an earlier roll-out of the service completed; none before the first.
     pub from: Option<SoftwareVersion>,
-    /// How far it has come.
+    /// Current stage.
     pub stage: RolloutStage,
-    /// Milliseconds from its beginning, as counted by the leaders' steady clocks.
+    /// Milliseconds since its start, measured by the leaders' monotonic clocks.
     pub elapsed_ms: u64,
-    /// The leader's wall clock at that moment, in milliseconds: only the time without a leader is taken from it.
+    /// The leader's wall clock when `elapsed_ms` was measured, in milliseconds. It is used only to
+    /// estimate the time without a leader.
     pub at: u64,
 }
 
-/// The answer to an order.
+/// Reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutReply {
-    /// It is kept; a resend of the order is answered alike.
+    /// The order is stored; resending it yields the same reply.
     Accepted(RolloutRecord),
-    /// Another roll-out of the service is under way.
+    /// Another roll-out of the service is in progress.
     Busy(RolloutRecord),
 }
 
-/// A change of a roll-out, proposed by the leader.
+/// A state change of a roll-out, proposed by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
-    /// The service.
     pub service: ServiceName,
-    /// The roll-out: a step of an earlier one changes nothing.
+    /// Number of the roll-out; a step of an earlier one has no effect.
     pub number: u64,
-    /// What happened; none if only time passed.
+    /// Event that occurred; none if the step only updates the elapsed time.
     pub event: Option<RolloutEvent>,
     /// See [`RolloutRecord::elapsed_ms`].
     pub elapsed_ms: u64,
@@ -64,7 +63,7 @@
     pub at: u64,
 }
 
-/// All roll-outs.
+/// The most recent roll-out of each service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutLog {
     records: BTreeMap<ServiceName, RolloutRecord>,
@@ -72,7 +71,7 @@
 }
 
 impl RolloutLog {
-    /// Takes an order at `at` of the leader's wall clock.
+    /// Applies an order given at `at` on the leader's wall clock, in milliseconds.
     pub fn begin(&mut self, order: &RolloutOrder, at: u64) -> RolloutReply {
         if let Some(known) = self.records.get(&order.service) {
             if known.order == *order {
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Takes a step; one that came late, or of an earlier roll-out, changes nothing.
+    /// Applies a step. Steps that are out of date or belong to an earlier roll-out have no effect.
     pub fn step(&mut self, step: &RolloutStep) {
         let record = self.records.get_mut(&step.service);
         let Some(record) = record.filter(|record| record.number == step.number) else { return };
@@ -121,19 +120,20 @@
         }
     }
 
-    /// The newest roll-out of a service.
+    /// The most recent roll-out of a service.
     pub fn get(&self, service: &ServiceName) -> Option<&RolloutRecord> {
         self.records.get(service)
     }
 
-    /// The newest roll-out of each service.
+    /// Iterates over the most recent roll-out of each service.
     pub fn iter(&self) -> impl Iterator<Item = &RolloutRecord> {
         self.records.values()
     }
 }
 
 impl RolloutRecord {
-    /// The version that the service's requests go to outside of a roll-out; none before the first.
+    /// Version that receives the service's requests outside of a roll-out; none before the first
+    /// completed one.
     pub fn version_in_use(&self) -> Option<&SoftwareVersion> {
         match self.stage {
             RolloutStage::Completed => Some(&self.order.to),
@@ -141,13 +141,13 @@
         }
     }
 
-    /// The time ordered for it.
+    /// Ordered duration.
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.order.duration_ms)
     }
 
-    /// Milliseconds from its beginning for a new leader whose wall clock says `wall`: a clock that was stepped shifts the
-    /// deadline by [`MOST_GAP_MS`] at most.
+    /// Milliseconds since its start, for a new leader whose wall clock reads `wall`. A stepped wall
+    /// clock shifts the deadline by at most [`MOST_GAP_MS`].
     pub fn elapsed_at(&self, wall: u64) -> u64 {
         self.elapsed_ms + wall.saturating_sub(self.at).min(MOST_GAP_MS)
     }
