--- a/src/rollout/messages.rs
+++ b/src/rollout/messages.rs
@@ -1,4 +1,4 @@
-//! What daemons and the leader say to each other of roll-outs.
+//! Messages between daemons and the leader about roll-outs.
 
 use super::counts::AnswerCounts;
 use super::log::{RolloutLog, RolloutRecord};
@@ -9,32 +9,31 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Part of the operators' bound on a new version's share that a trial uses.
+/// Fraction of the operators' limit on a new version's share that a trial uses.
 const TRIAL_USE: f64 = 0.6;
-/// Share of the requests that go to the new version before it gets all.
+/// Share of the requests that the new version receives before it receives all of them.
 const EXPANDING_SHARE: f64 = 0.3;
-/// Unit of shares in messages.
+/// Units per whole: messages carry shares in ten-thousandths.
 const SHARE_UNITS: f64 = 10_000.0;
 
-/// A roll-out as daemons need it.
+/// A roll-out as sent to the daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRow {
-    /// The service.
     pub service: ServiceName,
     /// The new version.
     pub to: SoftwareVersion,
-    /// The version in use before, if an earlier roll-out completed it.
+    /// The version used before, if an earlier roll-out completed it.
     pub from: Option<SoftwareVersion>,
-    /// The roll-out's number.
+    /// Number of the roll-out.
     pub number: u64,
-    /// How far it has come.
+    /// Current stage.
     pub stage: RolloutStage,
-    /// Share of the requests that goes to the new version, in ten thousandths.
+    /// Share of the requests sent to the new version, in ten-thousandths.
     share: u32,
 }
 
 impl RolloutRow {
-    /// The row of a record; `bound` is the largest share that a version on trial may get.
+    /// Creates the row of a record; `bound` is the maximum share of a version on trial.
     pub fn new(record: &RolloutRecord, bound: f64) -> Self {
         let share = match record.stage {
             RolloutStage::Trial => bound * TRIAL_USE,
@@ -52,43 +51,43 @@
         }
     }
 
-    /// Share of the requests that goes to the new version, 0.0 to 1.0.
+    /// Share of the requests sent to the new version, 0.0 to 1.0.
     pub fn share(&self) -> f64 {
         f64::from(self.share) / SHARE_UNITS
     }
 }
 
-/// All roll-outs as daemons need them.
+/// All roll-outs as sent to the daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRows(pub Vec<RolloutRow>);
 
 impl RolloutRows {
-    /// The rows of a log.
+    /// Creates the rows of all roll-outs in a log; `bound` as for [`RolloutRow::new`].
     pub fn new(log: &RolloutLog, bound: f64) -> Self {
         RolloutRows(log.iter().map(|record| RolloutRow::new(record, bound)).collect())
     }
 
-    /// A number that stands for all rows; never 0, which stands for none received.
+    /// Hash of all rows; never 0, which means that no rows were received.
     pub fn digest(&self) -> u64 {
         xxh3_64(&postcard::to_stdvec(&self.0).unwrap_or_default()).max(1)
     }
 }
 
-/// What one daemon says of one roll-out.
+/// Report of one daemon on one roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// The roll-out.
+    /// Number of the roll-out.
     pub number: u64,
-    /// The stage that the daemon acts on.
+    /// Stage that the daemon currently applies.
     pub stage: RolloutStage,
-    /// Its requests that wait for the old version or run on it.
+    /// Number of its requests that wait for the old version or run on it.
     pub on_old: u32,
-    /// The answers that it saw since the roll-out began.
+    /// Outcomes it has counted since the roll-out started.
     #[serde(with = "packed_counts")]
     pub counts: AnswerCounts,
 }
 
-/// Counts as text: the keys of the map are no strings, and the report goes as JSON.
+/// Serialises counts as base64 text: the report is sent as JSON, whose map keys must be strings.
 mod packed_counts {
     use super::*;
 
