--- a/src/rollout/stage.rs
+++ b/src/rollout/stage.rs
@@ -1,31 +1,32 @@
-//! The life of a roll-out, as its chart says.
+//! Stages of a roll-out, as defined by its state chart.
 
 use crate::chart::StateChart;
 use crate::chart_names;
 use std::sync::LazyLock;
 
 chart_names! {
-    /// How far a roll-out has come.
+    /// Stage of a roll-out.
     RolloutStage {
-        /// A small share of the requests goes to the new version.
+        /// The new version receives a small share of the requests.
         Trial,
-        /// A larger share does: faults that only load shows are found before the old version is left.
+        /// The new version receives a larger share, so that faults that appear only under load are
+        /// found before the old version is abandoned.
         Expanding,
-        /// All requests go to the new version; those on the old one are finished.
+        /// New requests go to the new version only; those on the old one run to completion.
         Draining,
-        /// Nothing runs on the old version any more.
+        /// Nothing runs on the old version any more; the roll-out succeeded.
         Completed,
-        /// No request goes to the new version any more.
+        /// The new version was rejected and receives no requests.
         RolledBack,
     }
 }
 
 chart_names! {
-    /// What moves a roll-out on.
+    /// Event that changes the stage of a roll-out.
     RolloutEvent {
-        /// Time and answers speak for the next stage.
+        /// The stage has lasted long enough and the new version is sound.
         Approved,
-        /// Answers speak against the new version, or nothing speaks for it in time.
+        /// The new version is worse than the old one, or was not shown to be sound in time.
         Condemned,
         /// Nothing runs on the old version any more.
         Drained,
@@ -33,20 +34,20 @@
 }
 
 chart_names! {
-    /// What a change of stage means for the daemons.
+    /// Effect of a stage change on the daemons.
     RolloutAction {
-        /// More requests go to the new version.
+        /// Send more requests to the new version.
         RaiseShare,
-        /// No request goes to the old version.
+        /// Send no more requests to the old version.
         LeaveOld,
-        /// The old version is not used again.
+        /// Stop using the old version for good.
         RetireOld,
-        /// No request goes to the new version.
+        /// Send no more requests to the new version.
         ReturnToOld,
     }
 }
 
-/// The chart of a roll-out.
+/// State chart of a roll-out.
 pub type RolloutChart = StateChart<RolloutStage, RolloutEvent, RolloutAction>;
 
 static CHART: LazyLock<RolloutChart> = LazyLock::new(|| {
@@ -54,20 +55,20 @@
         .expect("charts/rollout.json is checked by a test")
 });
 
-/// The roll-out chart, loaded once.
+/// Returns the roll-out chart, which is loaded once.
 pub fn rollout_chart() -> &'static RolloutChart {
     &CHART
 }
 
 impl RolloutStage {
-    /// The stage after `event`.
+    /// Returns the stage that follows `event`.
     pub fn after(self, event: RolloutEvent) -> RolloutStage {
         let mut machine = rollout_chart().resume(self);
         machine.step(event);
         machine.state()
     }
 
-    /// True once nothing changes any more.
+    /// Returns true for stages that never change.
     pub fn is_final(self) -> bool {
         rollout_chart().finals.contains(&self)
     }
