--- a/src/rollout/versions.rs
+++ b/src/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! Which upstreams of a service a daemon's requests to each version may go to.
+//! Assignment of a service's upstreams to the old and the new version of a roll-out.
 
 use super::counts::VersionArm;
 use super::messages::RolloutRow;
@@ -6,10 +6,12 @@
 use crate::policy::UpstreamHash;
 use crate::table::{ServiceName, SoftwareVersion};
 
-/// Upstreams of a version on trial that are used at least: fewer could be in trouble together.
+/// Minimum number of upstreams used for a version on trial; a smaller number could all be faulty at
+/// once.
 const LEAST_ON_TRIAL: usize = 6;
 
-/// The name of the pool that holds a service's upstreams of one version. Without a version it is the service's own.
+/// Returns the name of the pool that holds a service's upstreams of one version. Without a version,
+/// this is the service's own pool.
 pub fn version_pool(service: &ServiceName, version: Option<&SoftwareVersion>) -> ServiceName {
     match version {
         Some(version) => format!("{service}@{version}").as_str().into(),
@@ -18,7 +20,8 @@
 }
 
 impl RolloutRow {
-    /// The version whose pool serves an arm of the roll-out; none for the service's own pool.
+    /// Returns the version whose pool serves an arm of the roll-out, or none for the service's own
+    /// pool.
     pub fn version_of(&self, arm: VersionArm) -> Option<&SoftwareVersion> {
         match arm {
             VersionArm::Old => self.from.as_ref(),
@@ -26,8 +29,8 @@
         }
     }
 
-    /// The arm that an upstream of `version` belongs to. Those whose version is not known are old: only what the order
-    /// names is new.
+    /// Returns the arm of an upstream of `version`. Only the version named in the order is new;
+    /// upstreams of unknown version belong to the old arm.
     pub fn arm_of(&self, version: Option<&SoftwareVersion>) -> VersionArm {
         match version == Some(&self.to) {
             true => VersionArm::New,
@@ -35,8 +38,10 @@
         }
     }
 
-    /// Upstreams of the new version, out of `all`, that take requests now. A share of the requests goes to a share of the
-    /// upstreams, so that those are as busy as the old ones and show what load does to them. All daemons choose alike.
+    /// Returns the upstreams of the new version, out of `all`, that currently receive requests.
+    /// In the trial and expanding stages, a share of the requests goes to the same share of the
+    /// upstreams, so that these are as loaded as the old ones and show faults under load. All
+    /// daemons choose the same upstreams.
     pub fn in_use(&self, mut all: Vec<UpstreamHash>) -> Vec<UpstreamHash> {
         if matches!(self.stage, RolloutStage::Trial | RolloutStage::Expanding) {
             let share = (self.share() * all.len() as f64).ceil() as usize;
