--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,14 +1,18 @@
-//! Requests under which upstreams end, held back by the whole fleet; pure: no clock, no socket.
+//! Fleet-wide quarantine of requests that crash upstreams. This module is pure: it reads no clock
+//! and opens no socket.
 //!
-//! What goes wrong without it: a request that ends each upstream that begins to run it is sent to a second one, and its
-//! caller sends it again under another id to another daemon. Each daemon, and each attempt, takes it for new, and one
-//! caller ends a pool's upstreams faster than they start again. One would notice by `tarragonknot_upstreams_ended_total`
-//! rising on several daemons, and by the same fingerprint in lines `lost with its upstream`.
+//! Without it, a request that crashes every upstream that starts to run it is sent to a second
+//! upstream, and its caller retries it under another id through another daemon. Each daemon treats
+//! each attempt as a new request, so a single caller can crash the upstreams of a pool faster than
+//! they restart. This shows as `tarragonknot_upstreams_ended_total` rising on several daemons, and
+//! as log lines `lost with its upstream` with the same fingerprint.
 //!
-//! So daemons count by content ([`RequestFingerprint`]) which upstreams ended under it ([`CrashTable`]), and tell each
-//! other ([`SuspectNews`]): only the fleet's sum shows that one content was on every upstream that ended. Content under
-//! which [`CRASHES_TO_HOLD`] upstreams have ended is held back. A whole answer clears it: what only was there when
-//! upstreams ended for another reason is answered elsewhere, while what ends every upstream never is.
+//! Daemons therefore identify requests by content ([`RequestFingerprint`]), record the upstreams
+//! that crashed while running each content ([`CrashTable`]), and exchange these records
+//! ([`SuspectNews`]): only the fleet-wide sum shows that one content was running on every crashed
+//! upstream. Content that coincides with the crashes of [`CRASHES_TO_HOLD`] upstreams is held in
+//! quarantine. A complete answer clears it: content that was merely present when upstreams crashed
+//! for another reason is answered elsewhere, whereas content that crashes every upstream never is.
 
 mod crash_table;
 mod fingerprint;
