--- a/src/quarantine/crash_table.rs
+++ b/src/quarantine/crash_table.rs
@@ -1,4 +1,4 @@
-//! All contents under which upstreams ended, as one daemon knows them.
+//! One daemon's table of request contents that upstreams crashed on.
 
 use super::news_queue::NewsQueue;
 use super::suspect_record::{PROVEN_FOR, SuspectRecord};
@@ -9,69 +9,72 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Contents that are remembered, at most: near 1.5 MB. Those under which the fewest upstreams ended are dropped first, so
-/// a flood of them drives out nothing that is held back.
+/// Maximum number of records, about 1.5 MB. Records with the fewest crashes are evicted first, so a
+/// flood of new contents does not displace quarantined ones.
 const MOST_RECORDS: usize = 8_192;
-/// Contents with a whole answer that are remembered, at most: near 200 KB.
+/// Maximum number of completely answered contents remembered, about 200 KB.
 const MOST_ANSWERED: usize = 4_096;
-/// A peer whose digest differs for this long is sent every record. Longer than news takes through the fleet (three
-/// messages of 126 ms at 1,000 daemons).
+/// All records are sent again once a peer's digest has differed for this long. Longer than an
+/// update takes to reach the whole fleet (three messages of 126 ms each at 1,000 daemons).
 const DIFFERS_FOR: Duration = Duration::from_millis(1_000);
-/// Least time between two full sends of all records.
+/// Minimum time between two transmissions of all records.
 const TELL_PAUSE: Duration = Duration::from_millis(2_000);
-/// Time between two looks for records that are over.
+/// Time between two scans for expired records.
 const FORGET_PAUSE: Duration = Duration::from_secs(1);
 
-/// A content that is held back.
+/// A quarantined content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldRequest {
-    /// The content.
+    /// Fingerprint of the content.
     pub request: RequestFingerprint,
-    /// Upstreams that ended under it.
+    /// Number of upstreams that crashed on it.
     pub crashes: usize,
-    /// What is left of its hold.
+    /// Remaining quarantine time.
     pub held_for: Duration,
-    /// Time since the last upstream ended under it.
+    /// Time since the last upstream crashed on it.
     pub last_crash: Duration,
 }
 
-/// How many contents a table holds.
+/// Numbers of contents in a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Held back.
+    /// Quarantined contents.
     pub held: usize,
-    /// All.
+    /// All known contents.
     pub known: usize,
 }
 
-/// The table.
+/// Records of the contents that upstreams crashed on, merged with those of other daemons.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     records: HashMap<RequestFingerprint, SuspectRecord>,
     answered: HashMap<RequestFingerprint, Moment>,
     queue: NewsQueue,
-    /// Held contents that this daemon saw at work, and cleared ones, for the voters.
+    /// Reports for the voters: quarantined contents on which this daemon itself saw a crash, and
+    /// contents that were cleared.
     reports: NewsQueue,
-    /// The digest of the records; none where they have changed since.
+    /// Cached digest of the records; none if they have changed since.
     digest: Option<u32>,
-    /// Since when other daemons know something else.
+    /// Peers whose digest differs from this daemon's, and since when.
     differing: BTreeMap<DaemonName, Moment>,
     told_all: Option<Moment>,
     forgot: Moment,
 }
 
 impl CrashTable {
-    /// What is left of a content's hold; none if it may be sent.
+    /// Returns the remaining quarantine time of a content, or none if it may be sent.
     pub fn held_for(&self, request: RequestFingerprint, now: Moment) -> Option<Duration> {
         self.records.get(&request)?.held_for(now)
     }
 
-    /// Upstreams that ended under a content, as far as is known here and counts.
+    /// Number of upstreams known to have crashed on a content, without crashes voided by an answer
+    /// or a release.
     pub fn crashes(&self, request: RequestFingerprint) -> usize {
         self.records.get(&request).map_or(0, SuspectRecord::crashes)
     }
 
-    /// An upstream ended under a content. Gives the content if it is held back from now on.
+    /// Records that an upstream crashed while running a content. Returns the content if this puts
+    /// it into quarantine.
     pub fn note_crash(
         &mut self,
         request: RequestFingerprint,
@@ -84,7 +87,8 @@
         })
     }
 
-    /// A whole answer to a content came, so that upstreams do not end under it.
+    /// Records a complete answer to a content, which shows that the content does not crash
+    /// upstreams.
     pub fn note_answer(&mut self, request: RequestFingerprint, now: Moment) {
         if self.answered.len() >= MOST_ANSWERED {
             self.answered.retain(|_, at| now.since(*at) < PROVEN_FOR);
@@ -97,7 +101,7 @@
         }
     }
 
-    /// An operator lets a content through again: ends up to now do not count any more.
+    /// Releases a content at an operator's request: crashes up to now no longer count.
     pub fn release(&mut self, request: RequestFingerprint, now: Moment) {
         self.change(request, now, |record| record.void(now.into()));
     }
@@ -128,15 +132,15 @@
         held
     }
 
-    /// The part of the next message.
+    /// Returns the update for the next message to other daemons.
     pub fn news(&mut self, now: Moment) -> SuspectNews {
         self.forget(now);
         let chosen = self.queue.next_rows();
         SuspectNews { rows: self.rows(&chosen, now), digest: self.digest() }
     }
 
-    /// The next report to the voters: contents that are held back, by the daemons that saw upstreams end under them, and
-    /// contents that were cleared.
+    /// Returns the next report to the voters: quarantined contents on which this daemon itself saw
+    /// a crash, and contents that were cleared.
     pub fn reports(&mut self, now: Moment) -> Vec<SuspectRow> {
         let chosen = self.reports.next_rows();
         self.rows(&chosen, now)
@@ -148,20 +152,20 @@
         records.map(|(request, record)| record.row(*request, now)).collect()
     }
 
-    /// Takes another daemon's message. Gives the contents that are held back from now on.
+    /// Merges another daemon's update. Returns the contents that this puts into quarantine.
     pub fn take(&mut self, from: &DaemonName, news: &SuspectNews, now: Moment) -> Vec<HeldRequest> {
         let held = news.rows.iter().filter_map(|row| self.take_row(row, now)).collect();
         self.compare(from, news.digest, now);
         held
     }
 
-    /// Takes all that is known of one content.
+    /// Merges a row, and returns the content if this puts it into quarantine.
     pub fn take_row(&mut self, row: &SuspectRow, now: Moment) -> Option<HeldRequest> {
         self.change(row.request, now, |record| record.take(row, now))
     }
 
-    /// Sends every record again to a peer whose digest goes on differing: it has just started, or was cut off while
-    /// news went round.
+    /// Queues all records again if the digest of a peer keeps differing: the peer has just started,
+    /// or was cut off while updates were distributed.
     fn compare(&mut self, from: &DaemonName, digest: u32, now: Moment) {
         if self.digest() == digest {
             self.differing.remove(from);
@@ -179,7 +183,8 @@
         }
     }
 
-    /// Stands for the ends that count. Moments are left out: they differ by the messages' ways.
+    /// Hash of the crashes that count. Their times are left out: they differ between daemons with
+    /// the path and delay of the messages.
     fn digest(&mut self) -> u32 {
         if let Some(digest) = self.digest {
             return digest;
@@ -215,7 +220,8 @@
         }
     }
 
-    /// Drops a quarter of the records if there are too many, so that this is not done for each new one.
+    /// Evicts a quarter of the records if there are too many, so that eviction does not run for
+    /// each new record.
     fn drop_excess(&mut self, now: Moment) {
         if self.records.len() <= MOST_RECORDS {
             return;
@@ -234,7 +240,7 @@
         self.digest = None;
     }
 
-    /// What is held back, the latest first.
+    /// Returns the quarantined contents, the one with the most recent crash first.
     pub fn held(&self, now: Moment) -> Vec<HeldRequest> {
         let records = self.records.iter();
         let mut held: Vec<HeldRequest> =
@@ -243,7 +249,7 @@
         held
     }
 
-    /// How many contents are known.
+    /// Returns the numbers of known and quarantined contents.
     pub fn sizes(&self, now: Moment) -> TableSizes {
         let is_held = |record: &&SuspectRecord| record.held_for(now).is_some();
         TableSizes {
