--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! By what a request is known again when its caller sends it anew.
+//! Content fingerprint that identifies a request across its caller's attempts.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -6,36 +6,38 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What an upstream is given to run.
+/// The parts of a request that determine what an upstream runs.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The organisation whose key the caller has; empty for callers without one.
+    /// Organisation that the caller's key belongs to; empty for callers without a key.
     pub organisation: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host, or the service where no host chooses it.
+    /// Host, or the service name if the service is not chosen by host.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub path: &'a str,
-    /// The body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// Stands for all attempts of the same content.
+/// Identifies all attempts of the same content.
 ///
-/// A caller's id changes with each attempt and says nothing of what runs. Headers are left out too: a caller may word its
-/// guesses anew. The organisation is a part, so no caller can make another organisation's requests look like its own. Two
-/// of a million contents have the same fingerprint in one of 37 million fleets.
+/// The request id is left out, since it changes with each attempt and has no influence on what
+/// runs. Headers are left out as well, since a caller may vary the hints that it sends in them. The
+/// organisation is included, so no caller can produce the fingerprint of another organisation's
+/// request. Among a million contents, the probability that two have the same fingerprint is 1 in
+/// 37 million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(pub u64);
 
 impl RequestFingerprint {
-    /// The fingerprint of a content.
+    /// Computes the fingerprint of a content.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Xxh3::new();
         let RequestContent { organisation, method, host, path, body } = content;
         for text in [organisation, method, host, path] {
-            // Lengths keep one part from running into the next.
+            // Length prefixes keep the boundaries between the parts unambiguous.
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         }
@@ -44,10 +46,10 @@
     }
 }
 
-/// Digits of a fingerprint as text.
+/// Number of hexadecimal digits of a fingerprint in text form.
 const DIGITS: usize = 16;
 
-/// A text that is no fingerprint.
+/// Error for text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("expected {DIGITS} hexadecimal digits, as in the logs"))]
 pub struct FingerprintFault;
