--- a/src/quarantine/news_queue.rs
+++ b/src/quarantine/news_queue.rs
@@ -1,16 +1,16 @@
-//! Which rows go into the next message.
+//! Queue of the rows to send in the next messages.
 
 use super::RequestFingerprint;
 use super::suspect_news::MOST_ROWS;
 use std::collections::{BTreeMap, HashMap};
 
-/// A row is sent with this many messages: each is lost now and then.
+/// Number of messages that carry each row, since messages are sometimes lost.
 const TOLD_TIMES: u8 = 4;
 
-/// A row's place in the queue: rows with more ends first, then in the order in which they came.
+/// Position of a row in the queue: rows with more crashes first, then in order of arrival.
 type QueuePlace = (std::cmp::Reverse<usize>, u64);
 
-/// Rows that wait to be sent.
+/// Rows waiting to be sent, by the fingerprints of their contents.
 #[derive(Clone, Debug, Default)]
 pub struct NewsQueue {
     places: HashMap<RequestFingerprint, (QueuePlace, u8)>,
@@ -19,7 +19,7 @@
 }
 
 impl NewsQueue {
-    /// A row changed, or is to be sent anew; `crashes` of it count.
+    /// Queues a row that has changed or is to be sent again; `crashes` determines its priority.
     pub fn push(&mut self, request: RequestFingerprint, crashes: usize) {
         self.put(request, crashes, TOLD_TIMES);
     }
@@ -32,19 +32,18 @@
         self.order.insert(place, request);
     }
 
-    /// A row is not known any more.
+    /// Removes a row whose record no longer exists.
     pub fn remove(&mut self, request: RequestFingerprint) {
         if let Some((place, _)) = self.places.remove(&request) {
             self.order.remove(&place);
         }
     }
 
-    /// True if nothing waits.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// The rows of the next message.
+    /// Returns the rows for the next message.
     pub fn next_rows(&mut self) -> Vec<RequestFingerprint> {
         let chosen: Vec<RequestFingerprint> =
             self.order.values().take(MOST_ROWS).copied().collect();
