--- a/src/quarantine/suspect_news.rs
+++ b/src/quarantine/suspect_news.rs
@@ -1,40 +1,43 @@
-//! News between peers of requests under which upstreams ended.
+//! Updates between daemons about request contents that upstreams crashed on.
 
 use super::RequestFingerprint;
 use crate::policy::UpstreamHash;
 use serde::{Deserialize, Serialize};
 
-/// Rows in one message, at most: near 1,100 bytes.
+/// Maximum number of rows per message, about 1,100 bytes.
 pub const MOST_ROWS: usize = 32;
-/// Upstreams in one row, at most, whatever another version keeps.
+/// Maximum number of upstreams accepted in one row; other versions of the daemon may store more
+/// than this one does.
 const MOST_CRASHES: usize = 64;
-/// The largest age that makes sense, in milliseconds: a month.
+/// Maximum plausible age in milliseconds: a month.
 const MOST_AGE_MS: i64 = 31 * 86_400_000;
-/// How far a moment may lie ahead, in milliseconds.
+/// Maximum time that a moment may lie in the future, in milliseconds.
 const MOST_AHEAD_MS: i64 = 60_000;
 
-/// All that is known of one content. Rows are merged as sets, so a row that comes twice, late or by another way does no harm.
+/// All that is known about one content. Rows are merged as sets, so duplicated, delayed and
+/// rerouted rows are harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRow {
-    /// The content.
+    /// Fingerprint of the content.
     pub request: RequestFingerprint,
-    /// The upstreams that ended under it, and how many milliseconds ago.
+    /// Upstreams that crashed on it, and how many milliseconds ago.
     pub crashes: Vec<(UpstreamHash, i64)>,
-    /// Ends up to so many milliseconds ago do not count; below nought where that moment is still to come.
+    /// Crashes that happened this many milliseconds ago or earlier do not count; negative if the
+    /// cut-off is in the future.
     pub void_age_ms: Option<i64>,
 }
 
-/// A message's part on suspects.
+/// The part of a message that concerns suspect contents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
-    /// Stands for all that the sender knows; daemons that know the same have the same.
+    /// Hash of all crashes known to the sender; equal on daemons that know the same crashes.
     pub digest: u32,
-    /// Rows that are new, or are sent again.
+    /// Rows that are new or sent again.
     pub rows: Vec<SuspectRow>,
 }
 
 impl SuspectNews {
-    /// False if it says what no daemon can have seen.
+    /// Returns false if the update contains values that no daemon can have observed.
     pub fn is_plausible(&self) -> bool {
         let has_sense = |age: i64| (-MOST_AHEAD_MS..=MOST_AGE_MS).contains(&age);
         self.rows.len() <= MOST_ROWS
