--- a/src/quarantine/suspect_record.rs
+++ b/src/quarantine/suspect_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one content: which upstreams ended under it, and what cleared it.
+//! Record of one content: the upstreams that crashed on it, and when it was cleared.
 
 use super::{HeldRequest, PastMoment, RequestFingerprint, SuspectRow};
 use crate::policy::{Moment, UpstreamHash};
@@ -6,38 +6,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Upstreams that end under one content before it is held back. One may have ended by chance, and a second send of the same
-/// request meets a second one that ends when a rack does; a third is seldom chance.
+/// Number of upstreams that crash on a content before it is quarantined. One crash may be a
+/// coincidence, and a rack failure can also hit a second upstream to which the same request was
+/// sent again; a third is rarely a coincidence.
 pub const CRASHES_TO_HOLD: usize = 3;
-/// Upstreams that are remembered of one content: enough for the longest hold.
+/// Maximum number of crashes stored per content: enough to reach the longest quarantine.
 const MOST_CRASHES: usize = 12;
-/// For how long content is held back at first. Far above a caller's patience; short enough that what was held back for a
-/// fault of the upstreams is let through once that is mended.
+/// Duration of the first quarantine. Much longer than callers keep retrying, yet short enough that
+/// content quarantined because of faulty upstreams is released once they are repaired.
 const FIRST_HOLD: Duration = Duration::from_secs(600);
-/// The longest hold: a day, in which an operator sees it.
+/// Maximum quarantine: a day, which gives an operator time to notice it.
 const LONGEST_HOLD: Duration = Duration::from_secs(86_400);
-/// Content under which fewer upstreams ended is forgotten after this long.
+/// Content with too few crashes for a quarantine, and the cut-off of cleared content, are forgotten
+/// after this long.
 const SUSPECTED_FOR: Duration = Duration::from_secs(600);
-/// Ends so soon after a whole answer of the same content do not count: whatever ends a whole rack takes many requests of one
-/// popular content with it at the same moment.
+/// Crashes within this time after a complete answer to the same content do not count: a rack
+/// failure interrupts many requests of one popular content at the same moment.
 pub const PROVEN_FOR: Duration = Duration::from_secs(10);
 
-/// A popular content is answered all the time: others hear of that once in this time.
+/// Minimum advance of the cut-off that is announced to other daemons. Popular content is answered
+/// continuously, and this limits the announcements to one per interval.
 const VOID_STEP: Duration = Duration::from_secs(5);
 
-/// One content's record.
+/// Crashes on one content.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SuspectRecord {
     crashes: BTreeMap<UpstreamHash, PastMoment>,
-    /// Ends up to then do not count.
+    /// Crashes up to this moment do not count.
     void_until: Option<PastMoment>,
-    /// True if this daemon itself saw an upstream end under it.
+    /// True if this daemon itself saw an upstream crash on the content.
     #[serde(skip)]
     pub is_witness: bool,
 }
 
 impl SuspectRecord {
-    /// Learns that an upstream ended under it; true if that is news. Of two reports the earlier one holds.
+    /// Adds a crash of an upstream; returns true if it was not known. Of two reports on the same
+    /// upstream, the earlier time is kept.
     pub fn add_crash(&mut self, upstream: UpstreamHash, at: PastMoment) -> bool {
         if self.is_void(at) {
             return false;
@@ -47,13 +51,14 @@
             return false;
         }
         self.crashes.insert(upstream, at);
-        // All daemons keep the same ones, whatever the order in which they heard of them.
+        // Which crash is dropped does not depend on the order of arrival, so all daemons keep the
+        // same ones.
         let is_over = self.crashes.len() > MOST_CRASHES;
         let dropped = if is_over { self.crashes.pop_last() } else { None };
         dropped.is_none_or(|(dropped, _)| dropped != upstream)
     }
 
-    /// Ends up to `until` do not count; true if others should hear of it.
+    /// Voids all crashes up to `until`; returns true if other daemons should be told.
     pub fn void(&mut self, until: PastMoment) -> bool {
         if self.void_until.is_some_and(|known| known >= until) {
             return false;
@@ -65,7 +70,7 @@
         is_step || self.crashes.len() != before
     }
 
-    /// A whole answer came at `at`.
+    /// Records a complete answer received at `at`; returns true if other daemons should be told.
     pub fn prove(&mut self, at: PastMoment) -> bool {
         self.void(at.after(PROVEN_FOR))
     }
@@ -74,12 +79,12 @@
         self.void_until.is_some_and(|until| at <= until)
     }
 
-    /// Upstreams that ended under it, as far as they count.
+    /// Number of crashes that count.
     pub fn crashes(&self) -> usize {
         self.crashes.len()
     }
 
-    /// The upstreams that ended under it.
+    /// The upstreams whose crashes count.
     pub fn upstreams(&self) -> impl Iterator<Item = UpstreamHash> {
         self.crashes.keys().copied()
     }
@@ -88,33 +93,34 @@
         self.crashes.values().max().copied()
     }
 
-    /// How long it is held back when it is: twice as long for each further upstream, so that content that ends upstreams
-    /// once more after its hold costs fewer and fewer.
+    /// Duration of the quarantine, or none if there are too few crashes. It doubles with each
+    /// further upstream, so that content which keeps crashing upstreams after its release does so
+    /// less and less often.
     fn hold(&self) -> Option<Duration> {
         let further = self.crashes.len().checked_sub(CRASHES_TO_HOLD)?;
         Some((FIRST_HOLD * 2u32.pow(further as u32)).min(LONGEST_HOLD))
     }
 
-    /// What is left of its hold; none if it is not held back.
+    /// Returns the remaining quarantine time, or none if the content is not quarantined.
     pub fn held_for(&self, now: Moment) -> Option<Duration> {
         self.last_crash()?.after(self.hold()?).remaining(now)
     }
 
-    /// The record where it is held back.
+    /// Describes the quarantined content, or returns none if it is not quarantined.
     pub fn held(&self, request: RequestFingerprint, now: Moment) -> Option<HeldRequest> {
         let held_for = self.held_for(now)?;
         let last_crash = self.last_crash_age(now);
         Some(HeldRequest { request, crashes: self.crashes(), held_for, last_crash })
     }
 
-    /// When it was last seen to end an upstream, as a time before `now`.
+    /// Time from the last crash to `now`; zero if there is none.
     pub fn last_crash_age(&self, now: Moment) -> Duration {
         let age = self.last_crash().map_or(0, |at| at.age_ms(now).max(0));
         Duration::from_millis(age as u64)
     }
 
-    /// True once it says nothing any more. After a hold it is remembered for as long again: one more end holds it back at
-    /// once.
+    /// Returns true once the record is no longer needed. After a quarantine it is kept for the same
+    /// duration again, so that one more crash quarantines the content at once.
     pub fn is_over(&self, now: Moment) -> bool {
         let kept = self.hold().map_or(SUSPECTED_FOR, |hold| hold * 2);
         let crash = self.last_crash().and_then(|at| at.after(kept).remaining(now));
@@ -122,7 +128,7 @@
         crash.is_none() && void.is_none()
     }
 
-    /// The record as a row of a message.
+    /// Converts the record into a row of a message.
     pub fn row(&self, request: RequestFingerprint, now: Moment) -> SuspectRow {
         let crashes = self.crashes.iter().map(|(upstream, at)| (*upstream, at.age_ms(now)));
         SuspectRow {
@@ -132,7 +138,7 @@
         }
     }
 
-    /// Takes a row of another daemon; true if it held news.
+    /// Merges a row from another daemon; returns true if it contained anything new.
     pub fn take(&mut self, row: &SuspectRow, now: Moment) -> bool {
         let mut is_news = false;
         if let Some(age) = row.void_age_ms {
