--- a/src/rollout/counts.rs
+++ b/src/rollout/counts.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// Number of size deciles that form one request group.
-const TENTHS_IN_GROUP: u8 = 4;
+const DECILES_PER_GROUP: u8 = 4;
 /// Size group of requests of unknown size.
-const NO_GROUP: u8 = 3;
+const UNKNOWN_SIZE_GROUP: u8 = 3;
 /// Number of latency buckets, two per doubling.
-pub const TIME_BUCKETS: u8 = 36;
+pub const LATENCY_BUCKETS: u8 = 36;
 
 /// The version that a request was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -32,10 +32,10 @@
 }
 
 impl AnswerCount {
-    /// The outcome of a request answered `after` it was sent.
-    pub fn served(after: Duration) -> Self {
-        let millis = (after.as_secs_f64() * 1_000.0).max(1.0);
-        AnswerCount::Served(((millis.log2() * 2.0) as u8).min(TIME_BUCKETS - 1))
+    /// The outcome of a request answered `latency` after it was sent.
+    pub fn served(latency: Duration) -> Self {
+        let millis = (latency.as_secs_f64() * 1_000.0).max(1.0);
+        AnswerCount::Served(((millis.log2() * 2.0) as u8).min(LATENCY_BUCKETS - 1))
     }
 }
 
@@ -49,9 +49,9 @@
 }
 
 impl RequestGroup {
-    /// Returns the group of a request in size decile `tenth`, if that is known.
-    pub fn of(route: RouteKey, tenth: Option<SizeDecile>) -> Self {
-        let size = tenth.map_or(NO_GROUP, |tenth| tenth.number() / TENTHS_IN_GROUP);
+    /// Returns the group of a request in size decile `decile`, if that is known.
+    pub fn of(route: RouteKey, decile: Option<SizeDecile>) -> Self {
+        let size = decile.map_or(UNKNOWN_SIZE_GROUP, |decile| decile.number() / DECILES_PER_GROUP);
         RequestGroup { route: route.short(), size }
     }
 }
@@ -83,8 +83,8 @@
         upstream: UpstreamHash,
         answer: AnswerCount,
     ) {
-        let is_apart = arm == VersionArm::New || answer == AnswerCount::Failed;
-        let key = CountKey { arm, group, upstream: is_apart.then_some(upstream), answer };
+        let has_upstream = arm == VersionArm::New || answer == AnswerCount::Failed;
+        let key = CountKey { arm, group, upstream: has_upstream.then_some(upstream), answer };
         *self.0.entry(key).or_default() += 1;
     }
 
--- a/src/rollout/director.rs
+++ b/src/rollout/director.rs
@@ -13,20 +13,20 @@
 
 /// Minimum fraction of the ordered duration spent in the trial. A version that degrades after half
 /// of the duration is still detected in the trial.
-const TRIAL_PART: f64 = 0.55;
+const MIN_TRIAL_FRACTION: f64 = 0.55;
 /// Fraction of the ordered duration after which a trial that is still inconclusive ends.
-const LONGEST_TRIAL_PART: f64 = 0.8;
+const MAX_TRIAL_FRACTION: f64 = 0.8;
 /// Fraction of the ordered duration spent at the larger share.
-const EXPANDING_PART: f64 = 0.08;
+const EXPANDING_FRACTION: f64 = 0.08;
 /// Minimum time spent at the larger share, so that the daemons' counts from it arrive.
-const LEAST_EXPANDING: Duration = Duration::from_millis(1_000);
+const MIN_EXPANDING_TIME: Duration = Duration::from_millis(1_000);
 /// Outcomes are evaluated over the whole roll-out and over this most recent window: a version that
 /// degrades late has many earlier successes that would hide it.
-const RECENT: Duration = Duration::from_millis(2_000);
+const RECENT_WINDOW: Duration = Duration::from_millis(2_000);
 /// Minimum time between two evaluations of the counts.
-const READING_PAUSE: Duration = Duration::from_millis(250);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
 /// Minimum number of outcomes on the new version before it is evaluated.
-const LEAST_ANSWERS: u64 = 10;
+const MIN_NEW_ANSWERS: u64 = 10;
 
 /// The last report of one daemon.
 #[derive(Clone, Debug)]
@@ -53,13 +53,13 @@
 pub struct RolloutDirector {
     number: u64,
     /// Milliseconds elapsed when this leader took over, and the moment when it did.
-    began: (u64, Moment),
+    start: (u64, Moment),
     stage: RolloutStage,
     stage_since: Moment,
     daemons: BTreeMap<DaemonName, DaemonCounts>,
     /// Counts from earlier process starts of the daemons.
-    ended: AnswerCounts,
-    readings: VecDeque<(Moment, AnswerCounts)>,
+    ended_counts: AnswerCounts,
+    count_history: VecDeque<(Moment, AnswerCounts)>,
 }
 
 impl RolloutDirector {
@@ -67,12 +67,12 @@
     pub fn new(record: &RolloutRecord, elapsed_ms: u64, now: Moment) -> Self {
         RolloutDirector {
             number: record.number,
-            began: (elapsed_ms, now),
+            start: (elapsed_ms, now),
             stage: record.stage,
             stage_since: now,
             daemons: BTreeMap::new(),
-            ended: AnswerCounts::default(),
-            readings: VecDeque::new(),
+            ended_counts: AnswerCounts::default(),
+            count_history: VecDeque::new(),
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// Milliseconds since the start of the roll-out.
     pub fn elapsed_ms(&self, now: Moment) -> u64 {
-        self.began.0 + now.since(self.began.1).as_millis() as u64
+        self.start.0 + now.since(self.start.1).as_millis() as u64
     }
 
     /// Stores a daemon's report; reports on other roll-outs are ignored.
@@ -93,12 +93,12 @@
         }
         let known = self.daemons.insert(daemon.clone(), DaemonCounts { boot, report });
         if let Some(known) = known.filter(|known| known.boot != boot) {
-            self.ended.add(&known.report.counts);
+            self.ended_counts.add(&known.report.counts);
         }
     }
 
     fn counts(&self) -> AnswerCounts {
-        let mut counts = self.ended.clone();
+        let mut counts = self.ended_counts.clone();
         self.daemons.values().for_each(|daemon| counts.add(&daemon.report.counts));
         counts
     }
@@ -114,17 +114,18 @@
         if record.stage != self.stage {
             (self.stage, self.stage_since) = (record.stage, now);
         }
-        let is_read = self.readings.back().is_some_and(|(at, _)| now.since(*at) < READING_PAUSE);
-        if record.stage.is_final() || is_read {
+        let is_evaluated =
+            self.count_history.back().is_some_and(|(at, _)| now.since(*at) < EVALUATION_INTERVAL);
+        if record.stage.is_final() || is_evaluated {
             return None;
         }
         let counts = self.counts();
         let verdict = self.verdict(&counts);
-        self.readings.push_back((now, counts.clone()));
-        while self.readings.get(1).is_some_and(|(at, _)| now.since(*at) >= RECENT) {
-            self.readings.pop_front();
+        self.count_history.push_back((now, counts.clone()));
+        while self.count_history.get(1).is_some_and(|(at, _)| now.since(*at) >= RECENT_WINDOW) {
+            self.count_history.pop_front();
         }
-        let event = self.event(record, verdict, live, now)?;
+        let event = self.due_event(record, verdict, live, now)?;
         let arms = (VersionArm::Old, VersionArm::New);
         Some(RolloutDecision {
             event,
@@ -135,18 +136,18 @@
     }
 
     fn verdict(&self, counts: &AnswerCounts) -> VersionVerdict {
-        if counts.total(VersionArm::New) < LEAST_ANSWERS {
+        if counts.total(VersionArm::New) < MIN_NEW_ANSWERS {
             return VersionVerdict::Unclear;
         }
         let whole = judge(counts, counts);
-        let Some((_, earlier)) = self.readings.front().filter(|_| !whole.is_bad()) else {
+        let Some((_, earlier)) = self.count_history.front().filter(|_| !whole.is_bad()) else {
             return whole;
         };
         let recent = judge(&counts.since(earlier), counts);
         if recent.is_bad() { recent } else { whole }
     }
 
-    fn event(
+    fn due_event(
         &self,
         record: &RolloutRecord,
         verdict: VersionVerdict,
@@ -156,22 +157,23 @@
         if verdict.is_bad() {
             return Some(RolloutEvent::Condemned);
         }
-        let part = |part: f64| (record.order.duration_ms as f64 * part) as u64;
+        let fraction = |fraction: f64| (record.order.duration_ms as f64 * fraction) as u64;
         let elapsed = self.elapsed_ms(now);
         match record.stage {
-            RolloutStage::Trial if elapsed >= part(LONGEST_TRIAL_PART) => match verdict {
+            RolloutStage::Trial if elapsed >= fraction(MAX_TRIAL_FRACTION) => match verdict {
                 VersionVerdict::Sound => Some(RolloutEvent::Approved),
                 // There is no evidence for the new version. The old one still serves, so rolling
                 // back costs callers nothing.
                 _ => Some(RolloutEvent::Condemned),
             },
-            RolloutStage::Trial if elapsed >= part(TRIAL_PART) => {
+            RolloutStage::Trial if elapsed >= fraction(MIN_TRIAL_FRACTION) => {
                 (verdict == VersionVerdict::Sound).then_some(RolloutEvent::Approved)
             }
             RolloutStage::Expanding => {
-                let least = record.duration().mul_f64(EXPANDING_PART).max(LEAST_EXPANDING);
-                let is_over = now.since(self.stage_since) >= least;
-                (is_over && verdict == VersionVerdict::Sound).then_some(RolloutEvent::Approved)
+                let min_time =
+                    record.duration().mul_f64(EXPANDING_FRACTION).max(MIN_EXPANDING_TIME);
+                let has_elapsed = now.since(self.stage_since) >= min_time;
+                (has_elapsed && verdict == VersionVerdict::Sound).then_some(RolloutEvent::Approved)
             }
             RolloutStage::Draining => self.is_drained(live).then_some(RolloutEvent::Drained),
             _ => None,
--- a/src/rollout/log.rs
+++ b/src/rollout/log.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// Maximum number of roll-outs stored; beyond it, the oldest finished one is evicted.
-const MOST_RECORDS: usize = 1_024;
+const MAX_RECORDS: usize = 1_024;
 /// Maximum time that a new leader adds for the period without a leader.
-const MOST_GAP_MS: u64 = 5_000;
+const MAX_LEADERLESS_MS: u64 = 5_000;
 
 /// An operator's order to move a service's requests to upstreams of another software version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -91,12 +91,12 @@
             at,
         };
         self.records.insert(order.service.clone(), record.clone());
-        self.forget_oldest();
+        self.evict_oldest();
         RolloutReply::Accepted(record)
     }
 
-    fn forget_oldest(&mut self) {
-        if self.records.len() <= MOST_RECORDS {
+    fn evict_oldest(&mut self) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         let ended = self.records.values().filter(|record| record.stage.is_final());
@@ -147,8 +147,8 @@
     }
 
     /// Milliseconds since its start, for a new leader whose wall clock reads `wall`. A stepped wall
-    /// clock shifts the deadline by at most [`MOST_GAP_MS`].
+    /// clock shifts the deadline by at most [`MAX_LEADERLESS_MS`].
     pub fn elapsed_at(&self, wall: u64) -> u64 {
-        self.elapsed_ms + wall.saturating_sub(self.at).min(MOST_GAP_MS)
+        self.elapsed_ms + wall.saturating_sub(self.at).min(MAX_LEADERLESS_MS)
     }
 }
--- a/src/rollout/messages.rs
+++ b/src/rollout/messages.rs
@@ -10,11 +10,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Fraction of the operators' limit on a new version's share that a trial uses.
-const TRIAL_USE: f64 = 0.6;
+const TRIAL_SHARE_FRACTION: f64 = 0.6;
 /// Share of the requests that the new version receives before it receives all of them.
 const EXPANDING_SHARE: f64 = 0.3;
 /// Units per whole: messages carry shares in ten-thousandths.
-const SHARE_UNITS: f64 = 10_000.0;
+const SHARE_SCALE: f64 = 10_000.0;
 
 /// A roll-out as sent to the daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,11 +33,11 @@
 }
 
 impl RolloutRow {
-    /// Creates the row of a record; `bound` is the maximum share of a version on trial.
-    pub fn new(record: &RolloutRecord, bound: f64) -> Self {
+    /// Creates the row of a record; `max_trial_share` is the maximum share of a version on trial.
+    pub fn new(record: &RolloutRecord, max_trial_share: f64) -> Self {
         let share = match record.stage {
-            RolloutStage::Trial => bound * TRIAL_USE,
-            RolloutStage::Expanding => EXPANDING_SHARE.max(bound),
+            RolloutStage::Trial => max_trial_share * TRIAL_SHARE_FRACTION,
+            RolloutStage::Expanding => EXPANDING_SHARE.max(max_trial_share),
             RolloutStage::Draining | RolloutStage::Completed => 1.0,
             RolloutStage::RolledBack => 0.0,
         };
@@ -47,13 +47,13 @@
             from: record.from.clone(),
             number: record.number,
             stage: record.stage,
-            share: (share.clamp(0.0, 1.0) * SHARE_UNITS) as u32,
+            share: (share.clamp(0.0, 1.0) * SHARE_SCALE) as u32,
         }
     }
 
     /// Share of the requests sent to the new version, 0.0 to 1.0.
     pub fn share(&self) -> f64 {
-        f64::from(self.share) / SHARE_UNITS
+        f64::from(self.share) / SHARE_SCALE
     }
 }
 
@@ -62,9 +62,9 @@
 pub struct RolloutRows(pub Vec<RolloutRow>);
 
 impl RolloutRows {
-    /// Creates the rows of all roll-outs in a log; `bound` as for [`RolloutRow::new`].
-    pub fn new(log: &RolloutLog, bound: f64) -> Self {
-        RolloutRows(log.iter().map(|record| RolloutRow::new(record, bound)).collect())
+    /// Creates the rows of all roll-outs in a log; `max_trial_share` as for [`RolloutRow::new`].
+    pub fn new(log: &RolloutLog, max_trial_share: f64) -> Self {
+        RolloutRows(log.iter().map(|record| RolloutRow::new(record, max_trial_share)).collect())
     }
 
     /// Hash of all rows; never 0, which means that no rows were received.
--- a/src/rollout/pace.rs
+++ b/src/rollout/pace.rs
@@ -3,7 +3,7 @@
 
 /// Upper bound of the credit, in requests, so that requests which could not be sent to the new
 /// version are not made up for in a burst.
-const MOST_OWED: f64 = 2.0;
+const MAX_CREDIT: f64 = 2.0;
 
 /// Credit counter that allots the new version its share of all requests sent.
 ///
@@ -11,7 +11,7 @@
 /// arrivals were refused, the new version would receive twice its share of the requests served.
 #[derive(Clone, Copy, Debug)]
 pub struct SharePace {
-    owed: f64,
+    credit: f64,
 }
 
 impl SharePace {
@@ -19,24 +19,24 @@
     /// random: with few requests each, all of them would otherwise send their first request to the
     /// new version at the same moment.
     pub fn new(start: f64) -> Self {
-        SharePace { owed: start.clamp(0.0, 1.0) }
+        SharePace { credit: start.clamp(0.0, 1.0) }
     }
 
     /// Records a request sent to the old version; `share`, below 1.0, is the new version's share of
     /// all requests.
     pub fn sent_to_old(&mut self, share: f64) {
-        self.owed = (self.owed + share / (1.0 - share).max(0.01)).min(MOST_OWED);
+        self.credit = (self.credit + share / (1.0 - share).max(0.01)).min(MAX_CREDIT);
     }
 
     /// Returns true if the next request goes to the new version, and deducts it from the credit.
     pub fn take(&mut self) -> bool {
-        let takes = self.owed >= 1.0;
-        self.owed -= if takes { 1.0 } else { 0.0 };
-        takes
+        let is_allotted = self.credit >= 1.0;
+        self.credit -= if is_allotted { 1.0 } else { 0.0 };
+        is_allotted
     }
 
     /// Returns the credit of a request that was allotted to the new version but did not reach it.
     pub fn give_back(&mut self) {
-        self.owed = (self.owed + 1.0).min(MOST_OWED);
+        self.credit = (self.credit + 1.0).min(MAX_CREDIT);
     }
 }
--- a/src/rollout/versions.rs
+++ b/src/rollout/versions.rs
@@ -8,7 +8,7 @@
 
 /// Minimum number of upstreams used for a version on trial; a smaller number could all be faulty at
 /// once.
-const LEAST_ON_TRIAL: usize = 6;
+const MIN_TRIAL_UPSTREAMS: usize = 6;
 
 /// Returns the name of the pool that holds a service's upstreams of one version. Without a version,
 /// this is the service's own pool.
@@ -44,9 +44,9 @@
     /// daemons choose the same upstreams.
     pub fn in_use(&self, mut all: Vec<UpstreamHash>) -> Vec<UpstreamHash> {
         if matches!(self.stage, RolloutStage::Trial | RolloutStage::Expanding) {
-            let share = (self.share() * all.len() as f64).ceil() as usize;
+            let count = (self.share() * all.len() as f64).ceil() as usize;
             all.sort_unstable();
-            all.truncate(share.max(LEAST_ON_TRIAL));
+            all.truncate(count.max(MIN_TRIAL_UPSTREAMS));
         }
         all
     }
