--- a/src/quarantine/crash_table.rs
+++ b/src/quarantine/crash_table.rs
@@ -1,8 +1,8 @@
 //! One daemon's table of request contents that upstreams crashed on.
 
 use super::news_queue::NewsQueue;
-use super::suspect_record::{PROVEN_FOR, SuspectRecord};
-use super::{PastMoment, RequestFingerprint, SuspectNews, SuspectRow};
+use super::suspect_record::{ANSWER_WINDOW, SuspectRecord};
+use super::{RequestFingerprint, SignedMoment, SuspectNews, SuspectRow};
 use crate::policy::{Moment, UpstreamHash};
 use crate::table::DaemonName;
 use std::collections::{BTreeMap, HashMap};
@@ -11,16 +11,16 @@
 
 /// Maximum number of records, about 1.5 MB. Records with the fewest crashes are evicted first, so a
 /// flood of new contents does not displace quarantined ones.
-const MOST_RECORDS: usize = 8_192;
+const MAX_RECORDS: usize = 8_192;
 /// Maximum number of completely answered contents remembered, about 200 KB.
-const MOST_ANSWERED: usize = 4_096;
+const MAX_ANSWERED: usize = 4_096;
 /// All records are sent again once a peer's digest has differed for this long. Longer than an
 /// update takes to reach the whole fleet (three messages of 126 ms each at 1,000 daemons).
-const DIFFERS_FOR: Duration = Duration::from_millis(1_000);
+const RESYNC_DELAY: Duration = Duration::from_millis(1_000);
 /// Minimum time between two transmissions of all records.
-const TELL_PAUSE: Duration = Duration::from_millis(2_000);
+const RESYNC_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time between two scans for expired records.
-const FORGET_PAUSE: Duration = Duration::from_secs(1);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A quarantined content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,16 +49,16 @@
 pub struct CrashTable {
     records: HashMap<RequestFingerprint, SuspectRecord>,
     answered: HashMap<RequestFingerprint, Moment>,
-    queue: NewsQueue,
+    peer_queue: NewsQueue,
     /// Reports for the voters: quarantined contents on which this daemon itself saw a crash, and
     /// contents that were cleared.
-    reports: NewsQueue,
+    voter_queue: NewsQueue,
     /// Cached digest of the records; none if they have changed since.
     digest: Option<u32>,
     /// Peers whose digest differs from this daemon's, and since when.
-    differing: BTreeMap<DaemonName, Moment>,
-    told_all: Option<Moment>,
-    forgot: Moment,
+    differing_since: BTreeMap<DaemonName, Moment>,
+    last_resync: Option<Moment>,
+    last_expiry: Moment,
 }
 
 impl CrashTable {
@@ -81,7 +81,7 @@
         upstream: UpstreamHash,
         now: Moment,
     ) -> Option<HeldRequest> {
-        self.change(request, now, |record| {
+        self.update_record(request, now, |record| {
             record.is_witness = true;
             record.add_crash(upstream, now.into())
         })
@@ -90,23 +90,23 @@
     /// Records a complete answer to a content, which shows that the content does not crash
     /// upstreams.
     pub fn note_answer(&mut self, request: RequestFingerprint, now: Moment) {
-        if self.answered.len() >= MOST_ANSWERED {
-            self.answered.retain(|_, at| now.since(*at) < PROVEN_FOR);
+        if self.answered.len() >= MAX_ANSWERED {
+            self.answered.retain(|_, at| now.since(*at) < ANSWER_WINDOW);
         }
-        if self.answered.len() < MOST_ANSWERED || self.answered.contains_key(&request) {
+        if self.answered.len() < MAX_ANSWERED || self.answered.contains_key(&request) {
             self.answered.insert(request, now);
         }
         if self.records.contains_key(&request) {
-            self.change(request, now, |record| record.prove(now.into()));
+            self.update_record(request, now, |record| record.record_answer(now.into()));
         }
     }
 
     /// Releases a content at an operator's request: crashes up to now no longer count.
     pub fn release(&mut self, request: RequestFingerprint, now: Moment) {
-        self.change(request, now, |record| record.void(now.into()));
+        self.update_record(request, now, |record| record.void(now.into()));
     }
 
-    fn change(
+    fn update_record(
         &mut self,
         request: RequestFingerprint,
         now: Moment,
@@ -114,35 +114,35 @@
     ) -> Option<HeldRequest> {
         let record = self.records.entry(request).or_default();
         let was_held = record.held_for(now).is_some();
-        let mut is_news = change(record);
-        if let Some(at) = self.answered.get(&request).filter(|at| now.since(**at) < PROVEN_FOR) {
-            is_news |= record.prove(PastMoment::from(*at));
+        let mut has_changed = change(record);
+        if let Some(at) = self.answered.get(&request).filter(|at| now.since(**at) < ANSWER_WINDOW) {
+            has_changed |= record.record_answer(SignedMoment::from(*at));
         }
         let held = record.held(request, now);
-        if is_news {
+        if has_changed {
             self.digest = None;
-            self.queue.push(request, record.crashes());
+            self.peer_queue.push(request, record.crashes());
         }
         let is_cleared = was_held && held.is_none();
-        if is_cleared || (is_news && held.is_some() && record.is_witness) {
-            self.reports.push(request, record.crashes());
+        if is_cleared || (has_changed && held.is_some() && record.is_witness) {
+            self.voter_queue.push(request, record.crashes());
         }
         let held = held.filter(|_| !was_held);
-        self.drop_excess(now);
+        self.evict_excess(now);
         held
     }
 
     /// Returns the update for the next message to other daemons.
     pub fn news(&mut self, now: Moment) -> SuspectNews {
-        self.forget(now);
-        let chosen = self.queue.next_rows();
+        self.expire(now);
+        let chosen = self.peer_queue.next_rows();
         SuspectNews { rows: self.rows(&chosen, now), digest: self.digest() }
     }
 
     /// Returns the next report to the voters: quarantined contents on which this daemon itself saw
     /// a crash, and contents that were cleared.
     pub fn reports(&mut self, now: Moment) -> Vec<SuspectRow> {
-        let chosen = self.reports.next_rows();
+        let chosen = self.voter_queue.next_rows();
         self.rows(&chosen, now)
     }
 
@@ -155,31 +155,31 @@
     /// Merges another daemon's update. Returns the contents that this puts into quarantine.
     pub fn take(&mut self, from: &DaemonName, news: &SuspectNews, now: Moment) -> Vec<HeldRequest> {
         let held = news.rows.iter().filter_map(|row| self.take_row(row, now)).collect();
-        self.compare(from, news.digest, now);
+        self.check_digest(from, news.digest, now);
         held
     }
 
     /// Merges a row, and returns the content if this puts it into quarantine.
     pub fn take_row(&mut self, row: &SuspectRow, now: Moment) -> Option<HeldRequest> {
-        self.change(row.request, now, |record| record.take(row, now))
+        self.update_record(row.request, now, |record| record.take(row, now))
     }
 
     /// Queues all records again if the digest of a peer keeps differing: the peer has just started,
     /// or was cut off while updates were distributed.
-    fn compare(&mut self, from: &DaemonName, digest: u32, now: Moment) {
+    fn check_digest(&mut self, from: &DaemonName, digest: u32, now: Moment) {
         if self.digest() == digest {
-            self.differing.remove(from);
+            self.differing_since.remove(from);
             return;
         }
-        let since = *self.differing.entry(from.clone()).or_insert(now);
-        let is_paused = self.told_all.is_some_and(|at| now.since(at) < TELL_PAUSE);
-        if now.since(since) < DIFFERS_FOR || is_paused || !self.queue.is_empty() {
+        let since = *self.differing_since.entry(from.clone()).or_insert(now);
+        let is_paused = self.last_resync.is_some_and(|at| now.since(at) < RESYNC_INTERVAL);
+        if now.since(since) < RESYNC_DELAY || is_paused || !self.peer_queue.is_empty() {
             return;
         }
-        self.told_all = Some(now);
-        self.differing.clear();
+        self.last_resync = Some(now);
+        self.differing_since.clear();
         for (request, record) in &self.records {
-            self.queue.push(*request, record.crashes());
+            self.peer_queue.push(*request, record.crashes());
         }
     }
 
@@ -198,23 +198,23 @@
         digest
     }
 
-    fn forget(&mut self, now: Moment) {
-        if now.since(self.forgot) < FORGET_PAUSE {
+    fn expire(&mut self, now: Moment) {
+        if now.since(self.last_expiry) < EXPIRY_INTERVAL {
             return;
         }
-        self.forgot = now;
+        self.last_expiry = now;
         let before = self.records.len();
-        let (queue, reports) = (&mut self.queue, &mut self.reports);
+        let (peer_queue, voter_queue) = (&mut self.peer_queue, &mut self.voter_queue);
         self.records.retain(|request, record| {
             let is_kept = !record.is_over(now);
             if !is_kept {
-                queue.remove(*request);
-                reports.remove(*request);
+                peer_queue.remove(*request);
+                voter_queue.remove(*request);
             }
             is_kept
         });
-        self.answered.retain(|_, at| now.since(*at) < PROVEN_FOR);
-        self.differing.retain(|_, since| now.since(*since) < DIFFERS_FOR * 10);
+        self.answered.retain(|_, at| now.since(*at) < ANSWER_WINDOW);
+        self.differing_since.retain(|_, since| now.since(*since) < RESYNC_DELAY * 10);
         if self.records.len() != before {
             self.digest = None;
         }
@@ -222,8 +222,8 @@
 
     /// Evicts a quarter of the records if there are too many, so that eviction does not run for
     /// each new record.
-    fn drop_excess(&mut self, now: Moment) {
-        if self.records.len() <= MOST_RECORDS {
+    fn evict_excess(&mut self, now: Moment) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         let rank = |record: &SuspectRecord| {
@@ -232,10 +232,10 @@
         let mut ranked: Vec<_> =
             self.records.iter().map(|(request, record)| (rank(record), *request)).collect();
         ranked.sort_unstable();
-        for (_, request) in ranked.into_iter().take(MOST_RECORDS / 4) {
+        for (_, request) in ranked.into_iter().take(MAX_RECORDS / 4) {
             self.records.remove(&request);
-            self.queue.remove(request);
-            self.reports.remove(request);
+            self.peer_queue.remove(request);
+            self.voter_queue.remove(request);
         }
         self.digest = None;
     }
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -47,21 +47,21 @@
 }
 
 /// Number of hexadecimal digits of a fingerprint in text form.
-const DIGITS: usize = 16;
+const HEX_DIGITS: usize = 16;
 
 /// Error for text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("expected {DIGITS} hexadecimal digits, as in the logs"))]
-pub struct FingerprintFault;
+#[snafu(display("expected {HEX_DIGITS} hexadecimal digits, as in the logs"))]
+pub struct FingerprintError;
 
 impl FromStr for RequestFingerprint {
-    type Err = FingerprintFault;
+    type Err = FingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, FingerprintFault> {
+    fn from_str(text: &str) -> Result<Self, FingerprintError> {
         let is_hexadecimal =
-            text.len() == DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+            text.len() == HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = is_hexadecimal.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-        number.map(RequestFingerprint).ok_or(FingerprintFault)
+        number.map(RequestFingerprint).ok_or(FingerprintError)
     }
 }
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -17,12 +17,12 @@
 mod crash_table;
 mod fingerprint;
 mod news_queue;
-mod past_moment;
+mod signed_moment;
 mod suspect_news;
 mod suspect_record;
 
 pub use crash_table::{CrashTable, HeldRequest, TableSizes};
-pub use fingerprint::{FingerprintFault, RequestContent, RequestFingerprint};
-pub use past_moment::PastMoment;
+pub use fingerprint::{FingerprintError, RequestContent, RequestFingerprint};
+pub use signed_moment::SignedMoment;
 pub use suspect_news::{SuspectNews, SuspectRow};
 pub use suspect_record::{CRASHES_TO_HOLD, SuspectRecord};
--- a/src/quarantine/news_queue.rs
+++ b/src/quarantine/news_queue.rs
@@ -1,41 +1,41 @@
 //! Queue of the rows to send in the next messages.
 
 use super::RequestFingerprint;
-use super::suspect_news::MOST_ROWS;
+use super::suspect_news::MAX_ROWS;
 use std::collections::{BTreeMap, HashMap};
 
 /// Number of messages that carry each row, since messages are sometimes lost.
-const TOLD_TIMES: u8 = 4;
+const ROW_SENDS: u8 = 4;
 
 /// Position of a row in the queue: rows with more crashes first, then in order of arrival.
-type QueuePlace = (std::cmp::Reverse<usize>, u64);
+type QueuePosition = (std::cmp::Reverse<usize>, u64);
 
 /// Rows waiting to be sent, by the fingerprints of their contents.
 #[derive(Clone, Debug, Default)]
 pub struct NewsQueue {
-    places: HashMap<RequestFingerprint, (QueuePlace, u8)>,
-    order: BTreeMap<QueuePlace, RequestFingerprint>,
-    next: u64,
+    positions: HashMap<RequestFingerprint, (QueuePosition, u8)>,
+    order: BTreeMap<QueuePosition, RequestFingerprint>,
+    next_sequence: u64,
 }
 
 impl NewsQueue {
     /// Queues a row that has changed or is to be sent again; `crashes` determines its priority.
     pub fn push(&mut self, request: RequestFingerprint, crashes: usize) {
-        self.put(request, crashes, TOLD_TIMES);
+        self.insert_row(request, crashes, ROW_SENDS);
     }
 
-    fn put(&mut self, request: RequestFingerprint, crashes: usize, times: u8) {
+    fn insert_row(&mut self, request: RequestFingerprint, crashes: usize, sends_left: u8) {
         self.remove(request);
-        self.next += 1;
-        let place = (std::cmp::Reverse(crashes), self.next);
-        self.places.insert(request, (place, times));
-        self.order.insert(place, request);
+        self.next_sequence += 1;
+        let position = (std::cmp::Reverse(crashes), self.next_sequence);
+        self.positions.insert(request, (position, sends_left));
+        self.order.insert(position, request);
     }
 
     /// Removes a row whose record no longer exists.
     pub fn remove(&mut self, request: RequestFingerprint) {
-        if let Some((place, _)) = self.places.remove(&request) {
-            self.order.remove(&place);
+        if let Some((position, _)) = self.positions.remove(&request) {
+            self.order.remove(&position);
         }
     }
 
@@ -45,13 +45,14 @@
 
     /// Returns the rows for the next message.
     pub fn next_rows(&mut self) -> Vec<RequestFingerprint> {
-        let chosen: Vec<RequestFingerprint> =
-            self.order.values().take(MOST_ROWS).copied().collect();
+        let chosen: Vec<RequestFingerprint> = self.order.values().take(MAX_ROWS).copied().collect();
         for request in &chosen {
-            let Some(((crashes, _), times)) = self.places.get(request).copied() else { continue };
-            match times {
+            let Some(((crashes, _), sends_left)) = self.positions.get(request).copied() else {
+                continue;
+            };
+            match sends_left {
                 0 | 1 => self.remove(*request),
-                _ => self.put(*request, crashes.0, times - 1),
+                _ => self.insert_row(*request, crashes.0, sends_left - 1),
             }
         }
         chosen
--- a/src/quarantine/signed_moment.rs
+++ b/src/quarantine/signed_moment.rs
@@ -7,12 +7,12 @@
 /// Microseconds on this daemon's monotonic clock. Negative for events before its start, since other
 /// daemons often report older events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct PastMoment(i64);
+pub struct SignedMoment(i64);
 
-impl PastMoment {
+impl SignedMoment {
     /// The moment `age_ms` milliseconds before `now`; a negative age yields a moment after `now`.
-    pub fn of_age(age_ms: i64, now: Moment) -> Self {
-        PastMoment((now.0 as i64).saturating_sub(age_ms.saturating_mul(1_000)))
+    pub fn from_age_ms(age_ms: i64, now: Moment) -> Self {
+        SignedMoment((now.0 as i64).saturating_sub(age_ms.saturating_mul(1_000)))
     }
 
     /// Milliseconds from this moment to `now`; negative if the moment is in the future.
@@ -22,7 +22,7 @@
 
     /// This moment plus `time`.
     pub fn after(self, time: Duration) -> Self {
-        PastMoment(self.0.saturating_add(time.as_micros() as i64))
+        SignedMoment(self.0.saturating_add(time.as_micros() as i64))
     }
 
     /// Time from `now` until this moment, or none if it has passed.
@@ -32,8 +32,8 @@
     }
 }
 
-impl From<Moment> for PastMoment {
+impl From<Moment> for SignedMoment {
     fn from(moment: Moment) -> Self {
-        PastMoment(moment.0 as i64)
+        SignedMoment(moment.0 as i64)
     }
 }
--- a/src/quarantine/suspect_news.rs
+++ b/src/quarantine/suspect_news.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of rows per message, about 1,100 bytes.
-pub const MOST_ROWS: usize = 32;
+pub const MAX_ROWS: usize = 32;
 /// Maximum number of upstreams accepted in one row; other versions of the daemon may store more
 /// than this one does.
-const MOST_CRASHES: usize = 64;
+const MAX_CRASHES: usize = 64;
 /// Maximum plausible age in milliseconds: a month.
-const MOST_AGE_MS: i64 = 31 * 86_400_000;
+const MAX_AGE_MS: i64 = 31 * 86_400_000;
 /// Maximum time that a moment may lie in the future, in milliseconds.
-const MOST_AHEAD_MS: i64 = 60_000;
+const MAX_AHEAD_MS: i64 = 60_000;
 
 /// All that is known about one content. Rows are merged as sets, so duplicated, delayed and
 /// rerouted rows are harmless.
@@ -39,12 +39,12 @@
 impl SuspectNews {
     /// Returns false if the update contains values that no daemon can have observed.
     pub fn is_plausible(&self) -> bool {
-        let has_sense = |age: i64| (-MOST_AHEAD_MS..=MOST_AGE_MS).contains(&age);
-        self.rows.len() <= MOST_ROWS
+        let is_plausible_age = |age: i64| (-MAX_AHEAD_MS..=MAX_AGE_MS).contains(&age);
+        self.rows.len() <= MAX_ROWS
             && self.rows.iter().all(|row| {
-                row.crashes.len() <= MOST_CRASHES
-                    && row.crashes.iter().all(|(_, age)| has_sense(*age))
-                    && row.void_age_ms.is_none_or(has_sense)
+                row.crashes.len() <= MAX_CRASHES
+                    && row.crashes.iter().all(|(_, age)| is_plausible_age(*age))
+                    && row.void_age_ms.is_none_or(is_plausible_age)
             })
     }
 }
--- a/src/quarantine/suspect_record.rs
+++ b/src/quarantine/suspect_record.rs
@@ -1,6 +1,6 @@
 //! Record of one content: the upstreams that crashed on it, and when it was cleared.
 
-use super::{HeldRequest, PastMoment, RequestFingerprint, SuspectRow};
+use super::{HeldRequest, RequestFingerprint, SignedMoment, SuspectRow};
 use crate::policy::{Moment, UpstreamHash};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,29 +11,29 @@
 /// sent again; a third is rarely a coincidence.
 pub const CRASHES_TO_HOLD: usize = 3;
 /// Maximum number of crashes stored per content: enough to reach the longest quarantine.
-const MOST_CRASHES: usize = 12;
+const MAX_CRASHES: usize = 12;
 /// Duration of the first quarantine. Much longer than callers keep retrying, yet short enough that
 /// content quarantined because of faulty upstreams is released once they are repaired.
-const FIRST_HOLD: Duration = Duration::from_secs(600);
+const INITIAL_HOLD: Duration = Duration::from_secs(600);
 /// Maximum quarantine: a day, which gives an operator time to notice it.
-const LONGEST_HOLD: Duration = Duration::from_secs(86_400);
+const MAX_HOLD: Duration = Duration::from_secs(86_400);
 /// Content with too few crashes for a quarantine, and the cut-off of cleared content, are forgotten
 /// after this long.
-const SUSPECTED_FOR: Duration = Duration::from_secs(600);
+const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 /// Crashes within this time after a complete answer to the same content do not count: a rack
 /// failure interrupts many requests of one popular content at the same moment.
-pub const PROVEN_FOR: Duration = Duration::from_secs(10);
+pub const ANSWER_WINDOW: Duration = Duration::from_secs(10);
 
 /// Minimum advance of the cut-off that is announced to other daemons. Popular content is answered
 /// continuously, and this limits the announcements to one per interval.
-const VOID_STEP: Duration = Duration::from_secs(5);
+const VOID_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Crashes on one content.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    crashes: BTreeMap<UpstreamHash, PastMoment>,
+    crashes: BTreeMap<UpstreamHash, SignedMoment>,
     /// Crashes up to this moment do not count.
-    void_until: Option<PastMoment>,
+    void_until: Option<SignedMoment>,
     /// True if this daemon itself saw an upstream crash on the content.
     #[serde(skip)]
     pub is_witness: bool,
@@ -42,7 +42,7 @@
 impl SuspectRecord {
     /// Adds a crash of an upstream; returns true if it was not known. Of two reports on the same
     /// upstream, the earlier time is kept.
-    pub fn add_crash(&mut self, upstream: UpstreamHash, at: PastMoment) -> bool {
+    pub fn add_crash(&mut self, upstream: UpstreamHash, at: SignedMoment) -> bool {
         if self.is_void(at) {
             return false;
         }
@@ -53,29 +53,30 @@
         self.crashes.insert(upstream, at);
         // Which crash is dropped does not depend on the order of arrival, so all daemons keep the
         // same ones.
-        let is_over = self.crashes.len() > MOST_CRASHES;
-        let dropped = if is_over { self.crashes.pop_last() } else { None };
+        let is_excess = self.crashes.len() > MAX_CRASHES;
+        let dropped = if is_excess { self.crashes.pop_last() } else { None };
         dropped.is_none_or(|(dropped, _)| dropped != upstream)
     }
 
     /// Voids all crashes up to `until`; returns true if other daemons should be told.
-    pub fn void(&mut self, until: PastMoment) -> bool {
+    pub fn void(&mut self, until: SignedMoment) -> bool {
         if self.void_until.is_some_and(|known| known >= until) {
             return false;
         }
-        let is_step = self.void_until.is_none_or(|known| known.after(VOID_STEP) <= until);
+        let is_due =
+            self.void_until.is_none_or(|known| known.after(VOID_ANNOUNCE_INTERVAL) <= until);
         let before = self.crashes.len();
         self.void_until = Some(until);
         self.crashes.retain(|_, at| *at > until);
-        is_step || self.crashes.len() != before
+        is_due || self.crashes.len() != before
     }
 
     /// Records a complete answer received at `at`; returns true if other daemons should be told.
-    pub fn prove(&mut self, at: PastMoment) -> bool {
-        self.void(at.after(PROVEN_FOR))
+    pub fn record_answer(&mut self, at: SignedMoment) -> bool {
+        self.void(at.after(ANSWER_WINDOW))
     }
 
-    fn is_void(&self, at: PastMoment) -> bool {
+    fn is_void(&self, at: SignedMoment) -> bool {
         self.void_until.is_some_and(|until| at <= until)
     }
 
@@ -89,21 +90,21 @@
         self.crashes.keys().copied()
     }
 
-    fn last_crash(&self) -> Option<PastMoment> {
+    fn last_crash(&self) -> Option<SignedMoment> {
         self.crashes.values().max().copied()
     }
 
     /// Duration of the quarantine, or none if there are too few crashes. It doubles with each
     /// further upstream, so that content which keeps crashing upstreams after its release does so
     /// less and less often.
-    fn hold(&self) -> Option<Duration> {
-        let further = self.crashes.len().checked_sub(CRASHES_TO_HOLD)?;
-        Some((FIRST_HOLD * 2u32.pow(further as u32)).min(LONGEST_HOLD))
+    fn hold_duration(&self) -> Option<Duration> {
+        let extra_crashes = self.crashes.len().checked_sub(CRASHES_TO_HOLD)?;
+        Some((INITIAL_HOLD * 2u32.pow(extra_crashes as u32)).min(MAX_HOLD))
     }
 
     /// Returns the remaining quarantine time, or none if the content is not quarantined.
     pub fn held_for(&self, now: Moment) -> Option<Duration> {
-        self.last_crash()?.after(self.hold()?).remaining(now)
+        self.last_crash()?.after(self.hold_duration()?).remaining(now)
     }
 
     /// Describes the quarantined content, or returns none if it is not quarantined.
@@ -122,9 +123,9 @@
     /// Returns true once the record is no longer needed. After a quarantine it is kept for the same
     /// duration again, so that one more crash quarantines the content at once.
     pub fn is_over(&self, now: Moment) -> bool {
-        let kept = self.hold().map_or(SUSPECTED_FOR, |hold| hold * 2);
+        let kept = self.hold_duration().map_or(SUSPECT_RETENTION, |hold| hold * 2);
         let crash = self.last_crash().and_then(|at| at.after(kept).remaining(now));
-        let void = self.void_until.and_then(|until| until.after(SUSPECTED_FOR).remaining(now));
+        let void = self.void_until.and_then(|until| until.after(SUSPECT_RETENTION).remaining(now));
         crash.is_none() && void.is_none()
     }
 
@@ -140,13 +141,13 @@
 
     /// Merges a row from another daemon; returns true if it contained anything new.
     pub fn take(&mut self, row: &SuspectRow, now: Moment) -> bool {
-        let mut is_news = false;
+        let mut has_changed = false;
         if let Some(age) = row.void_age_ms {
-            is_news |= self.void(PastMoment::of_age(age, now));
+            has_changed |= self.void(SignedMoment::from_age_ms(age, now));
         }
         for (upstream, age) in &row.crashes {
-            is_news |= self.add_crash(*upstream, PastMoment::of_age(*age, now));
+            has_changed |= self.add_crash(*upstream, SignedMoment::from_age_ms(*age, now));
         }
-        is_news
+        has_changed
     }
 }
