--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -7,7 +7,7 @@
 use crate::control::waiters::{EntryWaiter, ReplyTo};
 use crate::policy::Moment;
 use crate::rollout::{
-    RolloutDirector, RolloutOrder, RolloutRecord, RolloutReply, RolloutReport, RolloutStage,
+    RolloutController, RolloutOrder, RolloutRecord, RolloutReply, RolloutReport, RolloutStage,
     RolloutStep,
 };
 use crate::table::{DaemonName, ServiceName};
@@ -23,7 +23,7 @@
 /// What a leader knows of the roll-outs that are under way.
 #[derive(Default)]
 pub struct RolloutDesk {
-    directors: BTreeMap<ServiceName, RolloutDirector>,
+    directors: BTreeMap<ServiceName, RolloutController>,
     /// The stage in which a change was proposed last, and when.
     proposed: BTreeMap<ServiceName, (u64, RolloutStage, Moment)>,
     kept_at: Moment,
@@ -35,12 +35,12 @@
         *self = RolloutDesk::default();
     }
 
-    fn director(&mut self, record: &RolloutRecord, now: Moment) -> &mut RolloutDirector {
+    fn director(&mut self, record: &RolloutRecord, now: Moment) -> &mut RolloutController {
         let service = &record.order.service;
         let is_known =
             self.directors.get(service).is_some_and(|known| known.number() == record.number);
         if !is_known {
-            let director = RolloutDirector::new(record, record.elapsed_at(unix_millis()), now);
+            let director = RolloutController::new(record, record.elapsed_at(unix_millis()), now);
             self.directors.insert(service.clone(), director);
         }
         self.directors.get_mut(service).expect("just inserted")
@@ -75,7 +75,7 @@
             let mut records = self.ledger.rollouts().iter();
             let record = records.find(|record| record.number == report.number);
             let Some(record) = record.filter(|record| !record.stage.is_final()) else { continue };
-            self.rollouts.director(record, now).take(daemon, boot, report);
+            self.rollouts.director(record, now).record_report(daemon, boot, report);
         }
     }
 
--- a/src/rollout/director.rs
+++ b/src/rollout/controller.rs
@@ -50,7 +50,7 @@
 
 /// The leader's state of one roll-out.
 #[derive(Clone, Debug)]
-pub struct RolloutDirector {
+pub struct RolloutController {
     number: u64,
     /// Milliseconds elapsed when this leader took over, and the moment when it did.
     start: (u64, Moment),
@@ -62,10 +62,10 @@
     count_history: VecDeque<(Moment, AnswerCounts)>,
 }
 
-impl RolloutDirector {
+impl RolloutController {
     /// Takes over a roll-out that has been running for `elapsed_ms` at `now`.
     pub fn new(record: &RolloutRecord, elapsed_ms: u64, now: Moment) -> Self {
-        RolloutDirector {
+        RolloutController {
             number: record.number,
             start: (elapsed_ms, now),
             stage: record.stage,
@@ -87,7 +87,7 @@
     }
 
     /// Stores a daemon's report; reports on other roll-outs are ignored.
-    pub fn take(&mut self, daemon: &DaemonName, boot: u64, report: RolloutReport) {
+    pub fn record_report(&mut self, daemon: &DaemonName, boot: u64, report: RolloutReport) {
         if report.number != self.number {
             return;
         }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -3,11 +3,11 @@
 //!
 //! This module is pure: time and random numbers are inputs. The voters store orders and stages
 //! ([`RolloutLog`]), daemons send the new version its share ([`SharePace`]) and count the outcomes
-//! ([`AnswerCounts`]), and the leader sums the counts and decides ([`RolloutDirector`]). A new
+//! ([`AnswerCounts`]), and the leader sums the counts and decides ([`RolloutController`]). A new
 //! version that fails or is slow is detected by comparison with the old one over the same period.
 
+mod controller;
 mod counts;
-mod director;
 mod judge;
 mod log;
 mod messages;
@@ -15,8 +15,8 @@
 mod stage;
 mod versions;
 
+pub use controller::{RolloutController, RolloutDecision};
 pub use counts::{AnswerCount, AnswerCounts, CountKey, RequestGroup, VersionArm};
-pub use director::{RolloutDecision, RolloutDirector};
 pub use judge::{VersionVerdict, judge};
 pub use log::{RolloutLog, RolloutOrder, RolloutRecord, RolloutReply, RolloutStep};
 pub use messages::{RolloutReport, RolloutRow, RolloutRows};
--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tarragonknot::policy::{Moment, RouteKey, SizeDecile, UpstreamHash};
 use tarragonknot::rollout::{
-    AnswerCount, AnswerCounts, RequestGroup, RolloutDirector, RolloutEvent, RolloutLog,
+    AnswerCount, AnswerCounts, RequestGroup, RolloutController, RolloutEvent, RolloutLog,
     RolloutOrder, RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePace,
     VersionArm,
 };
@@ -118,7 +118,7 @@
         let order =
             RolloutOrder { service: service.clone(), to: "v2".into(), duration_ms: DURATION_MS };
         let RolloutReply::Accepted(first) = log.begin(&order, 0) else { unreachable!("empty") };
-        let mut director = RolloutDirector::new(&first, 0, Moment(0));
+        let mut director = RolloutController::new(&first, 0, Moment(0));
         let mut daemons: Vec<PlayDaemon> = (0..self.daemons)
             .map(|number| PlayDaemon {
                 name: format!("d{number}").as_str().into(),
@@ -207,7 +207,7 @@
             let moment = Moment::from_millis(now);
             let record = log.get(&service).expect("the roll-out").clone();
             if asleep_until == now && now > 0 {
-                director = RolloutDirector::new(&record, record.elapsed_at(now), moment);
+                director = RolloutController::new(&record, record.elapsed_at(now), moment);
             }
             for daemon in daemons.iter_mut().filter(|daemon| daemon.report_at <= now) {
                 daemon.report_at = now + REPORT_MS;
@@ -218,7 +218,7 @@
                         on_old: daemon.on_old,
                         counts: daemon.counts.clone(),
                     };
-                    director.take(&daemon.name, 1, report);
+                    director.record_report(&daemon.name, 1, report);
                 }
                 daemon.row = Some(RolloutRow::new(&record, BOUND));
                 daemon.heard_at = now;
