--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -1,7 +1,7 @@
 //! The leader's part of a roll-out: sums the daemons' counts and decides when the roll-out
 //! advances, completes or is rolled back.
 
-use super::counts::{AnswerCounts, VersionArm};
+use super::counts::{OutcomeCounts, VersionArm};
 use super::judge::{VersionVerdict, judge};
 use super::log::RolloutRecord;
 use super::messages::RolloutReport;
@@ -58,8 +58,8 @@
     stage_since: Moment,
     daemons: BTreeMap<DaemonName, DaemonCounts>,
     /// Counts from earlier process starts of the daemons.
-    ended_counts: AnswerCounts,
-    count_history: VecDeque<(Moment, AnswerCounts)>,
+    ended_counts: OutcomeCounts,
+    count_history: VecDeque<(Moment, OutcomeCounts)>,
 }
 
 impl RolloutController {
@@ -71,7 +71,7 @@
             stage: record.stage,
             stage_since: now,
             daemons: BTreeMap::new(),
-            ended_counts: AnswerCounts::default(),
+            ended_counts: OutcomeCounts::default(),
             count_history: VecDeque::new(),
         }
     }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn counts(&self) -> AnswerCounts {
+    fn counts(&self) -> OutcomeCounts {
         let mut counts = self.ended_counts.clone();
         self.daemons.values().for_each(|daemon| counts.add(&daemon.report.counts));
         counts
@@ -135,7 +135,7 @@
         })
     }
 
-    fn verdict(&self, counts: &AnswerCounts) -> VersionVerdict {
+    fn verdict(&self, counts: &OutcomeCounts) -> VersionVerdict {
         if counts.total(VersionArm::New) < MIN_NEW_ANSWERS {
             return VersionVerdict::Unclear;
         }
--- a/src/rollout/counts.rs
+++ b/src/rollout/counts.rs
@@ -23,7 +23,7 @@
 
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum AnswerCount {
+pub enum VersionOutcome {
     /// The request was answered; the bucket holds the time from sending it to its first event or
     /// its answer.
     Served(u8),
@@ -31,11 +31,11 @@
     Failed,
 }
 
-impl AnswerCount {
+impl VersionOutcome {
     /// The outcome of a request answered `latency` after it was sent.
     pub fn served(latency: Duration) -> Self {
         let millis = (latency.as_secs_f64() * 1_000.0).max(1.0);
-        AnswerCount::Served(((millis.log2() * 2.0) as u8).min(LATENCY_BUCKETS - 1))
+        VersionOutcome::Served(((millis.log2() * 2.0) as u8).min(LATENCY_BUCKETS - 1))
     }
 }
 
@@ -67,37 +67,37 @@
     /// The upstream; none where the counter covers all upstreams.
     pub upstream: Option<UpstreamHash>,
     /// Outcome of the request.
-    pub answer: AnswerCount,
+    pub outcome: VersionOutcome,
 }
 
 /// Outcomes on both versions, counted since the start of a roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnswerCounts(BTreeMap<CountKey, u32>);
+pub struct OutcomeCounts(BTreeMap<CountKey, u32>);
 
-impl AnswerCounts {
+impl OutcomeCounts {
     /// Counts one outcome.
-    pub fn note(
+    pub fn record(
         &mut self,
         arm: VersionArm,
         group: RequestGroup,
         upstream: UpstreamHash,
-        answer: AnswerCount,
+        outcome: VersionOutcome,
     ) {
-        let has_upstream = arm == VersionArm::New || answer == AnswerCount::Failed;
-        let key = CountKey { arm, group, upstream: has_upstream.then_some(upstream), answer };
+        let has_upstream = arm == VersionArm::New || outcome == VersionOutcome::Failed;
+        let key = CountKey { arm, group, upstream: has_upstream.then_some(upstream), outcome };
         *self.0.entry(key).or_default() += 1;
     }
 
     /// Adds the counts of `other`.
-    pub fn add(&mut self, other: &AnswerCounts) {
+    pub fn add(&mut self, other: &OutcomeCounts) {
         other.0.iter().for_each(|(key, count)| *self.0.entry(*key).or_default() += count);
     }
 
     /// Returns the counts added since `earlier`.
-    pub fn since(&self, earlier: &AnswerCounts) -> AnswerCounts {
+    pub fn since(&self, earlier: &OutcomeCounts) -> OutcomeCounts {
         let before = |key| earlier.0.get(key).copied().unwrap_or(0);
         let rows = self.0.iter().map(|(key, count)| (*key, count.saturating_sub(before(key))));
-        AnswerCounts(rows.filter(|(_, count)| *count > 0).collect())
+        OutcomeCounts(rows.filter(|(_, count)| *count > 0).collect())
     }
 
     /// Iterates over all counters.
@@ -112,7 +112,7 @@
 
     /// Number of failed requests on a version.
     pub fn failures(&self, arm: VersionArm) -> u64 {
-        let failed = |key: &CountKey| key.arm == arm && key.answer == AnswerCount::Failed;
+        let failed = |key: &CountKey| key.arm == arm && key.outcome == VersionOutcome::Failed;
         self.iter().filter(|(key, _)| failed(key)).map(|(_, count)| u64::from(count)).sum()
     }
 }
--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -7,7 +7,7 @@
 //! raise the false-alarm rate. The worst upstreams are excluded, since a fault of a single upstream
 //! says nothing about its version.
 
-use super::counts::{AnswerCount, AnswerCounts, LATENCY_BUCKETS, RequestGroup, VersionArm};
+use super::counts::{LATENCY_BUCKETS, OutcomeCounts, RequestGroup, VersionArm, VersionOutcome};
 use crate::policy::UpstreamHash;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -70,7 +70,7 @@
 
 /// Evaluates the new version. The old version's failure rate is taken from `baseline` where `counts`
 /// hold too few of its answers.
-pub fn judge(counts: &AnswerCounts, baseline: &AnswerCounts) -> VersionVerdict {
+pub fn judge(counts: &OutcomeCounts, baseline: &OutcomeCounts) -> VersionVerdict {
     let mut log_odds = Vec::new();
     for route in new_routes(counts).into_iter().map(Some).chain([None]) {
         log_odds.push(failure_log_odds(counts, baseline, route));
@@ -88,13 +88,13 @@
     if is_sound { VersionVerdict::Sound } else { VersionVerdict::Unclear }
 }
 
-fn new_routes(counts: &AnswerCounts) -> BTreeSet<u32> {
+fn new_routes(counts: &OutcomeCounts) -> BTreeSet<u32> {
     let new = counts.iter().filter(|(key, _)| key.arm == VersionArm::New);
     new.map(|(key, _)| key.group.route).collect()
 }
 
 /// Returns the log odds that the new version fails more often, on one route or on all of them.
-fn failure_log_odds(counts: &AnswerCounts, baseline: &AnswerCounts, route: Option<u32>) -> f64 {
+fn failure_log_odds(counts: &OutcomeCounts, baseline: &OutcomeCounts, route: Option<u32>) -> f64 {
     let baseline_rate =
         old_failure_rate(counts, route).or_else(|| old_failure_rate(baseline, route));
     let baseline_rate =
@@ -108,7 +108,7 @@
 
 /// Returns the old version's failure rate without the upstreams that fail most, or none if it has
 /// too few answers.
-fn old_failure_rate(counts: &AnswerCounts, route: Option<u32>) -> Option<f64> {
+fn old_failure_rate(counts: &OutcomeCounts, route: Option<u32>) -> Option<f64> {
     let mut answers = 0.0;
     let mut failures: BTreeMap<Option<UpstreamHash>, f64> = BTreeMap::new();
     for (key, count) in counts.iter().filter(|(key, _)| key.arm == VersionArm::Old) {
@@ -116,7 +116,7 @@
             continue;
         }
         answers += f64::from(count);
-        if key.answer == AnswerCount::Failed {
+        if key.outcome == VersionOutcome::Failed {
             *failures.entry(key.upstream).or_default() += f64::from(count);
         }
     }
@@ -137,7 +137,7 @@
 }
 
 fn new_tallies(
-    counts: &AnswerCounts,
+    counts: &OutcomeCounts,
     route: Option<u32>,
 ) -> BTreeMap<Option<UpstreamHash>, FailureTally> {
     let mut tallies: BTreeMap<_, FailureTally> = BTreeMap::new();
@@ -145,7 +145,7 @@
         let tally = tallies.entry(key.upstream).or_default();
         if route.is_none_or(|route| route == key.group.route) {
             tally.answers += f64::from(count);
-            let has_failed = key.answer == AnswerCount::Failed;
+            let has_failed = key.outcome == VersionOutcome::Failed;
             tally.failures += if has_failed { f64::from(count) } else { 0.0 };
         }
     }
@@ -167,10 +167,10 @@
 
 type LatencyHistogram = [u64; LATENCY_BUCKETS as usize];
 
-fn old_latencies(counts: &AnswerCounts) -> BTreeMap<RequestGroup, LatencyHistogram> {
+fn old_latencies(counts: &OutcomeCounts) -> BTreeMap<RequestGroup, LatencyHistogram> {
     let mut histograms: BTreeMap<RequestGroup, LatencyHistogram> = BTreeMap::new();
     for (key, count) in counts.iter().filter(|(key, _)| key.arm == VersionArm::Old) {
-        if let AnswerCount::Served(bucket) = key.answer {
+        if let VersionOutcome::Served(bucket) = key.outcome {
             let histogram = histograms.entry(key.group).or_insert([0; LATENCY_BUCKETS as usize]);
             histogram[usize::from(bucket.min(LATENCY_BUCKETS - 1))] += u64::from(count);
         }
@@ -189,11 +189,11 @@
 }
 
 /// Returns the log wealth of the bets that ranks are high, without the slowest upstreams.
-fn rank_log_wealth(counts: &AnswerCounts) -> f64 {
+fn rank_log_wealth(counts: &OutcomeCounts) -> f64 {
     let old = old_latencies(counts);
     let mut wealth_by_upstream: BTreeMap<Option<UpstreamHash>, [f64; 2]> = BTreeMap::new();
     for (key, count) in counts.iter().filter(|(key, _)| key.arm == VersionArm::New) {
-        let AnswerCount::Served(bucket) = key.answer else { continue };
+        let VersionOutcome::Served(bucket) = key.outcome else { continue };
         let Some(rank) = old.get(&key.group).and_then(|histogram| rank(histogram, bucket)) else {
             continue;
         };
--- a/src/rollout/messages.rs
+++ b/src/rollout/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between daemons and the leader about roll-outs.
 
-use super::counts::AnswerCounts;
+use super::counts::OutcomeCounts;
 use super::log::{RolloutLog, RolloutRecord};
 use super::stage::RolloutStage;
 use crate::table::{ServiceName, SoftwareVersion};
@@ -84,7 +84,7 @@
     pub on_old: u32,
     /// Outcomes it has counted since the roll-out started.
     #[serde(with = "packed_counts")]
-    pub counts: AnswerCounts,
+    pub counts: OutcomeCounts,
 }
 
 /// Serialises counts as base64 text: the report is sent as JSON, whose map keys must be strings.
@@ -92,7 +92,7 @@
     use super::*;
 
     pub fn serialize<S: Serializer>(
-        counts: &AnswerCounts,
+        counts: &OutcomeCounts,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
         let bytes = postcard::to_stdvec(counts).map_err(serde::ser::Error::custom)?;
@@ -101,7 +101,7 @@
 
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<AnswerCounts, D::Error> {
+    ) -> Result<OutcomeCounts, D::Error> {
         let text = String::deserialize(deserializer)?;
         let bytes = STANDARD_NO_PAD.decode(text).map_err(serde::de::Error::custom)?;
         postcard::from_bytes(&bytes).map_err(serde::de::Error::custom)
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! This module is pure: time and random numbers are inputs. The voters store orders and stages
 //! ([`RolloutLog`]), daemons send the new version its share ([`SharePace`]) and count the outcomes
-//! ([`AnswerCounts`]), and the leader sums the counts and decides ([`RolloutController`]). A new
+//! ([`OutcomeCounts`]), and the leader sums the counts and decides ([`RolloutController`]). A new
 //! version that fails or is slow is detected by comparison with the old one over the same period.
 
 mod controller;
@@ -16,7 +16,7 @@
 mod versions;
 
 pub use controller::{RolloutController, RolloutDecision};
-pub use counts::{AnswerCount, AnswerCounts, CountKey, RequestGroup, VersionArm};
+pub use counts::{CountKey, OutcomeCounts, RequestGroup, VersionArm, VersionOutcome};
 pub use judge::{VersionVerdict, judge};
 pub use log::{RolloutLog, RolloutOrder, RolloutRecord, RolloutReply, RolloutStep};
 pub use messages::{RolloutReport, RolloutRow, RolloutRows};
--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::{Moment, UpstreamHash};
 use crate::rollout::{
-    AnswerCount, AnswerCounts, RequestGroup, RolloutReport, RolloutRow, RolloutRows, RolloutStage,
-    SharePace, VersionArm,
+    OutcomeCounts, RequestGroup, RolloutReport, RolloutRow, RolloutRows, RolloutStage, SharePace,
+    VersionArm, VersionOutcome,
 };
 use crate::table::ServiceName;
 use arc_swap::ArcSwapOption;
@@ -21,7 +21,7 @@
 struct TrialState {
     number: u64,
     pace: SharePace,
-    counts: AnswerCounts,
+    counts: OutcomeCounts,
 }
 
 type TrialStates = Arc<Mutex<BTreeMap<ServiceName, TrialState>>>;
@@ -63,7 +63,7 @@
             if !is_known {
                 let pace = SharePace::new(draw);
                 let state =
-                    TrialState { number: row.number, pace, counts: AnswerCounts::default() };
+                    TrialState { number: row.number, pace, counts: OutcomeCounts::default() };
                 states.insert(row.service.clone(), state);
             }
         }
@@ -161,13 +161,13 @@
         arm: VersionArm,
         group: RequestGroup,
         upstream: UpstreamHash,
-        answer: AnswerCount,
+        answer: VersionOutcome,
     ) {
         if self.row(service).is_none_or(|row| row.stage.is_final()) {
             return;
         }
         if let Some(state) = lock(&self.states).get_mut(service) {
-            state.counts.note(arm, group, upstream, answer);
+            state.counts.record(arm, group, upstream, answer);
         }
     }
 
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -13,7 +13,7 @@
 };
 use crate::quarantine::RequestFingerprint;
 use crate::report::{RouteRecord, record_route};
-use crate::rollout::{AnswerCount, RequestGroup, VersionArm};
+use crate::rollout::{RequestGroup, VersionArm, VersionOutcome};
 use crate::table::{RouteKind, RouteRow, ServiceName, UpstreamName};
 use crate::traffic::access::CallerIdentity;
 use crate::traffic::crash_check::{BrokenRequest, BrokenUpstream, check_upstream};
@@ -426,7 +426,7 @@
 
 impl RoutedRequest {
     /// Counts the result of a send for the service's roll-out, if there is one.
-    pub fn record_version_answer(&self, placed: &PlacedRequest, answer: AnswerCount) {
+    pub fn record_version_answer(&self, placed: &PlacedRequest, answer: VersionOutcome) {
         let group = RequestGroup::of(RouteKey::of(&self.route.route), self.size_tenth);
         let incarnation = placed.pool.incarnation(placed.upstream);
         let service = &placed.pool.service;
@@ -461,7 +461,7 @@
         placed.pool.tell(PoolEvent::Lifecycle { upstream: placed.upstream, event });
     }
     if let SendError::ConnectionBroken(_) | SendError::NoUsableAnswer(_) = error {
-        request.record_version_answer(placed, AnswerCount::Failed);
+        request.record_version_answer(placed, VersionOutcome::Failed);
     }
     placed.guard.end(DispatchOutcome::Failed);
 }
@@ -546,7 +546,8 @@
                 false => DispatchOutcome::Completed { prompt_tokens: None, output_tokens: 0 },
             };
             let after = request.state.clock.now().since(placed.sent_at);
-            let answer = if is_failure { AnswerCount::Failed } else { AnswerCount::served(after) };
+            let answer =
+                if is_failure { VersionOutcome::Failed } else { VersionOutcome::served(after) };
             request.record_version_answer(&placed, answer);
             placed.guard.end(outcome);
             let updated = SendHistory { may_have_run: true, ..history };
--- a/src/traffic/routed/relay.rs
+++ b/src/traffic/routed/relay.rs
@@ -4,7 +4,7 @@
 use super::events::EventSplitter;
 use super::forward::{PlacedRequest, RequestStage, RoutedRequest, SendHistory, report_send_error};
 use crate::policy::{DispatchOutcome, Moment, PoolEvent};
-use crate::rollout::AnswerCount;
+use crate::rollout::VersionOutcome;
 use crate::upstream::{ConnectionGuard, end_to_end_headers};
 use axum::body::Body;
 use bytes::Bytes;
@@ -209,7 +209,7 @@
         self.request.stage = RequestStage::Ended;
         self.request.record("cut", Some(&self.timing));
         if self.connection.is_some() {
-            self.request.record_version_answer(&self.placed, AnswerCount::Failed);
+            self.request.record_version_answer(&self.placed, VersionOutcome::Failed);
         }
         self.connection = None;
         self.placed.guard.end(DispatchOutcome::Failed);
@@ -243,7 +243,7 @@
                     return true;
                 }
                 Ok(_) => {
-                    self.request.record_version_answer(&self.placed, AnswerCount::Failed);
+                    self.request.record_version_answer(&self.placed, VersionOutcome::Failed);
                     self.placed.guard.end(DispatchOutcome::Failed);
                 }
                 Err(error) => report_send_error(&self.request, &mut self.placed, &error),
@@ -262,7 +262,7 @@
             None => {
                 self.gap_start = Some((events, now));
                 let after = now.since(self.placed.sent_at);
-                self.request.record_version_answer(&self.placed, AnswerCount::served(after));
+                self.request.record_version_answer(&self.placed, VersionOutcome::served(after));
                 self.placed.pool.tell(PoolEvent::FirstToken { id, after });
             }
             Some((from, at)) if events >= from + GAP_REPORT_EVENTS => {
--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tarragonknot::policy::{Moment, RouteKey, SizeDecile, UpstreamHash};
 use tarragonknot::rollout::{
-    AnswerCount, AnswerCounts, RequestGroup, RolloutController, RolloutEvent, RolloutLog,
-    RolloutOrder, RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePace,
-    VersionArm,
+    OutcomeCounts, RequestGroup, RolloutController, RolloutEvent, RolloutLog, RolloutOrder,
+    RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePace, VersionArm,
+    VersionOutcome,
 };
 use tarragonknot::table::{DaemonName, ServiceName, UpstreamName};
 
@@ -80,7 +80,7 @@
 struct PlayDaemon {
     name: DaemonName,
     pace: SharePace,
-    counts: AnswerCounts,
+    counts: OutcomeCounts,
     row: Option<RolloutRow>,
     on_old: u32,
     report_at: u64,
@@ -92,7 +92,7 @@
     arm: VersionArm,
     group: RequestGroup,
     engine: u64,
-    count: AnswerCount,
+    count: VersionOutcome,
 }
 
 /// Plays one roll-out of a service that gets `rate` requests a second.
@@ -123,7 +123,7 @@
             .map(|number| PlayDaemon {
                 name: format!("d{number}").as_str().into(),
                 pace: SharePace::new(rng.random()),
-                counts: AnswerCounts::default(),
+                counts: OutcomeCounts::default(),
                 row: None,
                 on_old: 0,
                 report_at: rng.random_range(0..REPORT_MS),
@@ -172,7 +172,8 @@
                 let time = 100.0 * sizes.sample(&mut rng) * speed * slower;
                 let fails = self.fails(arm, engine, route, load, now, &mut rng);
                 let after = Duration::from_micros((time * 1_000.0) as u64);
-                let count = if fails { AnswerCount::Failed } else { AnswerCount::served(after) };
+                let count =
+                    if fails { VersionOutcome::Failed } else { VersionOutcome::served(after) };
                 let whole = (time * rng.random_range(1.0..8.0)).min(LONGEST_MS as f64) as u64;
                 if arm == VersionArm::Old {
                     daemons[at].on_old += 1;
@@ -196,7 +197,7 @@
                 }
                 *busy.entry((answer.arm, answer.engine)).or_default() -= 1;
                 let upstream = hash(answer.arm, answer.engine);
-                daemon.counts.note(answer.arm, answer.group, upstream, answer.count);
+                daemon.counts.record(answer.arm, answer.group, upstream, answer.count);
             }
             if self.trouble == Trouble::LeaderLost && now == 4_000 {
                 asleep_until = 7_000;
