--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -2,7 +2,7 @@
 //! requests and is then promoted or rolled back according to its results.
 //!
 //! This module is pure: time and random numbers are inputs. The voters store orders and stages
-//! ([`RolloutLog`]), daemons send the new version its share ([`SharePace`]) and count the outcomes
+//! ([`RolloutLog`]), daemons send the new version its share ([`SharePacer`]) and count the outcomes
 //! ([`OutcomeCounts`]), and the leader sums the counts and decides ([`RolloutController`]). A new
 //! version that fails or is slow is detected by comparison with the old one over the same period.
 
@@ -11,7 +11,7 @@
 mod judge;
 mod log;
 mod messages;
-mod pace;
+mod pacer;
 mod stage;
 mod versions;
 
@@ -20,6 +20,6 @@
 pub use judge::{VersionVerdict, judge};
 pub use log::{RolloutLog, RolloutOrder, RolloutRecord, RolloutReply, RolloutStep};
 pub use messages::{RolloutReport, RolloutRow, RolloutRows};
-pub use pace::SharePace;
+pub use pacer::SharePacer;
 pub use stage::{RolloutAction, RolloutChart, RolloutEvent, RolloutStage, rollout_chart};
 pub use versions::version_pool;
--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::{Moment, UpstreamHash};
 use crate::rollout::{
-    OutcomeCounts, RequestGroup, RolloutReport, RolloutRow, RolloutRows, RolloutStage, SharePace,
+    OutcomeCounts, RequestGroup, RolloutReport, RolloutRow, RolloutRows, RolloutStage, SharePacer,
     VersionArm, VersionOutcome,
 };
 use crate::table::ServiceName;
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct TrialState {
     number: u64,
-    pace: SharePace,
+    pace: SharePacer,
     counts: OutcomeCounts,
 }
 
@@ -61,7 +61,7 @@
         for row in &rows.0 {
             let is_known = states.get(&row.service).is_some_and(|state| state.number == row.number);
             if !is_known {
-                let pace = SharePace::new(draw);
+                let pace = SharePacer::new(draw);
                 let state =
                     TrialState { number: row.number, pace, counts: OutcomeCounts::default() };
                 states.insert(row.service.clone(), state);
@@ -100,7 +100,7 @@
         }
         let mut states = lock(&self.states);
         let state = states.get_mut(&row.service)?;
-        state.pace.take().then(|| TrialTicket {
+        state.pace.try_take().then(|| TrialTicket {
             states: Arc::clone(&self.states),
             service: row.service.clone(),
             is_sent: AtomicBool::new(false),
@@ -150,7 +150,7 @@
         if row.share() < 1.0
             && let Some(state) = lock(&self.states).get_mut(service)
         {
-            state.pace.sent_to_old(row.share());
+            state.pace.record_old_send(row.share());
         }
     }
 
@@ -207,7 +207,7 @@
         if !self.is_sent.load(Ordering::Relaxed)
             && let Some(state) = lock(&self.states).get_mut(&self.service)
         {
-            state.pace.give_back();
+            state.pace.refund();
         }
     }
 }
--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -9,7 +9,7 @@
 use tarragonknot::policy::{Moment, RouteKey, SizeDecile, UpstreamHash};
 use tarragonknot::rollout::{
     OutcomeCounts, RequestGroup, RolloutController, RolloutEvent, RolloutLog, RolloutOrder,
-    RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePace, VersionArm,
+    RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePacer, VersionArm,
     VersionOutcome,
 };
 use tarragonknot::table::{DaemonName, ServiceName, UpstreamName};
@@ -79,7 +79,7 @@
 
 struct PlayDaemon {
     name: DaemonName,
-    pace: SharePace,
+    pace: SharePacer,
     counts: OutcomeCounts,
     row: Option<RolloutRow>,
     on_old: u32,
@@ -122,7 +122,7 @@
         let mut daemons: Vec<PlayDaemon> = (0..self.daemons)
             .map(|number| PlayDaemon {
                 name: format!("d{number}").as_str().into(),
-                pace: SharePace::new(rng.random()),
+                pace: SharePacer::new(rng.random()),
                 counts: OutcomeCounts::default(),
                 row: None,
                 on_old: 0,
@@ -290,11 +290,11 @@
     let Some(row) = &daemon.row else { return VersionArm::Old };
     match row.stage {
         RolloutStage::Draining | RolloutStage::Completed => VersionArm::New,
-        RolloutStage::Trial | RolloutStage::Expanding if has_new && daemon.pace.take() => {
+        RolloutStage::Trial | RolloutStage::Expanding if has_new && daemon.pace.try_take() => {
             VersionArm::New
         }
         _ => {
-            daemon.pace.sent_to_old(row.share().min(0.99));
+            daemon.pace.record_old_send(row.share().min(0.99));
             VersionArm::Old
         }
     }
--- a/tests/test_rollout.rs
+++ b/tests/test_rollout.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use tarragonknot::control::{ControlCommand, ControlLedger, ControlReply};
 use tarragonknot::rollout::{
-    RolloutLog, RolloutOrder, RolloutReply, RolloutStage, RolloutStep, SharePace, rollout_chart,
+    RolloutLog, RolloutOrder, RolloutReply, RolloutStage, RolloutStep, SharePacer, rollout_chart,
 };
 use tarragonknot::table::ServiceName;
 
@@ -128,16 +128,16 @@
 #[test]
 fn the_share_is_of_what_is_sent() {
     let mut sent = [0u32; 2];
-    let mut paces: Vec<SharePace> =
-        (0..80).map(|daemon| SharePace::new(f64::from(daemon) / 80.0)).collect();
+    let mut paces: Vec<SharePacer> =
+        (0..80).map(|daemon| SharePacer::new(f64::from(daemon) / 80.0)).collect();
 
     for request in 0..80 * 200 {
         let pace = &mut paces[request % 80];
-        match pace.take() {
+        match pace.try_take() {
             true => sent[1] += 1,
             // Only every third request is sent; the others are refused.
             false if request / 80 % 3 == 0 => {
-                pace.sent_to_old(0.06);
+                pace.record_old_send(0.06);
                 sent[0] += 1;
             }
             false => {}
