--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -2,10 +2,10 @@
 //! advances, completes or is rolled back.
 
 use super::counts::{OutcomeCounts, VersionArm};
-use super::judge::{VersionVerdict, judge};
 use super::log::RolloutRecord;
 use super::messages::RolloutReport;
 use super::stage::{RolloutEvent, RolloutStage};
+use super::verdict::{VersionVerdict, compare_versions};
 use crate::policy::Moment;
 use crate::table::DaemonName;
 use std::collections::{BTreeMap, VecDeque};
@@ -139,11 +139,11 @@
         if counts.total(VersionArm::New) < MIN_NEW_ANSWERS {
             return VersionVerdict::Unclear;
         }
-        let whole = judge(counts, counts);
+        let whole = compare_versions(counts, counts);
         let Some((_, earlier)) = self.count_history.front().filter(|_| !whole.is_bad()) else {
             return whole;
         };
-        let recent = judge(&counts.since(earlier), counts);
+        let recent = compare_versions(&counts.since(earlier), counts);
         if recent.is_bad() { recent } else { whole }
     }
 
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -8,18 +8,18 @@
 
 mod controller;
 mod counts;
-mod judge;
 mod log;
 mod messages;
 mod pacer;
 mod stage;
+mod verdict;
 mod versions;
 
 pub use controller::{RolloutController, RolloutDecision};
 pub use counts::{CountKey, OutcomeCounts, RequestGroup, VersionArm, VersionOutcome};
-pub use judge::{VersionVerdict, judge};
 pub use log::{RolloutLog, RolloutOrder, RolloutRecord, RolloutReply, RolloutStep};
 pub use messages::{RolloutReport, RolloutRow, RolloutRows};
 pub use pacer::SharePacer;
 pub use stage::{RolloutAction, RolloutChart, RolloutEvent, RolloutStage, rollout_chart};
-pub use versions::version_pool;
+pub use verdict::{VersionVerdict, compare_versions};
+pub use versions::version_pool_name;
--- a/src/rollout/judge.rs
+++ b/src/rollout/verdict.rs
@@ -70,7 +70,7 @@
 
 /// Evaluates the new version. The old version's failure rate is taken from `baseline` where `counts`
 /// hold too few of its answers.
-pub fn judge(counts: &OutcomeCounts, baseline: &OutcomeCounts) -> VersionVerdict {
+pub fn compare_versions(counts: &OutcomeCounts, baseline: &OutcomeCounts) -> VersionVerdict {
     let mut log_odds = Vec::new();
     for route in new_routes(counts).into_iter().map(Some).chain([None]) {
         log_odds.push(failure_log_odds(counts, baseline, route));
--- a/src/rollout/versions.rs
+++ b/src/rollout/versions.rs
@@ -12,7 +12,7 @@
 
 /// Returns the name of the pool that holds a service's upstreams of one version. Without a version,
 /// this is the service's own pool.
-pub fn version_pool(service: &ServiceName, version: Option<&SoftwareVersion>) -> ServiceName {
+pub fn version_pool_name(service: &ServiceName, version: Option<&SoftwareVersion>) -> ServiceName {
     match version {
         Some(version) => format!("{service}@{version}").as_str().into(),
         None => service.clone(),
@@ -42,7 +42,7 @@
     /// In the trial and expanding stages, a share of the requests goes to the same share of the
     /// upstreams, so that these are as loaded as the old ones and show faults under load. All
     /// daemons choose the same upstreams.
-    pub fn in_use(&self, mut all: Vec<UpstreamHash>) -> Vec<UpstreamHash> {
+    pub fn active_upstreams(&self, mut all: Vec<UpstreamHash>) -> Vec<UpstreamHash> {
         if matches!(self.stage, RolloutStage::Trial | RolloutStage::Expanding) {
             let count = (self.share() * all.len() as f64).ceil() as usize;
             all.sort_unstable();
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -18,7 +18,7 @@
     LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RequestSizes, RetryBound,
     RetryBudget, RetryDetector, RouteSizes, SizeDecile,
 };
-use crate::rollout::version_pool;
+use crate::rollout::version_pool_name;
 use crate::table::{
     DaemonName, OperatorTable, ServiceKind, ServiceName, TableReader, VersionedTable,
 };
@@ -296,7 +296,7 @@
             let mut plan = PoolPlan::new(row, &shares);
             plan.sheds_locally = !access.table().routes.is_empty();
             plan.mechanisms = self.mechanisms();
-            let name = version_pool(&row.service, version.as_ref());
+            let name = version_pool_name(&row.service, version.as_ref());
             let pool = match old.get(&name) {
                 Some(pool) => {
                     pool.tell(PoolEvent::Plan(plan));
--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -2,7 +2,7 @@
 
 use super::TrafficState;
 use crate::policy::{UpstreamHash, UpstreamSource};
-use crate::rollout::{RolloutReport, RolloutRow, RolloutRows, VersionArm, version_pool};
+use crate::rollout::{RolloutReport, RolloutRow, RolloutRows, VersionArm, version_pool_name};
 use crate::table::{OperatorTable, ServiceName, ServiceRow, SoftwareVersion};
 use crate::traffic::pool_runtime::PoolRuntime;
 use crate::traffic::rollout_gate::TrialTicket;
@@ -27,7 +27,7 @@
         service: &ServiceName,
         version: Option<&SoftwareVersion>,
     ) -> Option<Arc<PoolRuntime>> {
-        self.pools.load().get(&version_pool(service, version)).cloned()
+        self.pools.load().get(&version_pool_name(service, version)).cloned()
     }
 
     /// The pool for a request of a service; `may_try` if the request may go to a version on trial.
@@ -113,7 +113,7 @@
     let mut sources = platform.only(service, belongs).merged(&OperatorTable::default(), service);
     let hash =
         |source: &UpstreamSource| UpstreamHash::of(service, &source.name, source.incarnation);
-    let in_use = row.in_use(sources.iter().map(hash).collect());
+    let in_use = row.active_upstreams(sources.iter().map(hash).collect());
     sources.retain(|source| in_use.contains(&hash(source)));
     sources
 }
--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -304,7 +304,7 @@
     let row = row.filter(|_| arm == VersionArm::New);
     let Some(row) = row else { return rng.random_range(0..OLD_ENGINES) };
     let all: Vec<UpstreamHash> = (0..OLD_ENGINES).map(|engine| hash(arm, engine)).collect();
-    let in_use = row.in_use(all.clone());
+    let in_use = row.active_upstreams(all.clone());
     let chosen = in_use[rng.random_range(0..in_use.len())];
     all.iter().position(|known| *known == chosen).expect("one of all") as u64
 }
