--- a/src/experiment/poison.rs
+++ b/src/experiment/poison.rs
@@ -64,7 +64,7 @@
         let news: Vec<_> = self
             .tables
             .iter_mut()
-            .map(|(daemon, table)| (daemon.clone(), table.news(now)))
+            .map(|(daemon, table)| (daemon.clone(), table.next_update(now)))
             .collect();
         for (daemon, table) in &mut self.tables {
             let others = news.iter().filter(|(from, _)| from != daemon);
--- a/src/fleet_state/messages.rs
+++ b/src/fleet_state/messages.rs
@@ -1,7 +1,7 @@
 //! Messages in which daemons report their state to each other.
 
 use crate::policy::{DensityLevel, PeerWork, UpstreamHash};
-use crate::quarantine::SuspectNews;
+use crate::quarantine::SuspectUpdate;
 use crate::table::{DaemonName, OrganisationName, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -104,7 +104,7 @@
     /// Whether the daemon continues to report.
     pub departure: Departure,
     /// What the sender knows of requests under which upstreams ended.
-    pub suspects: SuspectNews,
+    pub suspects: SuspectUpdate,
 }
 
 /// The sums of the daemons that report to an aggregator, sent to the other aggregators.
@@ -130,7 +130,7 @@
     /// True if the aggregator will send no more sums.
     pub is_leaving: bool,
     /// What the sender knows of requests under which upstreams ended.
-    pub suspects: SuspectNews,
+    pub suspects: SuspectUpdate,
 }
 
 /// The sums of the whole fleet, sent by an aggregator to the members of its group.
@@ -158,7 +158,7 @@
     /// True if the aggregator will send no more summaries.
     pub is_leaving: bool,
     /// What the sender knows of requests under which upstreams ended.
-    pub suspects: SuspectNews,
+    pub suspects: SuspectUpdate,
 }
 
 /// Any message between daemons about the fleet's state.
@@ -179,7 +179,7 @@
     }
 
     /// Returns what the message says of requests under which upstreams ended.
-    pub fn suspects(&self) -> &SuspectNews {
+    pub fn suspects(&self) -> &SuspectUpdate {
         match self {
             FleetMessage::Report(report) => &report.suspects,
             FleetMessage::Sum(sum) => &sum.suspects,
--- a/src/fleet_state/state/mod.rs
+++ b/src/fleet_state/state/mod.rs
@@ -18,7 +18,7 @@
     WorkRow, WorkTable,
 };
 use crate::policy::Moment;
-use crate::quarantine::SuspectNews;
+use crate::quarantine::SuspectUpdate;
 use crate::table::DaemonName;
 use peers::{LastSummary, MemberState, PeerAggregator};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
     /// True once the daemon has drained.
     pub has_left: bool,
     /// What this daemon knows of requests under which upstreams ended.
-    pub suspects: SuspectNews,
+    pub suspects: SuspectUpdate,
 }
 
 /// A message and its receivers.
--- a/src/quarantine/crash_table.rs
+++ b/src/quarantine/crash_table.rs
@@ -1,8 +1,8 @@
 //! One daemon's table of request contents that upstreams crashed on.
 
-use super::news_queue::NewsQueue;
+use super::send_queue::SendQueue;
 use super::suspect_record::{ANSWER_WINDOW, SuspectRecord};
-use super::{RequestFingerprint, SignedMoment, SuspectNews, SuspectRow};
+use super::{RequestFingerprint, SignedMoment, SuspectRow, SuspectUpdate};
 use crate::policy::{Moment, UpstreamHash};
 use crate::table::DaemonName;
 use std::collections::{BTreeMap, HashMap};
@@ -49,10 +49,10 @@
 pub struct CrashTable {
     records: HashMap<RequestFingerprint, SuspectRecord>,
     answered: HashMap<RequestFingerprint, Moment>,
-    peer_queue: NewsQueue,
+    peer_queue: SendQueue,
     /// Reports for the voters: quarantined contents on which this daemon itself saw a crash, and
     /// contents that were cleared.
-    voter_queue: NewsQueue,
+    voter_queue: SendQueue,
     /// Cached digest of the records; none if they have changed since.
     digest: Option<u32>,
     /// Peers whose digest differs from this daemon's, and since when.
@@ -133,10 +133,10 @@
     }
 
     /// Returns the update for the next message to other daemons.
-    pub fn news(&mut self, now: Moment) -> SuspectNews {
+    pub fn next_update(&mut self, now: Moment) -> SuspectUpdate {
         self.expire(now);
         let chosen = self.peer_queue.next_rows();
-        SuspectNews { rows: self.rows(&chosen, now), digest: self.digest() }
+        SuspectUpdate { rows: self.rows(&chosen, now), digest: self.digest() }
     }
 
     /// Returns the next report to the voters: quarantined contents on which this daemon itself saw
@@ -153,9 +153,14 @@
     }
 
     /// Merges another daemon's update. Returns the contents that this puts into quarantine.
-    pub fn take(&mut self, from: &DaemonName, news: &SuspectNews, now: Moment) -> Vec<HeldRequest> {
-        let held = news.rows.iter().filter_map(|row| self.take_row(row, now)).collect();
-        self.check_digest(from, news.digest, now);
+    pub fn take(
+        &mut self,
+        from: &DaemonName,
+        update: &SuspectUpdate,
+        now: Moment,
+    ) -> Vec<HeldRequest> {
+        let held = update.rows.iter().filter_map(|row| self.take_row(row, now)).collect();
+        self.check_digest(from, update.digest, now);
         held
     }
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -9,20 +9,20 @@
 //!
 //! Daemons therefore identify requests by content ([`RequestFingerprint`]), record the upstreams
 //! that crashed while running each content ([`CrashTable`]), and exchange these records
-//! ([`SuspectNews`]): only the fleet-wide sum shows that one content was running on every crashed
+//! ([`SuspectUpdate`]): only the fleet-wide sum shows that one content was running on every crashed
 //! upstream. Content that coincides with the crashes of [`CRASHES_TO_HOLD`] upstreams is held in
 //! quarantine. A complete answer clears it: content that was merely present when upstreams crashed
 //! for another reason is answered elsewhere, whereas content that crashes every upstream never is.
 
 mod crash_table;
 mod fingerprint;
-mod news_queue;
+mod send_queue;
 mod signed_moment;
-mod suspect_news;
 mod suspect_record;
+mod suspect_update;
 
 pub use crash_table::{CrashTable, HeldRequest, TableSizes};
 pub use fingerprint::{FingerprintError, RequestContent, RequestFingerprint};
 pub use signed_moment::SignedMoment;
-pub use suspect_news::{SuspectNews, SuspectRow};
 pub use suspect_record::{CRASHES_TO_HOLD, SuspectRecord};
+pub use suspect_update::{SuspectRow, SuspectUpdate};
--- a/src/quarantine/news_queue.rs
+++ b/src/quarantine/send_queue.rs
@@ -1,7 +1,7 @@
 //! Queue of the rows to send in the next messages.
 
 use super::RequestFingerprint;
-use super::suspect_news::MAX_ROWS;
+use super::suspect_update::MAX_ROWS;
 use std::collections::{BTreeMap, HashMap};
 
 /// Number of messages that carry each row, since messages are sometimes lost.
@@ -12,13 +12,13 @@
 
 /// Rows waiting to be sent, by the fingerprints of their contents.
 #[derive(Clone, Debug, Default)]
-pub struct NewsQueue {
+pub struct SendQueue {
     positions: HashMap<RequestFingerprint, (QueuePosition, u8)>,
     order: BTreeMap<QueuePosition, RequestFingerprint>,
     next_sequence: u64,
 }
 
-impl NewsQueue {
+impl SendQueue {
     /// Queues a row that has changed or is to be sent again; `crashes` determines its priority.
     pub fn push(&mut self, request: RequestFingerprint, crashes: usize) {
         self.insert_row(request, crashes, ROW_SENDS);
--- a/src/quarantine/suspect_news.rs
+++ b/src/quarantine/suspect_update.rs
@@ -29,14 +29,14 @@
 
 /// The part of a message that concerns suspect contents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// Hash of all crashes known to the sender; equal on daemons that know the same crashes.
     pub digest: u32,
     /// Rows that are new or sent again.
     pub rows: Vec<SuspectRow>,
 }
 
-impl SuspectNews {
+impl SuspectUpdate {
     /// Returns false if the update contains values that no daemon can have observed.
     pub fn is_plausible(&self) -> bool {
         let is_plausible_age = |age: i64| (-MAX_AHEAD_MS..=MAX_AGE_MS).contains(&age);
--- a/src/traffic/quarantine_gate.rs
+++ b/src/traffic/quarantine_gate.rs
@@ -4,7 +4,7 @@
 use crate::answer::AnswerKind;
 use crate::policy::{Moment, UpstreamHash};
 use crate::quarantine::{
-    CrashTable, HeldRequest, RequestFingerprint, SuspectNews, SuspectRow, TableSizes,
+    CrashTable, HeldRequest, RequestFingerprint, SuspectRow, SuspectUpdate, TableSizes,
 };
 use crate::table::DaemonName;
 use slog::{info, warn};
@@ -61,12 +61,12 @@
     }
 
     /// The next news for the peers.
-    pub fn news(&self, now: Moment) -> SuspectNews {
-        self.lock().news(now)
+    pub fn news(&self, now: Moment) -> SuspectUpdate {
+        self.lock().next_update(now)
     }
 
     /// Takes the news of a peer.
-    pub fn take(&self, state: &TrafficState, from: &DaemonName, news: &SuspectNews) {
+    pub fn take(&self, state: &TrafficState, from: &DaemonName, news: &SuspectUpdate) {
         let held = self.lock().take(from, news, state.clock.now());
         note_held(state, &held, from.as_str());
     }
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -91,7 +91,7 @@
             list: None,
             can_read_list: true,
             has_left: self.has_left,
-            suspects: self.crashes.news(now),
+            suspects: self.crashes.next_update(now),
         }
     }
 
--- a/tests/test_crash_table.rs
+++ b/tests/test_crash_table.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tarragonknot::policy::{Moment, UpstreamHash};
 use tarragonknot::quarantine::{
-    CRASHES_TO_HOLD, CrashTable, RequestFingerprint, SuspectNews, SuspectRow,
+    CRASHES_TO_HOLD, CrashTable, RequestFingerprint, SuspectRow, SuspectUpdate,
 };
 
 const CONTENT: RequestFingerprint = RequestFingerprint(7);
@@ -78,12 +78,12 @@
     if answers.is_empty() {
         let mut other = CrashTable::default();
         other.note_answer(CONTENT, at(99));
-        other.take(&"first".into(), &table.news(at(101)), at(101));
-        table.take(&"other".into(), &other.news(at(102)), at(102));
+        other.take(&"first".into(), &table.next_update(at(101)), at(101));
+        table.take(&"other".into(), &other.next_update(at(102)), at(102));
     }
 
     assert_eq!(table.held_for(CONTENT, at(103)), None);
-    let news = table.news(at(103));
+    let news = table.next_update(at(103));
     let mut late = table_with(10, 100);
     late.take(&"table".into(), &news, at(110));
     assert_eq!(late.held_for(CONTENT, at(111)), None, "{news:?}");
@@ -119,7 +119,7 @@
     let mut other = table_with(5, 100);
 
     table.release(CONTENT, seconds(120));
-    other.take(&"table".into(), &table.news(seconds(121)), seconds(121));
+    other.take(&"table".into(), &table.next_update(seconds(121)), seconds(121));
 
     assert_eq!(table.held_for(CONTENT, seconds(122)), None);
     assert_eq!(other.held_for(CONTENT, seconds(122)), None);
@@ -141,7 +141,7 @@
 
     assert!(table.sizes(seconds(104)).known <= 8_192, "{:?}", table.sizes(seconds(104)));
     assert!(table.held_for(CONTENT, seconds(104)).is_some());
-    let first = table.news(seconds(104));
+    let first = table.next_update(seconds(104));
     assert!(first.is_plausible());
     assert_eq!(first.rows[0].request, CONTENT, "what is held back is told first");
     let bytes = postcard::to_stdvec(&first).expect("written").len();
@@ -152,7 +152,7 @@
 fn what_is_over_is_forgotten() {
     let mut table = table_with(2, 100);
 
-    table.news(seconds(100 + 650));
+    table.next_update(seconds(100 + 650));
 
     assert_eq!(table.sizes(seconds(100 + 650)).known, 0);
 }
@@ -172,7 +172,7 @@
 ) {
     let crashes = (0..crashes).map(|number| (upstream(number), age)).collect();
     let row = SuspectRow { request: CONTENT, crashes, void_age_ms };
-    let news = SuspectNews { digest: 0, rows: vec![row; rows] };
+    let news = SuspectUpdate { digest: 0, rows: vec![row; rows] };
 
     assert!(!news.is_plausible());
 }
@@ -201,6 +201,6 @@
         turned.iter().for_each(|given| _ = second.take_row(&row(given), now));
 
         prop_assert_eq!(first.held(now), second.held(now));
-        prop_assert_eq!(first.news(now).digest, second.news(now).digest);
+        prop_assert_eq!(first.next_update(now).digest, second.next_update(now).digest);
     }
 }
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -7,7 +7,7 @@
     Departure, FleetMessage, FlowRow, MemberReport, MessageRefusal, MessageSource,
 };
 use tarragonknot::policy::{PeerWork, UpstreamHash};
-use tarragonknot::quarantine::SuspectNews;
+use tarragonknot::quarantine::SuspectUpdate;
 use tarragonknot::traffic::{DaemonMessage, DropCause, decode_message, encode_message};
 
 const KEY: &str = "the fleet's key";
@@ -27,7 +27,7 @@
         list: None,
         can_read_list: true,
         departure: Departure::Stays,
-        suspects: SuspectNews::default(),
+        suspects: SuspectUpdate::default(),
     }
 }
 
