--- a/src/control/quarantine_log.rs
+++ b/src/control/quarantine_log.rs
@@ -56,7 +56,7 @@
     pub fn take(&mut self, rows: &[SuspectRow], at_ms: u64) {
         let now = wall(at_ms);
         for row in rows {
-            self.records.entry(row.request).or_default().take(row, now);
+            self.records.entry(row.request).or_default().merge(row, now);
         }
         if self.records.len() > MOST_RECORDS {
             self.drop_excess(now);
@@ -64,7 +64,7 @@
     }
 
     fn drop_excess(&mut self, now: Moment) {
-        self.records.retain(|_, record| !record.is_over(now));
+        self.records.retain(|_, record| !record.is_expired(now));
         let mut ranked: Vec<(usize, RequestFingerprint)> =
             self.records.iter().map(|(request, record)| (record.crashes(), *request)).collect();
         ranked.sort_unstable();
@@ -76,7 +76,7 @@
 
     /// An operator lets a content through.
     pub fn release(&mut self, request: RequestFingerprint, at_ms: u64) {
-        self.records.entry(request).or_default().void(wall(at_ms).into());
+        self.records.entry(request).or_default().void_crashes(wall(at_ms).into());
     }
 
     /// The rows for daemons: all contents that are not over, or only `request`.
@@ -84,7 +84,7 @@
         let now = wall(now_ms);
         let is_chosen = |known: &RequestFingerprint| request.is_none_or(|one| one == *known);
         let chosen = self.records.iter().filter(|(known, _)| is_chosen(known));
-        let current = chosen.filter(|(_, record)| !record.is_over(now));
+        let current = chosen.filter(|(_, record)| !record.is_expired(now));
         current.map(|(request, record)| record.row(*request, now)).collect()
     }
 
--- a/src/experiment/poison.rs
+++ b/src/experiment/poison.rs
@@ -48,15 +48,15 @@
         let name = format!("engine-{engine}");
         let upstream = UpstreamHash::of(&"pool".into(), &name.as_str().into(), self.lives[engine]);
         self.lives[engine] += 1;
-        self.tables[daemon].1.note_crash(POISON, upstream, now);
+        self.tables[daemon].1.record_crash(POISON, upstream, now);
         for (daemon, request) in others {
-            self.tables[*daemon].1.note_crash(content(*request), upstream, now);
+            self.tables[*daemon].1.record_crash(content(*request), upstream, now);
         }
     }
 
     /// A request was answered whole.
     pub fn note_answer(&mut self, daemon: usize, request: usize, now: Moment) {
-        self.tables[daemon].1.note_answer(content(request), now);
+        self.tables[daemon].1.record_answer(content(request), now);
     }
 
     /// Every daemon tells the others.
@@ -68,7 +68,7 @@
             .collect();
         for (daemon, table) in &mut self.tables {
             let others = news.iter().filter(|(from, _)| from != daemon);
-            others.for_each(|(from, news)| _ = table.take(from, news, now));
+            others.for_each(|(from, news)| _ = table.merge_update(from, news, now));
         }
     }
 }
--- a/src/quarantine/crash_table.rs
+++ b/src/quarantine/crash_table.rs
@@ -75,7 +75,7 @@
 
     /// Records that an upstream crashed while running a content. Returns the content if this puts
     /// it into quarantine.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         request: RequestFingerprint,
         upstream: UpstreamHash,
@@ -89,7 +89,7 @@
 
     /// Records a complete answer to a content, which shows that the content does not crash
     /// upstreams.
-    pub fn note_answer(&mut self, request: RequestFingerprint, now: Moment) {
+    pub fn record_answer(&mut self, request: RequestFingerprint, now: Moment) {
         if self.answered.len() >= MAX_ANSWERED {
             self.answered.retain(|_, at| now.since(*at) < ANSWER_WINDOW);
         }
@@ -103,7 +103,7 @@
 
     /// Releases a content at an operator's request: crashes up to now no longer count.
     pub fn release(&mut self, request: RequestFingerprint, now: Moment) {
-        self.update_record(request, now, |record| record.void(now.into()));
+        self.update_record(request, now, |record| record.void_crashes(now.into()));
     }
 
     fn update_record(
@@ -153,20 +153,20 @@
     }
 
     /// Merges another daemon's update. Returns the contents that this puts into quarantine.
-    pub fn take(
+    pub fn merge_update(
         &mut self,
         from: &DaemonName,
         update: &SuspectUpdate,
         now: Moment,
     ) -> Vec<HeldRequest> {
-        let held = update.rows.iter().filter_map(|row| self.take_row(row, now)).collect();
+        let held = update.rows.iter().filter_map(|row| self.merge_row(row, now)).collect();
         self.check_digest(from, update.digest, now);
         held
     }
 
     /// Merges a row, and returns the content if this puts it into quarantine.
-    pub fn take_row(&mut self, row: &SuspectRow, now: Moment) -> Option<HeldRequest> {
-        self.update_record(row.request, now, |record| record.take(row, now))
+    pub fn merge_row(&mut self, row: &SuspectRow, now: Moment) -> Option<HeldRequest> {
+        self.update_record(row.request, now, |record| record.merge(row, now))
     }
 
     /// Queues all records again if the digest of a peer keeps differing: the peer has just started,
@@ -211,7 +211,7 @@
         let before = self.records.len();
         let (peer_queue, voter_queue) = (&mut self.peer_queue, &mut self.voter_queue);
         self.records.retain(|request, record| {
-            let is_kept = !record.is_over(now);
+            let is_kept = !record.is_expired(now);
             if !is_kept {
                 peer_queue.remove(*request);
                 voter_queue.remove(*request);
--- a/src/quarantine/suspect_record.rs
+++ b/src/quarantine/suspect_record.rs
@@ -59,7 +59,7 @@
     }
 
     /// Voids all crashes up to `until`; returns true if other daemons should be told.
-    pub fn void(&mut self, until: SignedMoment) -> bool {
+    pub fn void_crashes(&mut self, until: SignedMoment) -> bool {
         if self.void_until.is_some_and(|known| known >= until) {
             return false;
         }
@@ -73,7 +73,7 @@
 
     /// Records a complete answer received at `at`; returns true if other daemons should be told.
     pub fn record_answer(&mut self, at: SignedMoment) -> bool {
-        self.void(at.after(ANSWER_WINDOW))
+        self.void_crashes(at.after(ANSWER_WINDOW))
     }
 
     fn is_void(&self, at: SignedMoment) -> bool {
@@ -122,7 +122,7 @@
 
     /// Returns true once the record is no longer needed. After a quarantine it is kept for the same
     /// duration again, so that one more crash quarantines the content at once.
-    pub fn is_over(&self, now: Moment) -> bool {
+    pub fn is_expired(&self, now: Moment) -> bool {
         let kept = self.hold_duration().map_or(SUSPECT_RETENTION, |hold| hold * 2);
         let crash = self.last_crash().and_then(|at| at.after(kept).remaining(now));
         let void = self.void_until.and_then(|until| until.after(SUSPECT_RETENTION).remaining(now));
@@ -140,10 +140,10 @@
     }
 
     /// Merges a row from another daemon; returns true if it contained anything new.
-    pub fn take(&mut self, row: &SuspectRow, now: Moment) -> bool {
+    pub fn merge(&mut self, row: &SuspectRow, now: Moment) -> bool {
         let mut has_changed = false;
         if let Some(age) = row.void_age_ms {
-            has_changed |= self.void(SignedMoment::from_age_ms(age, now));
+            has_changed |= self.void_crashes(SignedMoment::from_age_ms(age, now));
         }
         for (upstream, age) in &row.crashes {
             has_changed |= self.add_crash(*upstream, SignedMoment::from_age_ms(*age, now));
--- a/src/traffic/quarantine_gate.rs
+++ b/src/traffic/quarantine_gate.rs
@@ -51,13 +51,13 @@
         request: RequestFingerprint,
         upstream: UpstreamHash,
     ) {
-        let held = self.lock().note_crash(request, upstream, state.clock.now());
+        let held = self.lock().record_crash(request, upstream, state.clock.now());
         note_held(state, held.as_slice(), "seen here");
     }
 
     /// A whole answer to a content came.
     pub fn note_answer(&self, request: RequestFingerprint, now: Moment) {
-        self.lock().note_answer(request, now);
+        self.lock().record_answer(request, now);
     }
 
     /// The next news for the peers.
@@ -67,7 +67,7 @@
 
     /// Takes the news of a peer.
     pub fn take(&self, state: &TrafficState, from: &DaemonName, news: &SuspectUpdate) {
-        let held = self.lock().take(from, news, state.clock.now());
+        let held = self.lock().merge_update(from, news, state.clock.now());
         note_held(state, &held, from.as_str());
     }
 
@@ -79,7 +79,7 @@
     /// Takes what the voters keep.
     pub fn take_rows(&self, state: &TrafficState, rows: &[SuspectRow]) {
         let now = state.clock.now();
-        let held = rows.iter().filter_map(|row| self.lock().take_row(row, now));
+        let held = rows.iter().filter_map(|row| self.lock().merge_row(row, now));
         let held: Vec<HeldRequest> = held.collect();
         note_held(state, &held, "voters");
     }
--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -277,7 +277,7 @@
         let (from, suspects) = (message.source().daemon.clone(), message.suspects().clone());
         let taken = daemon.fleet.receive(message, self.now);
         if taken.is_ok() {
-            daemon.crashes.take(&from, &suspects, self.now);
+            daemon.crashes.merge_update(&from, &suspects, self.now);
         }
         let estimates = taken.unwrap_or_default();
         daemon.settle(self.now);
--- a/tests/test_crash_table.rs
+++ b/tests/test_crash_table.rs
@@ -22,7 +22,7 @@
 fn table_with(count: usize, from: u64) -> CrashTable {
     let mut table = CrashTable::default();
     for number in 0..count {
-        table.note_crash(CONTENT, upstream(number), seconds(from + number as u64));
+        table.record_crash(CONTENT, upstream(number), seconds(from + number as u64));
     }
     table
 }
@@ -45,7 +45,7 @@
 fn an_upstream_that_ended_once_counts_once() {
     let mut table = CrashTable::default();
     for second in 100..110 {
-        table.note_crash(CONTENT, upstream(0), seconds(second));
+        table.record_crash(CONTENT, upstream(0), seconds(second));
     }
 
     assert_eq!(table.held_for(CONTENT, seconds(110)), None);
@@ -67,25 +67,25 @@
     answers
         .iter()
         .filter(|second| **second < crash)
-        .for_each(|second| table.note_answer(CONTENT, at(*second)));
+        .for_each(|second| table.record_answer(CONTENT, at(*second)));
     for number in 0..10 {
-        table.note_crash(CONTENT, upstream(number), at(crash));
+        table.record_crash(CONTENT, upstream(number), at(crash));
     }
     answers
         .iter()
         .filter(|second| **second >= crash)
-        .for_each(|second| table.note_answer(CONTENT, at(*second)));
+        .for_each(|second| table.record_answer(CONTENT, at(*second)));
     if answers.is_empty() {
         let mut other = CrashTable::default();
-        other.note_answer(CONTENT, at(99));
-        other.take(&"first".into(), &table.next_update(at(101)), at(101));
-        table.take(&"other".into(), &other.next_update(at(102)), at(102));
+        other.record_answer(CONTENT, at(99));
+        other.merge_update(&"first".into(), &table.next_update(at(101)), at(101));
+        table.merge_update(&"other".into(), &other.next_update(at(102)), at(102));
     }
 
     assert_eq!(table.held_for(CONTENT, at(103)), None);
     let news = table.next_update(at(103));
     let mut late = table_with(10, 100);
-    late.take(&"table".into(), &news, at(110));
+    late.merge_update(&"table".into(), &news, at(110));
     assert_eq!(late.held_for(CONTENT, at(111)), None, "{news:?}");
 }
 
@@ -93,9 +93,9 @@
 #[test]
 fn an_old_answer_does_not_speak_for_content_that_ends_upstreams_now() {
     let mut table = CrashTable::default();
-    table.note_answer(CONTENT, seconds(60));
+    table.record_answer(CONTENT, seconds(60));
     for number in 0..3 {
-        table.note_crash(CONTENT, upstream(number), seconds(100 + number as u64));
+        table.record_crash(CONTENT, upstream(number), seconds(100 + number as u64));
     }
 
     assert!(table.held_for(CONTENT, seconds(110)).is_some());
@@ -108,7 +108,7 @@
 
     let after = seconds(102) + first + Duration::from_secs(1);
     assert_eq!(table.held_for(CONTENT, after), None);
-    let held = table.note_crash(CONTENT, upstream(9), after).expect("held back again");
+    let held = table.record_crash(CONTENT, upstream(9), after).expect("held back again");
 
     assert_eq!((held.crashes, held.held_for), (4, first * 2));
 }
@@ -119,12 +119,12 @@
     let mut other = table_with(5, 100);
 
     table.release(CONTENT, seconds(120));
-    other.take(&"table".into(), &table.next_update(seconds(121)), seconds(121));
+    other.merge_update(&"table".into(), &table.next_update(seconds(121)), seconds(121));
 
     assert_eq!(table.held_for(CONTENT, seconds(122)), None);
     assert_eq!(other.held_for(CONTENT, seconds(122)), None);
     for number in 10..13 {
-        table.note_crash(CONTENT, upstream(number), seconds(130));
+        table.record_crash(CONTENT, upstream(number), seconds(130));
     }
     assert!(table.held_for(CONTENT, seconds(131)).is_some(), "it may be held back anew");
 }
@@ -135,8 +135,8 @@
 fn a_flood_of_contents_is_bounded_and_drives_out_nothing_that_is_held_back() {
     let mut table = table_with(3, 100);
     for number in 0..50_000 {
-        table.note_crash(RequestFingerprint(1_000 + number), upstream(1), seconds(103));
-        table.note_answer(RequestFingerprint(100_000 + number), seconds(103));
+        table.record_crash(RequestFingerprint(1_000 + number), upstream(1), seconds(103));
+        table.record_answer(RequestFingerprint(100_000 + number), seconds(103));
     }
 
     assert!(table.sizes(seconds(104)).known <= 8_192, "{:?}", table.sizes(seconds(104)));
@@ -193,12 +193,12 @@
         };
         let mut first = CrashTable::default();
         let mut second = CrashTable::default();
-        rows.iter().for_each(|given| _ = first.take_row(&row(given), now));
+        rows.iter().for_each(|given| _ = first.merge_row(&row(given), now));
         let mut turned = rows.clone();
         turned.rotate_left(order as usize % rows.len());
         turned.reverse();
         turned.extend(rows.clone());
-        turned.iter().for_each(|given| _ = second.take_row(&row(given), now));
+        turned.iter().for_each(|given| _ = second.merge_row(&row(given), now));
 
         prop_assert_eq!(first.held(now), second.held(now));
         prop_assert_eq!(first.next_update(now).digest, second.next_update(now).digest);
--- a/tests/test_quarantine_fleet.rs
+++ b/tests/test_quarantine_fleet.rs
@@ -16,7 +16,7 @@
     let count = play.daemons.len();
     for (number, daemon) in [0, count / 2, count - 1].into_iter().enumerate() {
         let now = play.now;
-        play.daemons[daemon].crashes.note_crash(CONTENT, upstream(number), now);
+        play.daemons[daemon].crashes.record_crash(CONTENT, upstream(number), now);
     }
 }
 
@@ -132,7 +132,7 @@
     for number in 0..3_000 {
         let (daemon, now) = (number % 60, play.now);
         let content = RequestFingerprint(100 + number as u64 / 3);
-        play.daemons[daemon].crashes.note_crash(content, upstream(number), now);
+        play.daemons[daemon].crashes.record_crash(content, upstream(number), now);
     }
     let start = bytes(&play);
     play.run(12_000, true);
--- a/tests/test_quarantine_log.rs
+++ b/tests/test_quarantine_log.rs
@@ -37,7 +37,7 @@
     // The daemon has been up for 2 s; the content's last end was a minute ago.
     let now = Moment::from_millis(2_000);
     let rows = ledger.quarantine().rows(None, NOON + 60_000);
-    rows.iter().for_each(|row| _ = daemon.take_row(row, now));
+    rows.iter().for_each(|row| _ = daemon.merge_row(row, now));
 
     let held = daemon.held(now);
     assert_eq!(held.len(), 1);
@@ -62,14 +62,14 @@
     let mut ledger = ledger();
     let mut daemon = CrashTable::default();
     let now = Moment::from_millis(100_000);
-    daemon.take_row(&ledger.quarantine().rows(None, NOON)[0], now);
+    daemon.merge_row(&ledger.quarantine().rows(None, NOON)[0], now);
     assert!(daemon.held_for(CONTENT, now).is_some());
 
     ledger.apply(&ControlCommand::Release { request: CONTENT, at: NOON + 500 });
 
     assert_eq!(ledger.quarantine().held(NOON + 600), []);
     let rows = ledger.quarantine().rows(Some(CONTENT), NOON + 600);
-    rows.iter().for_each(|row| _ = daemon.take_row(row, now));
+    rows.iter().for_each(|row| _ = daemon.merge_row(row, now));
     assert_eq!(daemon.held_for(CONTENT, now), None);
 }
 
@@ -99,10 +99,10 @@
     let mut ledger = ledger();
     let mut daemon = CrashTable::default();
     let now = Moment::from_millis(100_000);
-    ledger.quarantine().rows(None, NOON).iter().for_each(|row| _ = daemon.take_row(row, now));
+    ledger.quarantine().rows(None, NOON).iter().for_each(|row| _ = daemon.merge_row(row, now));
     assert_eq!(daemon.reports(now), [], "others saw the ends");
 
-    daemon.note_answer(CONTENT, now);
+    daemon.record_answer(CONTENT, now);
     let rows = daemon.reports(now);
 
     assert!(ledger.quarantine().lacks(&rows[0]));
