--- a/src/rollout/controller.rs
+++ b/src/rollout/controller.rs
@@ -157,16 +157,16 @@
         if verdict.is_bad() {
             return Some(RolloutEvent::Condemned);
         }
-        let fraction = |fraction: f64| (record.order.duration_ms as f64 * fraction) as u64;
+        let time_limit = |fraction: f64| (record.order.duration_ms as f64 * fraction) as u64;
         let elapsed = self.elapsed_ms(now);
         match record.stage {
-            RolloutStage::Trial if elapsed >= fraction(MAX_TRIAL_FRACTION) => match verdict {
+            RolloutStage::Trial if elapsed >= time_limit(MAX_TRIAL_FRACTION) => match verdict {
                 VersionVerdict::Sound => Some(RolloutEvent::Approved),
                 // There is no evidence for the new version. The old one still serves, so rolling
                 // back costs callers nothing.
                 _ => Some(RolloutEvent::Condemned),
             },
-            RolloutStage::Trial if elapsed >= fraction(MIN_TRIAL_FRACTION) => {
+            RolloutStage::Trial if elapsed >= time_limit(MIN_TRIAL_FRACTION) => {
                 (verdict == VersionVerdict::Sound).then_some(RolloutEvent::Approved)
             }
             RolloutStage::Expanding => {
--- a/src/rollout/verdict.rs
+++ b/src/rollout/verdict.rs
@@ -17,7 +17,7 @@
 /// severalfold, and a slow version is also slow on the fastest upstreams.
 const SLOW_TRIMMED_SHARE: f64 = 0.5;
 /// With fewer upstreams than this, none is excluded.
-const MIN_UPSTREAMS: usize = 3;
+const MIN_UPSTREAMS_TO_TRIM: usize = 3;
 /// Increase in the failure rate over the old version that justifies a roll-back, as a share of the
 /// answers that would otherwise succeed.
 const FAILURE_RATE_MARGIN: f64 = 0.07;
@@ -127,13 +127,18 @@
     ranked.sort_by(|a, b| b.total_cmp(a));
     // A few failing upstreams are faulty themselves; if all of them fail, that is the version's
     // normal failure rate.
-    let trimmed = if ranked.len() < MIN_UPSTREAMS { 0 } else { trimmed_count(ranked.len()) };
+    let trimmed =
+        if ranked.len() < MIN_UPSTREAMS_TO_TRIM { 0 } else { trimmed_count(ranked.len()) };
     let failures: f64 = ranked.iter().skip(trimmed).sum();
     Some(failures / (answers + PRIOR_ANSWERS))
 }
 
 fn trimmed_count(upstreams: usize) -> usize {
-    if upstreams < MIN_UPSTREAMS { 0 } else { (upstreams as f64 * TRIMMED_SHARE).ceil() as usize }
+    if upstreams < MIN_UPSTREAMS_TO_TRIM {
+        0
+    } else {
+        (upstreams as f64 * TRIMMED_SHARE).ceil() as usize
+    }
 }
 
 fn new_tallies(
@@ -204,7 +209,7 @@
     }
     let mut ranked: Vec<[f64; 2]> = wealth_by_upstream.into_values().collect();
     let trimmed = (ranked.len() as f64 * SLOW_TRIMMED_SHARE) as usize;
-    let trimmed = if ranked.len() < MIN_UPSTREAMS { 0 } else { trimmed };
+    let trimmed = if ranked.len() < MIN_UPSTREAMS_TO_TRIM { 0 } else { trimmed };
     ranked.sort_by(|a, b| b[0].total_cmp(&a[0]));
     let sum = ranked
         .iter()
