--- a/src/rollout/verdict.rs
+++ b/src/rollout/verdict.rs
@@ -68,8 +68,8 @@
     failures: f64,
 }
 
-/// Evaluates the new version. The old version's failure rate is taken from `baseline` where `counts`
-/// hold too few of its answers.
+/// Evaluates the new version. The old version's failure rate is taken from `baseline` where
+/// `counts` hold too few of its answers.
 pub fn compare_versions(counts: &OutcomeCounts, baseline: &OutcomeCounts) -> VersionVerdict {
     let mut log_odds = Vec::new();
     for route in new_routes(counts).into_iter().map(Some).chain([None]) {
