--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,23 +1,25 @@
-//! Roll-outs of upstreams' software: a new version is let in by a small share, then used or rolled back by what it does.
+//! Canary roll-outs of upstream software: a new version first receives a small share of the
+//! requests and is then promoted or rolled back according to its results.
 //!
-//! Pure: time and draws are inputs. The voters keep the orders and stages ([`RolloutLog`]); daemons send the new version
-//! its share ([`SharePace`]) and count what comes of it ([`AnswerCounts`]); the leader adds the counts up and decides
-//! ([`RolloutDirector`]). A new version that fails or is slow is found by comparison with the old one in the same time.
+//! This module is pure: time and random numbers are inputs. The voters store orders and stages
+//! ([`RolloutLog`]), daemons send the new version its share ([`SharePacer`]) and count the outcomes
+//! ([`OutcomeCounts`]), and the leader sums the counts and decides ([`RolloutController`]). A new
+//! version that fails or is slow is detected by comparison with the old one over the same period.
 
+mod controller;
 mod counts;
-mod director;
-mod judge;
 mod log;
 mod messages;
-mod pace;
+mod pacer;
 mod stage;
+mod verdict;
 mod versions;
 
-pub use counts::{AnswerCount, AnswerCounts, CountKey, RequestGroup, VersionArm};
-pub use director::{RolloutDecision, RolloutDirector};
-pub use judge::{VersionVerdict, judge};
+pub use controller::{RolloutController, RolloutDecision};
+pub use counts::{CountKey, OutcomeCounts, RequestGroup, VersionArm, VersionOutcome};
 pub use log::{RolloutLog, RolloutOrder, RolloutRecord, RolloutReply, RolloutStep};
 pub use messages::{RolloutReport, RolloutRow, RolloutRows};
-pub use pace::SharePace;
+pub use pacer::SharePacer;
 pub use stage::{RolloutAction, RolloutChart, RolloutEvent, RolloutStage, rollout_chart};
-pub use versions::version_pool;
+pub use verdict::{VersionVerdict, compare_versions};
+pub use versions::version_pool_name;
--- a/src/traffic/quarantine_gate.rs
+++ b/src/traffic/quarantine_gate.rs
@@ -4,7 +4,7 @@
 use crate::answer::AnswerKind;
 use crate::policy::{Moment, UpstreamHash};
 use crate::quarantine::{
-    CrashTable, HeldRequest, RequestFingerprint, SuspectNews, SuspectRow, TableSizes,
+    CrashTable, HeldRequest, RequestFingerprint, SuspectRow, SuspectUpdate, TableSizes,
 };
 use crate::table::DaemonName;
 use slog::{info, warn};
@@ -52,23 +52,23 @@
         request: RequestFingerprint,
         upstream: UpstreamHash,
     ) {
-        let held = self.lock().note_crash(request, upstream, state.clock.now());
+        let held = self.lock().record_crash(request, upstream, state.clock.now());
         note_held(state, held.as_slice(), "seen here");
     }
 
     /// Records that the content received a whole answer.
     pub fn note_answer(&self, request: RequestFingerprint, now: Moment) {
-        self.lock().note_answer(request, now);
+        self.lock().record_answer(request, now);
     }
 
     /// Returns the next news for the other daemons.
-    pub fn next_news(&self, now: Moment) -> SuspectNews {
-        self.lock().news(now)
+    pub fn next_news(&self, now: Moment) -> SuspectUpdate {
+        self.lock().next_update(now)
     }
 
     /// Merges the news of another daemon.
-    pub fn merge_news(&self, state: &TrafficState, from: &DaemonName, news: &SuspectNews) {
-        let held = self.lock().take(from, news, state.clock.now());
+    pub fn merge_news(&self, state: &TrafficState, from: &DaemonName, news: &SuspectUpdate) {
+        let held = self.lock().merge_update(from, news, state.clock.now());
         note_held(state, &held, from.as_str());
     }
 
@@ -80,7 +80,7 @@
     /// Merges the records kept by the voters.
     pub fn merge_rows(&self, state: &TrafficState, rows: &[SuspectRow]) {
         let now = state.clock.now();
-        let held = rows.iter().filter_map(|row| self.lock().take_row(row, now));
+        let held = rows.iter().filter_map(|row| self.lock().merge_row(row, now));
         let held: Vec<HeldRequest> = held.collect();
         note_held(state, &held, "voters");
     }
--- a/src/traffic/rollout_gate.rs
+++ b/src/traffic/rollout_gate.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::{Moment, UpstreamHash};
 use crate::rollout::{
-    AnswerCount, AnswerCounts, RequestGroup, RolloutReport, RolloutRow, RolloutRows, RolloutStage,
-    SharePace, VersionArm,
+    OutcomeCounts, RequestGroup, RolloutReport, RolloutRow, RolloutRows, RolloutStage, SharePacer,
+    VersionArm, VersionOutcome,
 };
 use crate::table::ServiceName;
 use arc_swap::ArcSwapOption;
@@ -21,8 +21,8 @@
 #[derive(Debug)]
 struct TrialState {
     number: u64,
-    pace: SharePace,
-    counts: AnswerCounts,
+    pace: SharePacer,
+    counts: OutcomeCounts,
 }
 
 type TrialStates = Arc<Mutex<BTreeMap<ServiceName, TrialState>>>;
@@ -63,9 +63,9 @@
         for row in &rows.0 {
             let is_known = states.get(&row.service).is_some_and(|state| state.number == row.number);
             if !is_known {
-                let pace = SharePace::new(draw);
+                let pace = SharePacer::new(draw);
                 let state =
-                    TrialState { number: row.number, pace, counts: AnswerCounts::default() };
+                    TrialState { number: row.number, pace, counts: OutcomeCounts::default() };
                 states.insert(row.service.clone(), state);
             }
         }
@@ -108,7 +108,7 @@
         }
         let mut states = lock(&self.states);
         let state = states.get_mut(&row.service)?;
-        state.pace.take().then(|| TrialTicket {
+        state.pace.try_take().then(|| TrialTicket {
             states: Arc::clone(&self.states),
             service: row.service.clone(),
             is_sent: AtomicBool::new(false),
@@ -161,7 +161,7 @@
         if row.share() < 1.0
             && let Some(state) = lock(&self.states).get_mut(service)
         {
-            state.pace.sent_to_old(row.share());
+            state.pace.record_old_send(row.share());
         }
     }
 
@@ -172,13 +172,13 @@
         arm: VersionArm,
         group: RequestGroup,
         upstream: UpstreamHash,
-        answer: AnswerCount,
+        answer: VersionOutcome,
     ) {
         if self.row(service).is_none_or(|row| row.stage.is_final()) {
             return;
         }
         if let Some(state) = lock(&self.states).get_mut(service) {
-            state.counts.note(arm, group, upstream, answer);
+            state.counts.record(arm, group, upstream, answer);
         }
     }
 
@@ -221,7 +221,7 @@
         if !self.is_sent.load(Ordering::Relaxed)
             && let Some(state) = lock(&self.states).get_mut(&self.service)
         {
-            state.pace.give_back();
+            state.pace.refund();
         }
     }
 }
--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tarragonknot::policy::{Moment, RouteKey, SizeDecile, UpstreamHash};
 use tarragonknot::rollout::{
-    AnswerCount, AnswerCounts, RequestGroup, RolloutDirector, RolloutEvent, RolloutLog,
-    RolloutOrder, RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePace,
-    VersionArm,
+    OutcomeCounts, RequestGroup, RolloutController, RolloutEvent, RolloutLog, RolloutOrder,
+    RolloutReply, RolloutReport, RolloutRow, RolloutStage, RolloutStep, SharePacer, VersionArm,
+    VersionOutcome,
 };
 use tarragonknot::table::{DaemonName, ServiceName, UpstreamName};
 
@@ -79,8 +79,8 @@
 
 struct PlayDaemon {
     name: DaemonName,
-    pace: SharePace,
-    counts: AnswerCounts,
+    pace: SharePacer,
+    counts: OutcomeCounts,
     row: Option<RolloutRow>,
     on_old: u32,
     report_at: u64,
@@ -92,7 +92,7 @@
     arm: VersionArm,
     group: RequestGroup,
     engine: u64,
-    count: AnswerCount,
+    count: VersionOutcome,
 }
 
 /// Plays one roll-out of a service that gets `rate` requests a second.
@@ -118,12 +118,12 @@
         let order =
             RolloutOrder { service: service.clone(), to: "v2".into(), duration_ms: DURATION_MS };
         let RolloutReply::Accepted(first) = log.begin(&order, 0) else { unreachable!("empty") };
-        let mut director = RolloutDirector::new(&first, 0, Moment(0));
+        let mut director = RolloutController::new(&first, 0, Moment(0));
         let mut daemons: Vec<PlayDaemon> = (0..self.daemons)
             .map(|number| PlayDaemon {
                 name: format!("d{number}").as_str().into(),
-                pace: SharePace::new(rng.random()),
-                counts: AnswerCounts::default(),
+                pace: SharePacer::new(rng.random()),
+                counts: OutcomeCounts::default(),
                 row: None,
                 on_old: 0,
                 report_at: rng.random_range(0..REPORT_MS),
@@ -172,7 +172,8 @@
                 let time = 100.0 * sizes.sample(&mut rng) * speed * slower;
                 let fails = self.fails(arm, engine, route, load, now, &mut rng);
                 let after = Duration::from_micros((time * 1_000.0) as u64);
-                let count = if fails { AnswerCount::Failed } else { AnswerCount::served(after) };
+                let count =
+                    if fails { VersionOutcome::Failed } else { VersionOutcome::served(after) };
                 let whole = (time * rng.random_range(1.0..8.0)).min(LONGEST_MS as f64) as u64;
                 if arm == VersionArm::Old {
                     daemons[at].on_old += 1;
@@ -196,7 +197,7 @@
                 }
                 *busy.entry((answer.arm, answer.engine)).or_default() -= 1;
                 let upstream = hash(answer.arm, answer.engine);
-                daemon.counts.note(answer.arm, answer.group, upstream, answer.count);
+                daemon.counts.record(answer.arm, answer.group, upstream, answer.count);
             }
             if self.trouble == Trouble::LeaderLost && now == 4_000 {
                 asleep_until = 7_000;
@@ -207,7 +208,7 @@
             let moment = Moment::from_millis(now);
             let record = log.get(&service).expect("the roll-out").clone();
             if asleep_until == now && now > 0 {
-                director = RolloutDirector::new(&record, record.elapsed_at(now), moment);
+                director = RolloutController::new(&record, record.elapsed_at(now), moment);
             }
             for daemon in daemons.iter_mut().filter(|daemon| daemon.report_at <= now) {
                 daemon.report_at = now + REPORT_MS;
@@ -218,7 +219,7 @@
                         on_old: daemon.on_old,
                         counts: daemon.counts.clone(),
                     };
-                    director.take(&daemon.name, 1, report);
+                    director.record_report(&daemon.name, 1, report);
                 }
                 daemon.row = Some(RolloutRow::new(&record, BOUND));
                 daemon.heard_at = now;
@@ -289,11 +290,11 @@
     let Some(row) = &daemon.row else { return VersionArm::Old };
     match row.stage {
         RolloutStage::Draining | RolloutStage::Completed => VersionArm::New,
-        RolloutStage::Trial | RolloutStage::Expanding if has_new && daemon.pace.take() => {
+        RolloutStage::Trial | RolloutStage::Expanding if has_new && daemon.pace.try_take() => {
             VersionArm::New
         }
         _ => {
-            daemon.pace.sent_to_old(row.share().min(0.99));
+            daemon.pace.record_old_send(row.share().min(0.99));
             VersionArm::Old
         }
     }
@@ -303,7 +304,7 @@
     let row = row.filter(|_| arm == VersionArm::New);
     let Some(row) = row else { return rng.random_range(0..OLD_ENGINES) };
     let all: Vec<UpstreamHash> = (0..OLD_ENGINES).map(|engine| hash(arm, engine)).collect();
-    let in_use = row.in_use(all.clone());
+    let in_use = row.active_upstreams(all.clone());
     let chosen = in_use[rng.random_range(0..in_use.len())];
     all.iter().position(|known| *known == chosen).expect("one of all") as u64
 }
