--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -1,13 +1,16 @@
-//! How the daemons act together, as the leader sees it; pure and kept in memory only.
+//! The leader's registry of the fleet's daemons. This module performs no I/O and keeps its state in
+//! memory only.
 //!
-//! Every daemon has one call open to the leader: it reports, and is answered with orders when they
-//! change or after a while. A daemon may admit for one lease from when it sent its last answered
-//! report. So the leader knows of every daemon in the replicated member list either what it has
-//! confirmed, or that its lease has run out and it admits nothing.
+//! Every daemon keeps one report call open at the leader, which answers with orders when they
+//! change or after a timeout. A daemon may admit requests for one lease, counted from the time at
+//! which it sent its last answered report. For every daemon on the replicated member list, the
+//! leader therefore knows either what the daemon has confirmed or that its lease has expired and it
+//! admits nothing.
 //!
-//! Shares: the limit of each pool is divided into [`SHARE_UNITS`]. A daemon counts with the larger of
-//! what it says it holds and what it was last ordered; only what nobody counts with is given out. So
-//! the sum never exceeds the whole, whoever dies between order and report.
+//! Shares: each pool's limit is divided into [`SHARE_UNITS`]. A daemon counts with the larger of
+//! the share that it reports and the share last ordered for it, and only unassigned units are given
+//! out. The sum therefore never exceeds the whole limit, even if a daemon dies between an order and
+//! its next report.
 
 use crate::policy::{Moment, TierRank};
 use crate::quarantine::SuspectRow;
@@ -20,74 +23,77 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The whole of a pool's limit, in units of shares.
+/// Units of share that make up the whole limit of a pool.
 pub const SHARE_UNITS: u32 = 10_000;
-/// Stands for the organisations' limits among the pools of reports and orders: they are divided as the pools'
-/// limits are. No service can have this name, since a name has no space.
+/// Pool name under which reports and orders carry the organisations' limits, which are divided like
+/// the pools' limits. No service can have this name, since service names contain no space.
 pub const LIMITS: &str = "organisation limits";
-/// Share that every member is given whatever its demand, as a part of its equal share.
+/// Minimum share of every member whatever its demand, as a fraction of its equal share.
 const LEAST_PART: f64 = 0.2;
-/// Clocks may differ by this factor over one lease.
+/// Factor by which clocks may differ over one lease.
 const DRIFT_MARGIN: f64 = 1.1;
-/// A share is changed only by more than this, so that noise in demand orders nothing.
+/// Minimum change of a share that is ordered, so that noise in the demand causes no orders.
 const SHARE_STEP: u32 = SHARE_UNITS / 50;
 
-/// What a daemon says of one pool.
+/// One pool's state in a daemon's report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolReport {
-    /// The pool.
+    /// Service of the pool.
     pub service: ServiceName,
-    /// The floor it wants.
+    /// Shed floor that the daemon requests.
     pub wanted: Option<TierRank>,
-    /// The floor it keeps until the next order: it admits no tier below, and holds none waiting.
+    /// Shed floor that the daemon enforces until the next order: no lower tier is admitted or
+    /// waiting.
     pub guaranteed: Option<TierRank>,
-    /// Estimated tokens waiting and running.
+    /// Estimated tokens of the waiting and running requests.
     pub demand: u64,
-    /// Units of share it holds: what it was ordered, or more while work sent under a larger share runs.
+    /// Units of share in use: the ordered share, or more while work dispatched under a larger share
+    /// is still running.
     pub share: u32,
 }
 
-/// A daemon's report.
+/// Report of a daemon to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonReport {
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: DaemonName,
-    /// Its boot number.
+    /// Boot number of the daemon.
     pub boot: u64,
-    /// The term of the leader that the report is made for.
+    /// Term of the leader to which the report is addressed.
     pub term: u64,
-    /// Rises with each report: one that was overtaken on the way is passed over.
+    /// Increases with each report; a report that arrives after a newer one is ignored.
     pub sequence: u64,
-    /// Where its control interface is.
+    /// Address of the daemon's control interface.
     pub control: SocketAddr,
-    /// The table version in force there; 0 if none yet.
+    /// Table version in force on the daemon; 0 if none.
     pub version: u64,
-    /// Its pools.
+    /// State of the daemon's pools.
     pub pools: Vec<PoolReport>,
-    /// True if its lease was valid when it reported; without one it holds no share and admits nothing.
+    /// True if the daemon's lease was valid when it reported. Without a lease it holds no share and
+    /// admits nothing.
     pub has_lease: bool,
-    /// True once it is drained and admits nothing.
+    /// True once the daemon is drained and admits nothing.
     pub is_leaving: bool,
-    /// True if it serves callers.
+    /// True if the daemon serves callers.
     #[serde(default)]
     pub serves_callers: bool,
-    /// True if it divides the limits with the other daemons itself and sheds by itself: it needs no shares and no
-    /// floors, and reports no pools.
+    /// True if the daemon divides the limits with the other daemons and sheds without the leader.
+    /// It needs no shares or floors and reports no pools.
     #[serde(default)]
     pub divides_alone: bool,
-    /// Digest of the list of daemons that it knows; 0 if it knows none.
+    /// Digest of the list of serving daemons that the daemon knows; 0 if it knows none.
     #[serde(default)]
     pub knows_serving: u64,
-    /// Contents that are held back and under which it saw an upstream end.
+    /// Quarantined contents under which the daemon saw an upstream end.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectRow>,
-    /// True from its start until it has received the contents that are held back.
+    /// True from the daemon's start until it has received the quarantined contents.
     #[serde(default)]
     pub wants_suspects: bool,
-    /// Digest of the roll-outs that it knows; 0 if it has received none.
+    /// Digest of the roll-outs that the daemon knows; 0 if it has received none.
     #[serde(default)]
     pub knows_rollouts: u64,
-    /// What it saw of roll-outs that are under way.
+    /// The daemon's counts for the roll-outs in progress.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<RolloutReport>,
 }
@@ -95,62 +101,64 @@
 /// Orders for one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolOrder {
-    /// The pool.
+    /// Service of the pool.
     pub service: ServiceName,
-    /// The floor to keep for others.
+    /// Shed floor that the daemon must enforce on behalf of the others.
     pub imposed: Option<TierRank>,
-    /// The floor that every daemon keeps.
+    /// Shed floor that every daemon enforces.
     pub confirmed: Option<TierRank>,
-    /// Units of share it may use.
+    /// Units of share that the daemon may use.
     pub share: u32,
 }
 
 /// Control addresses of the live daemons that serve callers.
 ///
-/// What goes wrong if it goes with each answer: 291 addresses in 700 answers a second are 4 MB a second for the leader, and
-/// each daemon reads them anew twice a second. So a report names the digest of the list that it knows.
+/// Sending the list with every answer would cost the leader 4 MB a second (291 addresses in 700
+/// answers a second), and every daemon would parse it twice a second. Reports therefore carry the
+/// digest of the list that the daemon knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServingList {
-    /// The addresses, in order.
+    /// Control addresses in ascending order.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl ServingList {
-    /// A list of daemons in any order.
+    /// Creates a list from addresses in any order.
     pub fn new(mut addresses: Vec<SocketAddr>) -> Self {
         addresses.sort_unstable();
         ServingList { addresses }
     }
 
-    /// A number that stands for the whole list; never 0, which stands for none.
+    /// Digest of the list; never 0, which means that no list is known.
     pub fn digest(&self) -> u64 {
         xxh3_64(&postcard::to_stdvec(&self.addresses).unwrap_or_default()).max(1)
     }
 }
 
-/// The leader's answer to a report.
+/// Orders of the leader in answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DaemonOrders {
-    /// The version in force.
+    /// Table version in force.
     pub version: u64,
-    /// Its table, if the daemon has another version.
+    /// The table in force, if the daemon has another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub table: Option<Box<VersionedTable>>,
-    /// The same table compressed, in whose place it goes over the network.
+    /// The same table compressed; sent over the network instead of `table`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub packed: Option<Arc<str>>,
-    /// Orders by pool.
+    /// Orders for each pool.
     pub pools: Vec<PoolOrder>,
-    /// Control addresses of the live daemons that serve callers, where they are others than the daemon knows.
+    /// Control addresses of the live daemons that serve callers, if the list differs from the one
+    /// that the daemon knows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub serving: Option<ServingList>,
     /// Control addresses of the voters.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub voters: Vec<SocketAddr>,
-    /// Contents that are held back, for a daemon that wants them, and those that were released a moment ago.
+    /// All quarantined contents, if the daemon requested them; otherwise those released recently.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectRow>,
-    /// Roll-outs of upstreams' software, where they are others than the daemon knows.
+    /// Roll-outs of upstream software, if they differ from those that the daemon knows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollouts: Option<RolloutRows>,
 }
@@ -159,43 +167,43 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportAnswer {
-    /// Orders.
+    /// The report was accepted.
     Orders(DaemonOrders),
-    /// The report was made for another leader; report again for this term.
+    /// The report was addressed to another leader; the daemon must report again for this term.
     NewTerm(u64),
 }
 
-/// What the registry makes of a report.
+/// Result of recording a report in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVerdict {
-    /// It is the member's newest word.
+    /// The report is the newest of its member and was recorded.
     Taken,
-    /// The daemon's boot is not on the member list.
+    /// The daemon's boot number is not on the member list.
     Unknown,
-    /// It was made for another leader. What goes wrong without this check: a report that was long under
-    /// way, and given up by its sender for a later one to another leader, would be taken for the
-    /// sender's present state by the next leader. One would notice by shares that add up to more than
-    /// the whole.
+    /// The report was addressed to another leader. Without this check, a delayed report that its
+    /// sender has replaced by a later one to another leader would be taken for the sender's present
+    /// state by the next leader, and the shares would add up to more than the whole.
     OtherTerm,
-    /// A newer report overtook it.
+    /// A newer report has already been recorded.
     Overtaken,
 }
 
-/// A member as operators see it.
+/// A member in the status that operators see.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: DaemonName,
-    /// The version in force there.
+    /// Table version in force on the daemon.
     pub version: u64,
-    /// Milliseconds since it first reported that version to this leader; absent if this leader has not heard it.
+    /// Milliseconds since the daemon first reported that version to this leader; absent if it has
+    /// not reported to this leader.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version_ms: Option<u64>,
-    /// Milliseconds since its last report; absent if this leader has not heard it.
+    /// Milliseconds since the daemon's last report; absent if it has not reported to this leader.
     pub heard_ms: Option<u64>,
-    /// True while its lease lasts.
+    /// True while the daemon's lease lasts.
     pub is_live: bool,
-    /// Its control address, once heard.
+    /// Control address of the daemon, once it has reported.
     pub control: Option<SocketAddr>,
 }
 
@@ -203,18 +211,18 @@
 struct MemberState {
     boot: u64,
     heard: Option<Moment>,
-    /// When it first reported the version that it has.
+    /// Time at which the member first reported its current table version.
     version_since: Option<Moment>,
     report: Option<DaemonReport>,
-    /// The largest share ordered since that report.
+    /// The largest share ordered since the last report.
     ordered: BTreeMap<ServiceName, u32>,
-    /// The loosest floor imposed since that report; none where every tier was allowed again.
+    /// The loosest floor imposed since the last report; `None` if all tiers were allowed.
     loosened: BTreeMap<ServiceName, Option<TierRank>>,
-    /// Pools whose floor the member may be raising, by an order sent since that report.
+    /// Pools whose floor the member may be raising because of an order sent since the last report.
     tightening: BTreeSet<ServiceName>,
 }
 
-/// The leader's registry of the fleet.
+/// The leader's registry of the fleet's members.
 #[derive(Clone, Debug)]
 pub struct FleetRegistry {
     term: u64,
@@ -226,8 +234,8 @@
 }
 
 impl FleetRegistry {
-    /// The registry of a leader that was elected at `began`. Members it has not heard count as holding
-    /// leases until one lease after that.
+    /// Creates the registry of a leader elected at `began`. Members that have not reported to it
+    /// count as holding leases until one lease after that time.
     pub fn new(
         term: u64,
         lease: Duration,
@@ -240,7 +248,7 @@
         registry
     }
 
-    /// Takes the replicated member list.
+    /// Applies the replicated member list.
     pub fn set_members(&mut self, members: &BTreeMap<DaemonName, u64>) {
         self.members.retain(|daemon, state| members.get(daemon) == Some(&state.boot));
         for (daemon, boot) in members {
@@ -262,8 +270,8 @@
         self.term
     }
 
-    /// Takes a report. A daemon sends one only after it has taken over, or given up,
-    /// the answer to the one before, so the report replaces every earlier order.
+    /// Records a report. A daemon sends a report only after it has applied or abandoned the answer
+    /// to the previous one, so the report supersedes all earlier orders.
     pub fn report(&mut self, report: DaemonReport, now: Moment) -> ReportVerdict {
         let Some(state) =
             self.members.get_mut(&report.daemon).filter(|state| state.boot == report.boot)
@@ -296,18 +304,19 @@
         self.members.iter().filter(move |(_, state)| self.is_live(state, now))
     }
 
-    /// Members whose lease ran out and that may be taken off the list.
+    /// Members whose lease has expired and that may be removed from the member list.
     pub fn dead(&self, now: Moment) -> Vec<(DaemonName, u64)> {
         let dead = self.members.iter().filter(|(_, state)| !self.is_live(state, now));
         dead.map(|(daemon, state)| (daemon.clone(), state.boot)).collect()
     }
 
-    /// True if the daemon's boot is live: a claim it holds may still be running.
+    /// True if this boot of the daemon is live, so that a claim held by it may still be in
+    /// progress.
     pub fn is_owner_live(&self, daemon: &DaemonName, boot: u64, now: Moment) -> bool {
         self.members.get(daemon).is_some_and(|state| state.boot == boot && self.is_live(state, now))
     }
 
-    /// Daemons that may still admit under a version below `version`.
+    /// Daemons that may still admit requests under a table version below `version`.
     pub fn lagging(&self, version: u64, now: Moment) -> Vec<DaemonName> {
         let is_behind = |state: &MemberState| {
             state.report.as_ref().is_none_or(|report| report.version < version)
@@ -322,7 +331,8 @@
         state.report.as_ref()?.pools.iter().find(|pool| pool.service == *service)
     }
 
-    /// The floor that every live daemon keeps; none while one admits every tier, or is unheard.
+    /// The floor that every live daemon enforces; `None` while any of them admits every tier or has
+    /// not reported.
     pub fn confirmed(&self, service: &ServiceName, now: Moment) -> Option<TierRank> {
         let kept = self.live(now).map(|(_, state)| match &state.report {
             Some(report) if report.is_leaving => Some(TierRank(0)),
@@ -331,7 +341,8 @@
         kept.collect::<Option<Vec<TierRank>>>()?.into_iter().max()
     }
 
-    /// The floor that a member surely keeps: its word, unless a looser floor was imposed since.
+    /// The floor that a member is known to enforce: the one it guaranteed, or a looser one imposed
+    /// since.
     fn kept(state: &MemberState, service: &ServiceName) -> Option<TierRank> {
         let guaranteed = Self::pool(state, service)?.guaranteed?;
         match state.loosened.get(service) {
@@ -341,19 +352,20 @@
         }
     }
 
-    /// True once every member has been heard by this leader, or its lease has run out.
+    /// True once every member has reported to this leader or its lease has expired.
     pub fn is_complete(&self, now: Moment) -> bool {
         self.live(now).all(|(_, state)| state.report.is_some())
     }
 
-    /// The strictest floor that a live daemon wants.
+    /// The strictest floor that any live daemon wants.
     fn wanted(&self, service: &ServiceName, now: Moment) -> Option<TierRank> {
         self.live(now).filter_map(|(_, state)| Self::pool(state, service)?.wanted).min()
     }
 
-    /// The floor to impose on a member. A leader that has not heard everybody does not know who relies on
-    /// a floor, so it loosens none. And no floor is loosened while a member may still be raising its own
-    /// on the strength of an earlier order: it would drop a tier while another takes a lower one back.
+    /// The floor to impose on a member. A leader to which some members have not reported does not
+    /// know which daemons rely on a floor, so it relaxes none. Nor is a floor relaxed while a
+    /// member may still be raising its own in response to an earlier order: that member would drop
+    /// a tier while another admits a lower one again.
     fn imposed_on(
         &mut self,
         daemon: &DaemonName,
@@ -378,13 +390,14 @@
         wanted
     }
 
-    /// Units that a member may be using: the larger of its word and the leader's.
+    /// Units that a member may be using: the larger of its reported and its ordered share.
     fn outstanding(state: &MemberState, service: &ServiceName) -> u32 {
         let held = Self::pool(state, service).map_or(0, |pool| pool.share);
         held.max(state.ordered.get(service).copied().unwrap_or(0))
     }
 
-    /// Units that nobody counts with; none while a live member is unheard, since it may hold any.
+    /// Units not assigned to any member; 0 while a live member has not reported, since it may hold
+    /// any of them.
     fn free(&self, service: &ServiceName, now: Moment) -> u32 {
         if !self.is_complete(now) {
             return 0;
@@ -393,7 +406,8 @@
         SHARE_UNITS.saturating_sub(used)
     }
 
-    /// The share that a daemon's demand earns: a least part, and the rest by demand.
+    /// The share that a daemon should have: a minimum part, and the rest in proportion to its
+    /// demand.
     fn earned(&self, daemon: &DaemonName, service: &ServiceName, now: Moment) -> u32 {
         let admits =
             |state: &MemberState| state.report.as_ref().is_none_or(|report| !report.is_leaving);
@@ -412,7 +426,8 @@
         (part * f64::from(SHARE_UNITS)) as u32
     }
 
-    /// The share to order, noting it: less at once, more only out of what is free.
+    /// Determines and records the share to order. A decrease takes effect at once; an increase is
+    /// limited to unassigned units.
     fn order_share(&mut self, daemon: &DaemonName, service: &ServiceName, now: Moment) -> u32 {
         let earned = self.earned(daemon, service, now);
         let free = self.free(service, now);
@@ -430,7 +445,7 @@
         share
     }
 
-    /// Orders for a member, for the services of the table in force.
+    /// Orders for a member, covering the services of the table in force.
     pub fn orders(
         &mut self,
         daemon: &DaemonName,
@@ -472,15 +487,14 @@
         services.into_iter().map(order).collect()
     }
 
-    /// Control addresses of the live daemons that serve callers.
-    /// The live daemons that serve callers.
+    /// The list of live daemons that serve callers.
     pub fn serving(&self, now: Moment) -> ServingList {
         let reports = self.live(now).filter_map(|(_, state)| state.report.as_ref());
         let serving = reports.filter(|report| report.serves_callers && !report.is_leaving);
         ServingList::new(serving.map(|report| report.control).collect())
     }
 
-    /// Notes that orders were sent: from now on the member may act on them.
+    /// Records that orders were sent; the member may act on them from now on.
     pub fn sent(&mut self, daemon: &DaemonName, orders: &[PoolOrder]) {
         let Some(state) = self.members.get_mut(daemon) else { return };
         for order in orders {
@@ -496,7 +510,7 @@
         }
     }
 
-    /// Boots of the live daemons that serve callers and have not drained, as far as they were heard.
+    /// Boot numbers of the live daemons that have reported, serve callers and are not drained.
     pub fn serving_boots(&self, now: Moment) -> BTreeMap<DaemonName, u64> {
         let serves = |state: &MemberState| {
             let report = state.report.as_ref();
@@ -506,12 +520,12 @@
         serving.map(|(daemon, state)| (daemon.clone(), state.boot)).collect()
     }
 
-    /// Live daemons.
+    /// Number of live daemons.
     pub fn live_count(&self, now: Moment) -> usize {
         self.live(now).count()
     }
 
-    /// All members, for operators.
+    /// All members, for the operators' status.
     pub fn view(&self, now: Moment) -> Vec<MemberView> {
         let view = |(daemon, state): (&DaemonName, &MemberState)| MemberView {
             daemon: daemon.clone(),
