--- a/src/control/fleet_member.rs
+++ b/src/control/fleet_member.rs
@@ -1,5 +1,5 @@
-//! A daemon's side of the fleet's agreement; pure. What it reports, what it takes from orders, and until
-//! when it may admit.
+//! A daemon's membership of the fleet: what it reports, which orders it accepts, and until when it
+//! may admit requests. This module performs no I/O.
 
 use super::fleet::{DaemonOrders, DaemonReport, PoolReport, SHARE_UNITS, ServingList};
 use crate::policy::{FloorOrder, Moment, TierRank};
@@ -10,54 +10,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One pool's numbers at the time of a report.
+/// State of one pool at the time of a report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolState {
-    /// The pool.
+    /// Service of the pool.
     pub service: ServiceName,
-    /// The floor it wants.
+    /// Shed floor that the pool wants.
     pub wanted: Option<TierRank>,
-    /// The floor it keeps until the next order.
+    /// Shed floor that the pool enforces until the next order.
     pub guaranteed: Option<TierRank>,
-    /// Estimated tokens waiting and running.
+    /// Estimated tokens of the waiting and running requests.
     pub demand: u64,
-    /// The part of the limit that running work takes up, 0.0 to 1.0.
+    /// Fraction of the limit used by running requests, 0.0 to 1.0.
     pub used: f64,
 }
 
-/// What a pool must do under new orders.
+/// Change to one pool required by new orders.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolMove {
-    /// The pool.
+    /// Service of the pool.
     pub service: ServiceName,
-    /// The share of the limit that may be used, 0.0 to 1.0.
+    /// Fraction of the limit that may be used, 0.0 to 1.0.
     pub share: f64,
-    /// The fleet's word on its floor.
+    /// Order for the pool's shed floor.
     pub floor: FloorOrder,
 }
 
-/// What a daemon must do under new orders, in this order.
+/// Changes that new orders require of a daemon, to be applied in the order of the fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberMove {
-    /// A newer table to put in force.
+    /// Newer table to put in force.
     pub table: Option<Box<VersionedTable>>,
-    /// Moves by pool.
+    /// Changes to the pools.
     pub pools: Vec<PoolMove>,
-    /// The daemon may admit until then, if it has `version` in force.
+    /// Time until which the daemon may admit requests, provided that it has `version` in force.
     pub current_until: Moment,
-    /// The version in force in the fleet.
+    /// Table version in force in the fleet.
     pub version: u64,
-    /// The live daemons that serve callers, if they are others than before.
+    /// Live daemons that serve callers, if the list has changed.
     pub serving: Option<ServingList>,
     /// Control addresses of the voters.
     pub voters: Vec<SocketAddr>,
-    /// Contents that are held back, or were released.
+    /// Contents that are quarantined or were released.
     pub suspects: Vec<SuspectRow>,
-    /// Roll-outs, if they are others than before.
+    /// Roll-outs, if they have changed.
     pub rollouts: Option<RolloutRows>,
 }
 
-/// A daemon as a member of the fleet.
+/// Membership of a daemon in the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetMember {
     daemon: DaemonName,
@@ -73,14 +73,14 @@
     lease_until: Moment,
     serves_callers: bool,
     divides_alone: bool,
-    /// Digest of the list of daemons that it took last.
+    /// Digest of the last list of serving daemons received.
     knows_serving: u64,
-    /// True until it has received the contents that are held back.
+    /// True until the quarantined contents have been received.
     wants_suspects: bool,
 }
 
 impl FleetMember {
-    /// A member that has reported nothing and holds nothing.
+    /// Creates a member that has not reported and holds no share.
     pub fn new(daemon: DaemonName, boot: u64, control: SocketAddr, lease: Duration) -> Self {
         FleetMember {
             daemon,
@@ -101,20 +101,21 @@
         }
     }
 
-    /// A member that serves no callers.
+    /// Marks the member as not serving callers.
     pub fn without_callers(mut self) -> Self {
         self.serves_callers = false;
         self
     }
 
-    /// A member that divides limits with the other daemons itself and sheds by itself.
+    /// Marks the member as dividing limits with the other daemons and shedding without the leader.
     pub fn dividing_alone(mut self) -> Self {
         self.divides_alone = true;
         self
     }
 
-    /// The next report. It ends the wait for the answer to the one before: orders that come late for an
-    /// earlier report must not be taken, since the leader counts only what was ordered after the last.
+    /// Creates the next report, which supersedes the previous one. Late orders for an earlier
+    /// report must not be applied, since the leader counts only the orders sent after the last
+    /// report.
     pub fn report(
         &mut self,
         version: u64,
@@ -126,7 +127,7 @@
         self.sent_at = now;
         self.had_lease = now < self.lease_until;
         if !self.had_lease {
-            // The leader may have given the shares away since.
+            // The leader may have given the shares to other daemons since the lease expired.
             self.shares.clear();
         }
         self.wanted = pools.iter().map(|pool| (pool.service.clone(), pool.wanted)).collect();
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Work sent under a larger share still runs: it counts until it has ended.
+    /// Includes work dispatched under a larger share, which counts until it has ended.
     fn pool_report(&self, pool: PoolState) -> PoolReport {
         let ordered = self.shares.get(&pool.service).copied().unwrap_or(0);
         let used = (pool.used.clamp(0.0, 1.0) * f64::from(SHARE_UNITS)) as u32;
@@ -164,15 +165,16 @@
         }
     }
 
-    /// Another leader answers: the next report is for its term.
+    /// Sets the term for the next report after the leader has changed.
     pub fn set_term(&mut self, term: u64) {
         self.term = term;
     }
 
-    /// Takes the answer to the last report. The lease runs from before that report was sent: the answer
-    /// shows that the leader led at some moment after it. None if the lease that the report spoke of has
-    /// run out since: the leader may have counted this daemon as dead, and given its shares and its place
-    /// in the agreement on floors away, before it read the report.
+    /// Applies the answer to the last report. The lease runs from the time at which that report was
+    /// sent, since the answer proves that the leader was in office at some time after it. Returns
+    /// `None` if the lease that the report was made under has expired since: before reading the
+    /// report, the leader may have counted this daemon as dead, given its shares away and stopped
+    /// relying on its floors.
     pub fn take(&mut self, orders: DaemonOrders, now: Moment) -> Option<MemberMove> {
         if self.had_lease && now >= self.lease_until {
             return None;
