--- a/src/control/joining.rs
+++ b/src/control/joining.rs
@@ -1,4 +1,4 @@
-//! How a voter comes to belong to a fleet: by asking its peers, or by founding one.
+//! Joining a fleet: a voter asks its peers to accept it, or founds a new fleet.
 
 use super::links::{FleetKey, connect};
 use super::rpc::{ControlApiClient, JoinAnswer, LeaderAnswer};
@@ -12,30 +12,32 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between attempts to join or found a fleet.
+/// Delay between attempts to join or found a fleet.
 const JOIN_PAUSE: Duration = Duration::from_millis(200);
 
-/// How a voter came to belong to a fleet.
+/// How a voter became part of a fleet.
 pub enum JoinedFleet {
-    /// A leader let it in.
+    /// A leader accepted it.
     Joined(FleetId),
-    /// It founds one.
+    /// It founds a fleet on its own.
     Founded,
-    /// It founds one together with the other founders.
+    /// It founds a fleet together with the other configured founders.
     FoundedTogether,
 }
 
-/// The number of the data folder of a voter that founds a fleet with others. All founders must write the same
-/// membership without having talked, so none can draw a number; a folder made later draws one above.
+/// Data folder number of a voter that founds a fleet together with others. All founders must write
+/// the same membership without communicating, so the number cannot be random; folders created later
+/// draw a number above it.
 pub const FOUNDING_FOLDER: u32 = 0;
 
-/// The identity of a founder.
+/// Identity of a founder.
 pub fn founding_voter(daemon: &DaemonName) -> VoterId {
     VoterId { daemon: daemon.clone(), folder: FOUNDING_FOLDER }
 }
 
-/// The membership that founders begin with. Each works it out from the same list, so that they need not talk:
-/// whoever of them starts first, a quorum of them is a quorum of the fleet.
+/// Initial membership of a fleet founded together. Every founder derives it from the same list
+/// without communicating, so whichever of them start first, a quorum of the founders is a quorum of
+/// the fleet.
 pub fn founding_membership(founders: &[PeerRow]) -> FleetMembership {
     let voters: BTreeMap<VoterId, SocketAddr> =
         founders.iter().map(|peer| (founding_voter(&peer.daemon), peer.control)).collect();
@@ -44,23 +46,23 @@
     FleetMembership { fleet, voters, learners: BTreeMap::new() }
 }
 
-/// What a voter needs in order to ask.
+/// Parameters of a join attempt.
 pub struct JoinTask {
-    /// Who asks.
+    /// Identity of the joining voter.
     pub voter: VoterId,
-    /// Its control address.
+    /// Control address of the joining voter.
     pub control: SocketAddr,
-    /// Whom to ask first.
+    /// Control addresses of the peers to ask first.
     pub peers: Vec<SocketAddr>,
-    /// True if it may found a fleet.
+    /// True if the voter may found a fleet.
     pub may_found: bool,
-    /// The fleet's key.
+    /// Shared key of the fleet.
     pub key: FleetKey,
-    /// Logs.
+    /// Logger.
     pub log: Logger,
 }
 
-/// Asks the peers to let the voter in, until it belongs to a fleet.
+/// Asks the peers for admission until the voter belongs to a fleet or may found one.
 pub async fn join_or_found(task: JoinTask, joined: mpsc::Sender<JoinedFleet>) {
     let mut was_barred = false;
     loop {
@@ -69,8 +71,8 @@
             was_barred = true;
             warn!(task.log, "not accepted as a voter; see `tarragonknot voter list`");
         }
-        // A founder whose disk was wiped must not found a second fleet beside the first: every peer must
-        // have answered that it belongs to none.
+        // A founder whose disk was wiped must not found a second fleet beside the first, so every
+        // peer must have answered that it belongs to none.
         let may_found = task.may_found && answer.without_fleet == task.peers.len();
         let end =
             answer.fleet.map(JoinedFleet::Joined).or(may_found.then_some(JoinedFleet::Founded));
@@ -82,14 +84,14 @@
     }
 }
 
-/// What the peers said to a voter that asked to join.
+/// Peers' answers to one round of join requests.
 #[derive(Default)]
 pub struct JoinRound {
-    /// The fleet that let it in.
+    /// Fleet that accepted the voter.
     pub fleet: Option<FleetId>,
-    /// Peers that belong to no fleet.
+    /// Number of peers that belong to no fleet.
     pub without_fleet: usize,
-    /// True if operators have removed this daemon.
+    /// True if operators have removed this daemon from the voters.
     pub is_barred: bool,
 }
 
