--- a/src/control/voting.rs
+++ b/src/control/voting.rs
@@ -1,8 +1,8 @@
-//! The leader's rules for changing voters by itself; pure.
+//! Rules by which the leader changes the set of voters on its own. This module performs no I/O.
 //!
-//! A daemon with a data folder asks to join. It becomes a learner, catches up, and then votes. If its
-//! disk was wiped, its old identity is still a voter that nobody can use any more: the old identity is
-//! removed first and the new one added after, one step at a time.
+//! A daemon with a data folder asks to join. It becomes a learner, catches up with the log, and is
+//! then promoted to voter. If its disk was wiped, its old identity remains a voter that no process
+//! can use; the old identity is removed first and the new one added afterwards, one step at a time.
 
 use super::ledger::ControlLedger;
 use crate::policy::Moment;
@@ -10,19 +10,22 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Voters the leader adds by itself; operators may not go beyond either, as more only slow commits.
+/// Maximum number of voters that the leader adds on its own. Operators cannot exceed it either,
+/// since more voters only slow commits.
 pub const MOST_VOTERS: usize = 5;
-/// Learners that are kept beside a full set of voters, where lost voters are replaced without an operator.
+/// Maximum number of spare learners kept beside a full set of voters where lost voters are replaced
+/// without an operator.
 const MOST_SPARES: usize = 6;
-/// A voter unheard for this long is lost. Above the time in which a killed process is back; a voter that was
-/// only cut off catches up again as a learner.
+/// Silence after which a voter counts as lost. It exceeds the restart time of a killed process; a
+/// voter that was only cut off catches up again as a learner.
 const LOST_AFTER: Duration = Duration::from_millis(3_000);
-/// A learner this close to the commit index is caught up.
+/// Maximum number of entries behind the commit index at which a learner counts as caught up.
 const CAUGHT_UP: u64 = 64;
 
-/// Whether a voter that asks may be let in as a learner.
+/// True if a voter that asks to join may be added as a learner.
 ///
-/// `keeps_spares`: more learners than are needed as voters are let in, to take the place of lost voters.
+/// With `keeps_spares`, learners are accepted beyond the number needed to fill the set of voters,
+/// so that they can replace lost voters.
 pub fn may_join(
     membership: &FleetMembership,
     ledger: &ControlLedger,
@@ -35,7 +38,7 @@
     ledger.may_vote(&voter.daemon) && (replaces || has_place)
 }
 
-/// Voters that have not been heard for [`LOST_AFTER`].
+/// Voters not heard from for [`LOST_AFTER`].
 pub fn lost_voters<C: Clone + Debug>(core: &ReplicaCore<C>, now: Moment) -> Vec<VoterId> {
     let is_lost = |id: &&VoterId| {
         *id != core.me() && core.heard(id).is_none_or(|heard| now.since(heard) >= LOST_AFTER)
@@ -43,7 +46,7 @@
     core.membership().voters.keys().filter(is_lost).cloned().collect()
 }
 
-/// The next step of change, if one is due.
+/// The next membership change, if one is due.
 pub fn next_step<C: Clone + Debug>(
     core: &ReplicaCore<C>,
     ledger: &ControlLedger,
@@ -61,7 +64,8 @@
             .is_some_and(|matched| matched + CAUGHT_UP >= core.commit_index() && matched > 0)
     };
     let learner = membership.learners.keys().find(is_caught_up);
-    // A voter that is lost for good makes an even number of voters no safer and a full set keep a spare out.
+    // A permanently lost voter adds no safety to an even number of voters, and keeps a spare out of
+    // a full set.
     let has_even = membership.voters.len() > 2 && membership.voters.len().is_multiple_of(2);
     let is_in_the_way = has_even || (learner.is_some() && membership.voters.len() >= MOST_VOTERS);
     if let (true, [lost]) = (is_in_the_way, lost) {
