--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -1,5 +1,6 @@
-//! The replicated state machine: the table and its history, edit outcomes, claims, members, voters'
-//! rules. Deterministic: every replica applies the same commands and comes to the same state.
+//! The replicated state machine: the table and its history, edit outcomes, claims, members,
+//! roll-outs, quarantined contents and voter rules. It is deterministic: every replica applies the
+//! same commands and reaches the same state.
 
 use super::quarantine_log::QuarantineLog;
 use crate::claim::{ClaimCommand, ClaimRegistry, ClaimReply};
@@ -10,163 +11,164 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Edits whose whole tables are kept, for `table diff`.
+/// Number of edits whose complete tables are retained for `table diff`.
 const KEPT_TABLES: usize = 32;
-/// Edits whose records are kept.
+/// Number of edits whose records are retained.
 const KEPT_EDITS: usize = 1_000;
-/// Outcomes kept for resends; more than a day's edits at the planned size.
+/// Number of outcomes retained for resent edits; more than one day's edits at the planned fleet
+/// size.
 const KEPT_OUTCOMES: usize = 10_000;
-/// Cells of a difference kept with a conflict.
+/// Maximum number of differing cells stored with a conflict.
 const KEPT_CELLS: usize = 50;
 
-/// An operator's edit.
+/// Table edit by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableEdit {
-    /// Made by the client and kept for a resend.
+    /// Id chosen by the client, which reuses it when it resends the edit.
     pub edit_id: String,
-    /// Who made it, as the operator says.
+    /// Operator's name, as given by the operator.
     pub operator: String,
-    /// The leader's wall clock when it was proposed, in milliseconds.
+    /// Wall-clock time of the leader at the proposal, in milliseconds.
     #[serde(default)]
     pub at: u64,
-    /// The version it was made from.
+    /// Version on which the edit is based.
     pub base_version: u64,
-    /// The hash of that version.
+    /// Hash of the base version.
     pub base_hash: String,
-    /// The new table.
+    /// New table.
     pub table: OperatorTable,
 }
 
-/// An accepted edit.
+/// Record of an accepted edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRecord {
-    /// The version it made.
+    /// Version created by the edit.
     pub version: u64,
-    /// That version's hash.
+    /// Hash of that version.
     pub hash: String,
-    /// The edit.
+    /// Id of the edit.
     pub edit_id: String,
-    /// Who made it.
+    /// Operator who made the edit.
     pub operator: String,
-    /// When, in milliseconds of the leader's wall clock.
+    /// Wall-clock time of the leader at the proposal, in milliseconds.
     pub at: u64,
 }
 
-/// Why an edit was not accepted.
+/// Details of a rejected edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EditConflict {
-    /// The edit that came first.
+    /// The edit that was applied first.
     pub winner: Option<EditRecord>,
-    /// What would change from the table in force to the refused one.
+    /// Cells that differ between the table in force and the rejected one.
     pub difference: Vec<CellChange>,
 }
 
-/// What became of an edit.
+/// Outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EditOutcome {
-    /// Accepted and committed.
+    /// The edit was accepted and committed.
     Accepted(EditRecord),
-    /// Made from a version that is no longer in force.
+    /// The edit was based on a version that is no longer in force.
     Conflict(EditConflict),
 }
 
-/// A whole table as an operator sent it, ordered by the operator's own version.
+/// A complete table sent by an operator and ordered by the operator's own version number.
 ///
-/// Beside edits made from a base version: where operators number their tables themselves, the highest number
-/// wins, and a lower or equal one changes nothing.
+/// An alternative to edits based on a version, for operators that number their tables themselves:
+/// the highest number wins, and a lower or equal one changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedTable {
-    /// The operator's version.
+    /// Operator's version number.
     pub version: u64,
-    /// The document, as it was sent.
+    /// Document as it was received.
     pub document: Arc<str>,
 }
 
-/// What became of a numbered table.
+/// Outcome of a numbered table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NumberedOutcome {
-    /// It is the table in force from now on.
+    /// The table is now in force.
     Taken,
-    /// Its version is the one held, and so is its content: a resend.
+    /// The version and the content equal those in force; the table was resent.
     Held,
-    /// Its version is not above the one held, and its content is not the one held; it changes nothing.
+    /// The version is not above the one in force and the content differs; nothing changes.
     Overtaken,
 }
 
-/// A command in the log.
+/// Command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ControlCommand {
-    /// Change the table.
+    /// Changes the table.
     Edit(Box<TableEdit>),
-    /// Replace the table, if the operator's version is above the one held.
+    /// Replaces the table if the operator's version is above the one in force.
     Replace(Box<NumberedTable>),
-    /// Change a claim.
+    /// Changes a claim.
     Claim(ClaimCommand),
-    /// A daemon may hold leases from now on.
+    /// Adds a daemon that may hold leases from now on.
     Join {
-        /// The daemon.
+        /// Name of the daemon.
         daemon: DaemonName,
-        /// Its boot number.
+        /// Boot number of the daemon.
         boot: u64,
     },
-    /// A daemon holds no lease any more.
+    /// Removes a daemon that no longer holds a lease.
     Leave {
-        /// The daemon.
+        /// Name of the daemon.
         daemon: DaemonName,
-        /// The boot number that left.
+        /// Boot number of the daemon that is removed.
         boot: u64,
     },
-    /// Upstreams ended under these contents.
+    /// Records upstreams that ended while running these contents.
     Quarantine {
-        /// The contents.
+        /// Crash records of the contents.
         rows: Vec<SuspectRow>,
-        /// The leader's wall clock when it was proposed, in milliseconds.
+        /// Wall-clock time of the leader at the proposal, in milliseconds.
         at: u64,
     },
-    /// An operator lets a content through that was held back.
+    /// Releases a quarantined content on behalf of an operator.
     Release {
-        /// The content.
+        /// Fingerprint of the content.
         request: RequestFingerprint,
-        /// The leader's wall clock when it was proposed, in milliseconds.
+        /// Wall-clock time of the leader at the proposal, in milliseconds.
         at: u64,
     },
-    /// An operator orders a roll-out.
+    /// Starts a roll-out ordered by an operator.
     Rollout {
-        /// The order.
+        /// Order for the roll-out.
         order: RolloutOrder,
-        /// The leader's wall clock when it was proposed, in milliseconds.
+        /// Wall-clock time of the leader at the proposal, in milliseconds.
         at: u64,
     },
-    /// A roll-out goes on, ends, or only lasts.
+    /// Advances or ends a roll-out, or only records its elapsed time.
     RolloutStep(RolloutStep),
-    /// Whether a daemon with a data folder may become a voter.
+    /// Sets whether a daemon with a data folder may become a voter.
     VoterRule {
-        /// The daemon.
+        /// Name of the daemon.
         daemon: DaemonName,
-        /// True if it may.
+        /// True if the daemon may become a voter.
         allowed: bool,
     },
 }
 
-/// The reply to a command.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlReply {
-    /// To an edit.
+    /// Outcome of an edit.
     Edit(Box<EditOutcome>),
-    /// To a numbered table.
+    /// Outcome of a numbered table.
     Replace(NumberedOutcome),
-    /// To a claim.
+    /// Reply to a claim command.
     Claim(ClaimReply),
-    /// To an order of a roll-out.
+    /// Reply to a roll-out order.
     Rollout(Box<RolloutReply>),
-    /// To the others.
+    /// Reply to all other commands.
     Done,
 }
 
-/// The state machine.
+/// State of the replicated state machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControlLedger {
     table: VersionedTable,
@@ -208,12 +210,12 @@
 }
 
 impl ControlLedger {
-    /// The state as text, for a snapshot.
+    /// Serialises the state for a snapshot.
     pub fn to_text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The state from a snapshot's text; an empty text is the empty state.
+    /// Restores the state from a snapshot; an empty text is the empty state.
     pub fn from_text(text: &str) -> Result<Self, serde_json::Error> {
         if text.is_empty() {
             return Ok(ControlLedger::default());
@@ -259,7 +261,7 @@
         ControlReply::Done
     }
 
-    /// A resend of a known edit gets its first outcome, whatever happened since.
+    /// Applies an edit. A resent edit receives its first outcome, whatever has happened since.
     fn edit(&mut self, edit: &TableEdit) -> EditOutcome {
         if let Some(known) = self.by_edit.get(&edit.edit_id) {
             return known.clone();
@@ -281,7 +283,8 @@
         outcome
     }
 
-    /// Older documents are not kept: they are large, and their operators keep them.
+    /// Replaces the table if the version is higher. Older documents are not retained: they are
+    /// large, and the operators keep them.
     fn replace(&mut self, numbered: &NumberedTable) -> NumberedOutcome {
         if numbered.version > self.table.version {
             self.table = VersionedTable::from_document(numbered.version, &numbered.document);
@@ -323,7 +326,7 @@
         }
     }
 
-    /// The outcome of an edit that was applied before.
+    /// Outcome of an edit that was already applied.
     pub fn outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
         self.by_edit.get(edit_id)
     }
@@ -333,7 +336,7 @@
         &self.table
     }
 
-    /// The table of a version, if it is still kept.
+    /// The table of a version, if it is still retained.
     pub fn table_at(&self, version: u64) -> Option<&VersionedTable> {
         let mut tables = self.tables.iter().chain([&self.table]);
         tables.find(|table| table.version == version)
@@ -349,12 +352,12 @@
         &self.members
     }
 
-    /// Contents that are held back.
+    /// Quarantined contents.
     pub fn quarantine(&self) -> &QuarantineLog {
         &self.quarantine
     }
 
-    /// Roll-outs of upstreams' software.
+    /// Roll-outs of upstream software.
     pub fn rollouts(&self) -> &RolloutLog {
         &self.rollouts
     }
@@ -364,7 +367,7 @@
         !self.barred.contains(daemon)
     }
 
-    /// Claims kept.
+    /// Number of retained claims.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
