--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -1,4 +1,5 @@
-//! The traffic's way to claims: batches commands and brings them to the leader.
+//! Client of the claim registry for request handling: batches claim commands and sends them to the
+//! leader.
 
 use super::links::{FleetKey, KnownVoters, LeaderClient, LeaderHint};
 use super::rpc::{ControlApiClient, LeaderAnswer};
@@ -8,27 +9,29 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
-/// Commands in one call.
+/// Maximum number of commands in one call.
 const BATCH: usize = 512;
-/// Calls under way.
+/// Maximum number of concurrent calls.
 const CALLS_AT_ONCE: usize = 4;
-/// One call is answered within this time, or is made again; a repeated take by its owner is harmless.
+/// Time within which a call must be answered before it is repeated. Acquiring a claim twice for the
+/// same owner is harmless.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A take that is not committed within this time is given up, and withdrawn.
+/// Time within which a claim must be committed; after that the attempt is abandoned and the claim
+/// withdrawn.
 const TAKE_LIMIT: Duration = Duration::from_millis(2_500);
-/// A settlement is tried for this long.
+/// Time for which the recording of an outcome is retried.
 const SETTLE_LIMIT: Duration = Duration::from_secs(120);
-/// Time before the next try.
+/// Delay before a retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// What the keeper needs.
+/// Settings of a [`ClaimKeeper`].
 #[derive(Clone, Debug)]
 pub struct ClaimSettings {
-    /// Control addresses to look for the leader at.
+    /// Control addresses at which to look for the leader.
     pub voters: KnownVoters,
-    /// The fleet's key.
+    /// Shared key of the fleet.
     pub key: FleetKey,
-    /// Where the leader is believed to be.
+    /// Last known address of the leader.
     pub hint: LeaderHint,
 }
 
@@ -39,14 +42,14 @@
     reply: Option<oneshot::Sender<Option<ClaimReply>>>,
 }
 
-/// A handle for taking and settling claims.
+/// Handle for acquiring and settling claims.
 #[derive(Clone, Debug)]
 pub struct ClaimKeeper {
     sender: mpsc::UnboundedSender<PendingClaim>,
 }
 
 impl ClaimKeeper {
-    /// Starts the keeper on the current runtime.
+    /// Starts the background task on the current runtime.
     pub fn start(settings: ClaimSettings) -> Self {
         let (sender, receiver) = mpsc::unbounded_channel();
         let keeper = ClaimKeeper { sender };
@@ -54,8 +57,8 @@
         keeper
     }
 
-    /// Takes a claim; none if it could not be committed in time, in which case it is withdrawn in the
-    /// background and the request must not be dispatched.
+    /// Acquires a claim. Returns `None` if it could not be committed in time; the claim is then
+    /// withdrawn in the background, and the request must not be dispatched.
     pub async fn take(
         &self,
         key: &ClaimKey,
@@ -81,7 +84,7 @@
         reply
     }
 
-    /// Records an outcome, in the background.
+    /// Records the outcome of a claim in the background.
     pub fn settle(&self, key: &ClaimKey, owner: &ClaimOwner, outcome: ClaimOutcome) {
         let command = ClaimCommand::Settle { key: key.clone(), owner: owner.clone(), outcome };
         let _ = self.sender.send(PendingClaim {
