--- a/src/control/control_loop/edits.rs
+++ b/src/control/control_loop/edits.rs
@@ -1,4 +1,4 @@
-//! Edits, numbered tables, claims and reads: what only the leader may answer.
+//! Edits, numbered tables, claims and reads: requests that only the leader may answer.
 
 use super::ControlLoop;
 use crate::claim::{ClaimCommand, ClaimReply};
@@ -13,7 +13,7 @@
 use slog::info;
 use std::time::Duration;
 
-/// An operator's `--wait` lasts at most this long.
+/// Maximum time that an operator's `--wait` lasts.
 const FORCE_WAIT: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
@@ -69,7 +69,7 @@
         self.proposals.push((commands, EntryWaiter::Claims { replies: Vec::new(), left, reply }));
     }
 
-    /// A read is answered only under the lease, so that it is never older than an answer given before.
+    /// Answers a read. Reads require the lease, so that no answer is older than one given before.
     pub(super) fn answer_read<T>(&self, value: T, reply: ReplyTo<T>) {
         let answer = if self.holds_lease() {
             LeaderAnswer::Done(value)
@@ -79,8 +79,8 @@
         let _ = reply.send(answer);
     }
 
-    /// Hands an applied entry's reply to who waits for it. A waiter of another term lost its entry to a
-    /// new leader: it is told to ask again.
+    /// Passes an applied entry's reply to its waiter. A waiter of another term lost its entry to a
+    /// new leader and is told to ask again.
     pub(super) fn answer_entry(&mut self, at: LogPosition, reply: ControlReply) {
         while let Some((index, term, _)) = self.waiting.entries.front() {
             if *index < at.index || (*index == at.index && *term != at.term) {
@@ -131,7 +131,8 @@
         }
     }
 
-    /// A claim whose owner is dead will never be settled: its request may have run.
+    /// Marks claims of dead owners as unknown: they will never be settled, and their requests may
+    /// have been executed.
     pub(super) fn judge_owners(&self, replies: &mut [ClaimReply]) {
         let now = self.now();
         let Some(registry) = &self.registry else { return };
