--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -1,4 +1,5 @@
-//! The loop's end of the data folder: starting from it, keeping it short, and what happens when it fails.
+//! The control loop's use of the data folder: start-up, log compaction and recovery from I/O
+//! errors.
 
 use super::ControlLoop;
 use crate::control::ledger::{ControlCommand, ControlLedger};
@@ -10,9 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A snapshot is kept after this many entries.
+/// Number of log entries after which a snapshot is written.
 const SNAPSHOT_ENTRIES: usize = 4_096;
-/// Time between attempts to use a folder again that failed.
+/// Delay between attempts to reopen a failed data folder.
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
 impl ControlLoop {
@@ -56,7 +57,7 @@
         self.core = Some(ReplicaCore::new(self.setup.replica, start, now, &mut self.rng));
     }
 
-    /// Leaves the fleet's decisions to the others until the folder can be read again.
+    /// Stops taking part in votes until the data folder can be read again.
     pub(super) fn stop_voting(&mut self, fault: &StoreError) {
         error!(self.setup.log, "cannot keep the log; not voting until the folder works again"; "fault" => fault.to_string());
         self.core = None;
@@ -64,8 +65,9 @@
         self.watch_role();
     }
 
-    /// Starts again from what the folder holds, as after a restart. What goes wrong without it: a disk that was
-    /// full for a moment costs the voter for good although its process runs, and the next such disk the quorum.
+    /// Restarts the voter from the contents of its data folder, as after a process restart. Without
+    /// this, a disk that was full for a moment would disable the voter permanently although its
+    /// process runs, and the next such disk would cost the quorum.
     pub(super) fn reopen_if_broken(&mut self, now: Moment) {
         let Some(since) = self.broken_since.filter(|since| now.since(*since) >= REOPEN_PAUSE)
         else {
@@ -73,7 +75,7 @@
         };
         let Some(folder) = self.setup.data_folder.clone() else { return };
         self.broken_since = Some(now);
-        // The folder's lock goes before it is taken again.
+        // The lock on the folder must be released before it is taken again.
         self.store = None;
         match open_voter(&self.setup, &folder, &mut self.rng) {
             Ok(voter) => {
