--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the fleet: founding, joining, lost voters and dead daemons.
+//! Fleet membership: founding, joining, and the removal of lost voters and dead daemons.
 
 use super::ControlLoop;
 use crate::control::joining::{
@@ -17,9 +17,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A member is taken off the list after it has been dead for this long, beyond its lease.
+/// Time after the expiry of its lease at which a dead member is removed from the member list.
 const DEAD_FOR: Duration = Duration::from_secs(10);
-/// A voter that hears no leader for this long asks to join again.
+/// Time without a leader after which a voter asks to join again.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
 
 impl ControlLoop {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The voter belongs to a fleet from now on: noted in its folder before it takes part.
+    /// Records in the data folder that the voter belongs to a fleet, and only then starts the
+    /// replica.
     pub(super) fn joined(&mut self, joined: JoinedFleet) {
         let Some(mut identity) = self.identity.take() else { return };
         let (fleet, snapshot) = match joined {
@@ -71,8 +72,9 @@
         self.identity = Some(identity);
     }
 
-    /// A voter that hears no leader may have been removed without being told. It asks again; a leader
-    /// that knows it says so, one that does not may let it in as a learner.
+    /// Asks to join again if no leader has been heard for a while, since the voter may have been
+    /// removed without being notified. A leader that has it in the membership answers so; another
+    /// may add it as a learner.
     pub(super) fn ask_if_forgotten(&mut self, now: Moment) {
         let hears_leader = self.core.as_ref().is_none_or(|core| core.leader().is_some());
         if hears_leader {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The leader's own work, done as time passes.
+    /// Performs the leader's periodic work.
     pub(super) fn lead(&mut self) {
         if !self.holds_lease() {
             return;
@@ -144,7 +146,7 @@
         match core.change_membership(membership, now) {
             Ok(output) => {
                 self.settle(output, None);
-                // Not accepted yet: the joiner asks again and finds itself known.
+                // Not accepted yet: the voter asks again and is then found in the membership.
                 let _ = reply.send(LeaderAnswer::Elsewhere(None));
             }
             Err(_) => drop(reply.send(LeaderAnswer::Elsewhere(None))),
