--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -1,7 +1,8 @@
-//! The control loop: one task that owns the replica, the ledger, the folder and the registry of the fleet.
+//! The control loop: a single task that owns the replica, the ledger, the data folder and the fleet
+//! registry.
 //!
-//! Requests come over one channel. What has arrived is taken together, so that its entries share one
-//! sync (group commit) and one message to each follower.
+//! Requests arrive over one channel. All requests that have arrived are handled as one batch, so
+//! that their entries share one sync (group commit) and one message to each follower.
 
 mod edits;
 mod folder;
@@ -38,12 +39,13 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// How often time passes for the replica.
+/// Interval between ticks of the replica.
 const TICK: Duration = Duration::from_millis(20);
-/// Requests taken together at most.
+/// Maximum number of requests in one batch.
 const TAKEN_TOGETHER: usize = 2_048;
 
-/// Starts the control loop on the current runtime. `drain` is set by an operator's call.
+/// Starts the control loop on the current runtime. `drain` is set when an operator asks the daemon
+/// to drain.
 pub fn start_control(
     setup: ControlSetup,
     drain: watch::Sender<bool>,
@@ -100,20 +102,20 @@
     drain: watch::Sender<bool>,
     waiting: Waiting,
     proposals: Vec<(Vec<ControlCommand>, EntryWaiter)>,
-    /// Since when this voter has heard no leader, or asked to join.
+    /// Time since which no leader has been heard, or at which the voter last asked to join.
     alone_since: Moment,
     dead_since: BTreeMap<DaemonName, Moment>,
-    /// Since when the folder does not work, or when it was tried last.
+    /// Time at which the data folder failed or was last tried again.
     broken_since: Option<Moment>,
-    /// The orders last sent to each daemon: a report is held only while they stay the same.
+    /// Orders last sent to each daemon. A report is held only while they are unchanged.
     sent: BTreeMap<DaemonName, Vec<PoolOrder>>,
-    /// The table in force as it is sent to daemons.
+    /// The table in force as sent to the daemons.
     packed: PackedTable,
-    /// Contents that were proposed to be held back a moment ago.
+    /// Contents recently proposed for quarantine.
     proposed_suspects: RecentRequests,
-    /// Contents that operators let through a moment ago.
+    /// Contents recently released by operators.
     released: RecentRequests,
-    /// Roll-outs that are under way, while this daemon leads.
+    /// Roll-outs in progress, while this daemon leads.
     rollouts: RolloutDesk,
 }
 
@@ -172,8 +174,8 @@
         self.settle(output, None);
     }
 
-    /// Does what an output asks, in the order that safety needs: sync, send, apply. Replies to
-    /// `answering` are returned instead of sent.
+    /// Processes the output of the replica in the order that safety requires: sync, send, apply.
+    /// Messages to `answering` are returned instead of sent.
     fn settle(
         &mut self,
         output: ReplicaOutput<ControlCommand>,
@@ -186,8 +188,8 @@
             && let Some(store) = &mut self.store
             && let Err(fault) = store.keep(&output, &self.hard)
         {
-            // A write that failed may be half done: what the folder holds is no longer known, so this
-            // voter must not promise anything more until it has been read again.
+            // A failed write may be partially complete, so the contents of the folder are unknown.
+            // This voter must make no promises until the folder has been read again.
             self.stop_voting(&fault);
             return Vec::new();
         }
@@ -273,7 +275,7 @@
         self.address_of(leader)
     }
 
-    /// True if this daemon leads and its word is the newest.
+    /// True if this daemon leads and its state is up to date.
     fn holds_lease(&self) -> bool {
         self.core.as_ref().is_some_and(|core| core.holds_lease(self.now()))
     }
@@ -303,7 +305,7 @@
                 waiting.reports.into_iter().for_each(|held| {
                     let _ = held.reply.send(LeaderAnswer::Elsewhere(leader));
                 });
-                // Accepted edits are committed whatever comes: their outcome stands.
+                // Accepted edits are already committed, so their outcome is final.
                 waiting.force.into_iter().for_each(|force| {
                     let _ = force.reply.send(LeaderAnswer::Done(force.answer));
                 });
@@ -375,7 +377,7 @@
         let _ = reply.send(answers);
     }
 
-    /// The leader's address, unless that is this daemon, which then cannot answer yet.
+    /// The leader's address, or `None` if it is this daemon, which cannot answer yet.
     fn other_leader(&self) -> Option<SocketAddr> {
         self.leader_address().filter(|address| *address != self.setup.control)
     }
