--- a/src/control/control_loop/quarantine.rs
+++ b/src/control/control_loop/quarantine.rs
@@ -1,4 +1,5 @@
-//! Contents that are held back: reported by daemons that saw upstreams end, given to daemons that start, released by operators.
+//! Quarantined contents: reported by daemons that saw upstreams end, sent to daemons that start,
+//! and released by operators.
 
 use super::ControlLoop;
 use crate::control::ledger::ControlCommand;
@@ -10,13 +11,15 @@
 use slog::info;
 use std::time::Duration;
 
-/// A content with so many ends is proposed once in this time, however many daemons report it.
+/// Time within which the same content with the same number of crashes is proposed only once,
+/// however many daemons report it.
 const PROPOSED_FOR: Duration = Duration::from_secs(2);
-/// A release goes with all orders for this long: every daemon that reports hears of it, and tells the others.
+/// Time for which a release is included in all orders, so that every reporting daemon receives it
+/// and tells the others.
 const RELEASED_FOR: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
-    /// Proposes what a report says beyond what is kept.
+    /// Proposes the reported crashes that are not in the ledger yet.
     pub(super) fn take_suspects(&mut self, rows: Vec<SuspectRow>) {
         let now = self.now();
         self.proposed_suspects.forget(PROPOSED_FOR, now);
@@ -49,7 +52,7 @@
         self.ledger.quarantine().held(unix_millis())
     }
 
-    /// What was released a moment ago, for all daemons.
+    /// Records of recently released contents, for all daemons.
     pub(super) fn released_rows(&mut self) -> Vec<SuspectRow> {
         self.released.forget(RELEASED_FOR, self.setup.clock.now());
         let log = self.ledger.quarantine();
