--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -1,4 +1,4 @@
-//! Daemons' reports, answered with orders, and edits that wait until they are in force.
+//! Reports of the daemons, answered with orders, and edits that wait until they are in force.
 
 use super::ControlLoop;
 use crate::control::fleet::{DaemonReport, ReportAnswer, ReportVerdict};
@@ -12,12 +12,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A report is answered after this long even if no order changed.
+/// Time after which a report is answered even if no order has changed.
 const REPORT_HOLD: Duration = Duration::from_millis(400);
 
 impl ControlLoop {
-    /// A report of a daemon that is not on the member list is held until its `Join` is committed: from
-    /// then on every leader knows that it may hold a lease.
+    /// Records a report and holds it until there are orders to answer it with. A daemon that is not
+    /// on the member list receives no orders until its `Join` is committed, since from then on
+    /// every leader knows that it may hold a lease.
     pub(super) fn take_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
         let now = self.now();
         if !self.holds_lease() {
@@ -63,7 +64,8 @@
         self.take_suspects(suspects);
     }
 
-    /// Answers held reports whose orders changed or whose time is over, and edits now in force.
+    /// Answers held reports whose orders have changed or whose hold time is over, and edits that
+    /// are now in force.
     pub(super) fn answer_waiting(&mut self) {
         if self.waiting.reports.is_empty() && self.waiting.force.is_empty() {
             return;
@@ -82,7 +84,8 @@
         let rollouts_digest = rollouts.digest();
         let Some(registry) = &mut self.registry else { return };
         let table = self.ledger.table();
-        // A daemon without a lease gets one only from a leader that knows of every floor others rely on.
+        // A daemon without a lease is granted one only by a leader that knows every floor on which
+        // others rely.
         let is_complete = registry.is_complete(now);
         let membership = self.core.as_ref().map(ReplicaCore::membership);
         let voters: Vec<SocketAddr> =
@@ -94,7 +97,8 @@
                 continue;
             }
             let is_due = now.since(held.since) >= REPORT_HOLD;
-            // Without this every event at the leader would cost it as much as there are daemons, squared.
+            // Otherwise every event at the leader would cost time proportional to the square of the
+            // number of daemons.
             let knows_all = held.version == table.version && held.knows_rollouts == rollouts_digest;
             if held.divides_alone && !is_due && knows_all {
                 self.waiting.reports.push(held);
