--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: operators' orders, what daemons report of them, and the leader's decisions.
+//! Roll-outs: orders of operators, reports of daemons, and decisions of the leader.
 
 use super::ControlLoop;
 use crate::control::ledger::ControlCommand;
@@ -15,22 +15,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often the time that a roll-out has lasted is kept: a new leader goes on from there.
+/// Interval at which a roll-out's elapsed time is recorded, so that a new leader resumes from it.
 const ELAPSED_PAUSE: Duration = Duration::from_secs(1);
-/// A change that was proposed and has not come into force is proposed again after this long.
+/// Time after which a proposed change that has not been committed is proposed again.
 const PROPOSED_FOR: Duration = Duration::from_secs(1);
 
-/// What a leader knows of the roll-outs that are under way.
+/// The leader's state of the roll-outs in progress.
 #[derive(Default)]
 pub struct RolloutDesk {
     directors: BTreeMap<ServiceName, RolloutDirector>,
-    /// The stage in which a change was proposed last, and when.
+    /// Number and stage of the roll-out for which a change was last proposed, and the time of the
+    /// proposal.
     proposed: BTreeMap<ServiceName, (u64, RolloutStage, Moment)>,
     kept_at: Moment,
 }
 
 impl RolloutDesk {
-    /// Forgets everything: another leader's time has begun.
+    /// Discards all state when the leader changes.
     pub fn clear(&mut self) {
         *self = RolloutDesk::default();
     }
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Proposes what the daemons' counts, or the time, call for.
+    /// Proposes the roll-out steps that the daemons' counts or the elapsed time require.
     pub(super) fn direct_rollouts(&mut self, now: Moment) {
         let Some(registry) = &self.registry else { return };
         let records = self.ledger.rollouts().iter();
