--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -1,6 +1,6 @@
 //! A daemon's end of the fleet: reports to the leader, carries out its orders, keeps the lease.
 
-use super::fleet::{DaemonOrders, DaemonReport, LIMITS, ReportAnswer};
+use super::fleet::{DaemonOrders, DaemonReport, ORGANISATION_LIMITS_POOL, ReportAnswer};
 use super::fleet_member::{FleetMember, PoolState};
 use super::links::{FleetKey, KnownVoters, LeaderClient, LeaderHint};
 use super::packed_table::unpack;
@@ -153,7 +153,7 @@
             .map(|(service, pool)| pool.inspect(|scheduler| pool_state(service, scheduler)));
         let limits = self.state.limits();
         let limits = PoolState {
-            service: LIMITS.into(),
+            service: ORGANISATION_LIMITS_POOL.into(),
             wanted: None,
             guaranteed: None,
             demand: limits.demand(),
@@ -187,7 +187,7 @@
         }
         let pools = self.state.pools();
         for step in moves.pools {
-            if step.service.as_str() == LIMITS {
+            if step.service.as_str() == ORGANISATION_LIMITS_POOL {
                 self.state.limits().set_share(step.share);
             }
             let Some(pool) = pools.get(&step.service) else { continue };
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -27,7 +27,7 @@
 pub const SHARE_UNITS: u32 = 10_000;
 /// Pool name under which reports and orders carry the organisations' limits, which are divided like
 /// the pools' limits. No service can have this name, since service names contain no space.
-pub const LIMITS: &str = "organisation limits";
+pub const ORGANISATION_LIMITS_POOL: &str = "organisation limits";
 /// Minimum share of every member whatever its demand, as a fraction of its equal share.
 const LEAST_PART: f64 = 0.2;
 /// Factor by which clocks may differ over one lease.
@@ -475,7 +475,7 @@
         table: &VersionedTable,
         now: Moment,
     ) -> Vec<PoolOrder> {
-        let limits = ServiceName::from(LIMITS);
+        let limits = ServiceName::from(ORGANISATION_LIMITS_POOL);
         let services: BTreeSet<&ServiceName> =
             table.table.services.iter().map(|row| &row.service).chain([&limits]).collect();
         let order = |service: &ServiceName| PoolOrder {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -24,8 +24,8 @@
 pub use claims::{ClaimKeeper, ClaimSettings};
 pub use control_loop::start_control;
 pub use fleet::{
-    DaemonOrders, DaemonReport, FleetRegistry, LIMITS, MemberView, PoolOrder, PoolReport,
-    ReportAnswer, ReportVerdict, SHARE_UNITS, ServingList,
+    DaemonOrders, DaemonReport, FleetRegistry, MemberView, ORGANISATION_LIMITS_POOL, PoolOrder,
+    PoolReport, ReportAnswer, ReportVerdict, SHARE_UNITS, ServingList,
 };
 pub use fleet_member::{FleetMember, MemberMove, PoolMove, PoolState};
 pub use ledger::{
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tarragonknot::control::{
-    DaemonOrders, DaemonReport, FleetMember, FleetRegistry, LIMITS, PoolState, ReportVerdict,
-    SHARE_UNITS,
+    DaemonOrders, DaemonReport, FleetMember, FleetRegistry, ORGANISATION_LIMITS_POOL, PoolState,
+    ReportVerdict, SHARE_UNITS,
 };
 use tarragonknot::policy::{FloorOrder, Moment, ShedFloor, TierRank};
 use tarragonknot::table::{DaemonName, VersionedTable, check_document};
@@ -228,7 +228,7 @@
         let Some(moves) = daemon.member.take(orders, now) else { return };
         for step in moves.pools {
             match step.service.as_str() {
-                LIMITS => daemon.limit_share = step.share,
+                ORGANISATION_LIMITS_POOL => daemon.limit_share = step.share,
                 _ => {
                     daemon.share = step.share;
                     daemon.floor.apply(step.floor);
@@ -267,7 +267,7 @@
             used: 0.0,
         };
         let limits = PoolState {
-            service: LIMITS.into(),
+            service: ORGANISATION_LIMITS_POOL.into(),
             wanted: None,
             guaranteed: None,
             // Without a draw of its own, so that the seeds' schedules stay as they are.
