--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -1,7 +1,7 @@
 //! Reports of the daemons, answered with orders, and edits that wait until they are in force.
 
 use super::ControlLoop;
-use crate::control::fleet::{DaemonReport, ReportAnswer, ReportVerdict};
+use crate::control::fleet::{DaemonReport, ReportAnswer, ReportOutcome};
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{EditProgress, LeaderAnswer};
 use crate::control::setup::unix_millis;
@@ -34,18 +34,18 @@
         let (knows_serving, knows_rollouts) = (report.knows_serving, report.knows_rollouts);
         let rollouts = std::mem::take(&mut report.rollouts);
         match registry.report(report, now) {
-            ReportVerdict::Taken => {}
-            ReportVerdict::Unknown => {
+            ReportOutcome::Recorded => {}
+            ReportOutcome::UnknownBoot => {
                 let command = ControlCommand::Join { daemon: daemon.clone(), boot };
                 self.proposals.push((vec![command], EntryWaiter::Nobody));
                 self.sent.remove(&daemon);
                 return drop(reply.send(LeaderAnswer::Elsewhere(None)));
             }
-            ReportVerdict::OtherTerm => {
+            ReportOutcome::TermMismatch => {
                 let answer = ReportAnswer::NewTerm(registry.term());
                 return drop(reply.send(LeaderAnswer::Done(answer)));
             }
-            ReportVerdict::Overtaken => return drop(reply.send(LeaderAnswer::Elsewhere(None))),
+            ReportOutcome::Superseded => return drop(reply.send(LeaderAnswer::Elsewhere(None))),
         }
         self.waiting.reports.retain(|held| held.daemon != daemon);
         self.take_rollout_reports(&daemon, boot, rollouts);
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -175,17 +175,17 @@
 
 /// Result of recording a report in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportVerdict {
+pub enum ReportOutcome {
     /// The report is the newest of its member and was recorded.
-    Taken,
+    Recorded,
     /// The daemon's boot number is not on the member list.
-    Unknown,
+    UnknownBoot,
     /// The report was addressed to another leader. Without this check, a delayed report that its
     /// sender has replaced by a later one to another leader would be taken for the sender's present
     /// state by the next leader, and the shares would add up to more than the whole.
-    OtherTerm,
+    TermMismatch,
     /// A newer report has already been recorded.
-    Overtaken,
+    Superseded,
 }
 
 /// A member in the status that operators see.
@@ -272,17 +272,17 @@
 
     /// Records a report. A daemon sends a report only after it has applied or abandoned the answer
     /// to the previous one, so the report supersedes all earlier orders.
-    pub fn report(&mut self, report: DaemonReport, now: Moment) -> ReportVerdict {
+    pub fn report(&mut self, report: DaemonReport, now: Moment) -> ReportOutcome {
         let Some(state) =
             self.members.get_mut(&report.daemon).filter(|state| state.boot == report.boot)
         else {
-            return ReportVerdict::Unknown;
+            return ReportOutcome::UnknownBoot;
         };
         if report.term != self.term {
-            return ReportVerdict::OtherTerm;
+            return ReportOutcome::TermMismatch;
         }
         if state.report.as_ref().is_some_and(|last| last.sequence >= report.sequence) {
-            return ReportVerdict::Overtaken;
+            return ReportOutcome::Superseded;
         }
         state.heard = Some(now);
         let had = state.report.as_ref().map(|last| last.version);
@@ -292,7 +292,7 @@
         state.loosened.clear();
         state.tightening.clear();
         state.report = Some(report);
-        ReportVerdict::Taken
+        ReportOutcome::Recorded
     }
 
     fn is_live(&self, state: &MemberState, now: Moment) -> bool {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -25,7 +25,7 @@
 pub use control_loop::start_control;
 pub use fleet::{
     DaemonOrders, DaemonReport, FleetRegistry, MemberView, ORGANISATION_LIMITS_POOL, PoolOrder,
-    PoolReport, ReportAnswer, ReportVerdict, SHARE_UNITS, ServingList,
+    PoolReport, ReportAnswer, ReportOutcome, SHARE_UNITS, ServingList,
 };
 pub use fleet_member::{FleetMember, MemberMove, PoolMove, PoolState};
 pub use ledger::{
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -4,7 +4,7 @@
 use super::plan::{ExperimentPlan, FaultKind, MechanismSwitch};
 use super::poison::{ATTEMPT_PAUSE, CrashKnowledge, NEWS_PAUSE, RESTART_TIME, SENDS};
 use super::summary::RunSummary;
-use crate::control::{DaemonOrders, FleetMember, FleetRegistry, PoolState, ReportVerdict};
+use crate::control::{DaemonOrders, FleetMember, FleetRegistry, PoolState, ReportOutcome};
 use crate::load::{PlannedRequest, RequestKind};
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, LoadReport, Moment, OrganisationIndex, PoolAction, PoolEvent,
@@ -389,7 +389,7 @@
 
         let report = daemon.member.report(1, vec![state], false, now);
         let has_lease = report.has_lease;
-        if self.book.report(report, now) != ReportVerdict::Taken
+        if self.book.report(report, now) != ReportOutcome::Recorded
             || (!has_lease && !self.book.is_complete(now))
         {
             return;
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tarragonknot::control::{
     DaemonOrders, DaemonReport, FleetMember, FleetRegistry, ORGANISATION_LIMITS_POOL, PoolState,
-    ReportVerdict, SHARE_UNITS,
+    ReportOutcome, SHARE_UNITS,
 };
 use tarragonknot::policy::{FloorOrder, Moment, ShedFloor, TierRank};
 use tarragonknot::table::{DaemonName, VersionedTable, check_document};
@@ -177,13 +177,13 @@
         let now = Moment(self.now);
         let (daemon, boot, sequence) = (report.daemon.clone(), report.boot, report.sequence);
         let has_lease = report.has_lease;
-        let verdict = match self.rule {
+        let outcome = match self.rule {
             BrokenRule::IgnoreTerm => {
                 self.book.report(DaemonReport { term: self.book.term(), ..report.clone() }, now)
             }
             _ => self.book.report(report.clone(), now),
         };
-        if verdict == ReportVerdict::OtherTerm {
+        if outcome == ReportOutcome::TermMismatch {
             let to = self
                 .daemons
                 .iter()
@@ -192,7 +192,7 @@
             let term = self.book.term();
             return self.send(Message::Term { to, boot, sequence, term });
         }
-        if verdict == ReportVerdict::Unknown {
+        if outcome == ReportOutcome::UnknownBoot {
             let is_newer = self.members.get(&report.daemon).is_none_or(|boot| *boot <= report.boot);
             if is_newer {
                 self.members.insert(report.daemon.clone(), report.boot);
