--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -240,7 +240,7 @@
                 knows_rollouts: 0,
                 rollouts: Vec::new(),
             };
-            book.report(report, Moment(1_000));
+            book.record(report, Moment(1_000));
             book.orders(&name(number), &table, Moment(1_000))
         };
         (0..count).for_each(|number| drop(report(number, &mut book)));
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -33,7 +33,7 @@
         let suspects = std::mem::take(&mut report.suspects);
         let (knows_serving, knows_rollouts) = (report.knows_serving, report.knows_rollouts);
         let rollouts = std::mem::take(&mut report.rollouts);
-        match registry.report(report, now) {
+        match registry.record(report, now) {
             ReportOutcome::Recorded => {}
             ReportOutcome::UnknownBoot => {
                 let command = ControlCommand::Join { daemon: daemon.clone(), boot };
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -272,7 +272,7 @@
 
     /// Records a report. A daemon sends a report only after it has applied or abandoned the answer
     /// to the previous one, so the report supersedes all earlier orders.
-    pub fn report(&mut self, report: DaemonReport, now: Moment) -> ReportOutcome {
+    pub fn record(&mut self, report: DaemonReport, now: Moment) -> ReportOutcome {
         let Some(state) =
             self.members.get_mut(&report.daemon).filter(|state| state.boot == report.boot)
         else {
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -389,7 +389,7 @@
 
         let report = daemon.member.report(1, vec![state], false, now);
         let has_lease = report.has_lease;
-        if self.book.report(report, now) != ReportOutcome::Recorded
+        if self.book.record(report, now) != ReportOutcome::Recorded
             || (!has_lease && !self.book.is_complete(now))
         {
             return;
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -179,9 +179,9 @@
         let has_lease = report.has_lease;
         let outcome = match self.rule {
             BrokenRule::IgnoreTerm => {
-                self.book.report(DaemonReport { term: self.book.term(), ..report.clone() }, now)
+                self.book.record(DaemonReport { term: self.book.term(), ..report.clone() }, now)
             }
-            _ => self.book.report(report.clone(), now),
+            _ => self.book.record(report.clone(), now),
         };
         if outcome == ReportOutcome::TermMismatch {
             let to = self
