--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -119,7 +119,7 @@
             orders.serving = (held.knows_serving != *digest).then(|| list.clone());
             let is_news = !knows_all || self.sent.get(&held.daemon) != Some(&orders.pools);
             if is_due || is_news {
-                registry.sent(&held.daemon, &orders.pools);
+                registry.record_sent_orders(&held.daemon, &orders.pools);
                 self.sent.insert(held.daemon, orders.pools.clone());
                 if let Some(newer) = &orders.table {
                     orders.packed = self.packed.of(newer);
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -495,7 +495,7 @@
     }
 
     /// Records that orders were sent; the member may act on them from now on.
-    pub fn sent(&mut self, daemon: &DaemonName, orders: &[PoolOrder]) {
+    pub fn record_sent_orders(&mut self, daemon: &DaemonName, orders: &[PoolOrder]) {
         let Some(state) = self.members.get_mut(daemon) else { return };
         for order in orders {
             let guaranteed = Self::pool(state, &order.service).and_then(|pool| pool.guaranteed);
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -395,7 +395,7 @@
             return;
         }
         let orders = self.book.orders(&daemon.name, &self.table, now);
-        self.book.sent(&daemon.name, &orders.pools);
+        self.book.record_sent_orders(&daemon.name, &orders.pools);
         self.obey(number, orders);
     }
 
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -209,7 +209,7 @@
             return;
         }
         let orders = self.book.orders(&daemon, &self.table, now);
-        self.book.sent(&daemon, &orders.pools);
+        self.book.record_sent_orders(&daemon, &orders.pools);
         let to = self
             .daemons
             .iter()
