--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -86,13 +86,13 @@
         let table = self.ledger.table();
         // A daemon without a lease is granted one only by a leader that knows every floor on which
         // others rely.
-        let is_complete = registry.is_complete(now);
+        let has_heard_all = registry.has_heard_all(now);
         let membership = self.core.as_ref().map(ReplicaCore::membership);
         let voters: Vec<SocketAddr> =
             membership.iter().flat_map(|membership| membership.voters.values().copied()).collect();
         let serving = OnceCell::new();
         for held in std::mem::take(&mut self.waiting.reports) {
-            if !held.has_lease && !is_complete {
+            if !held.has_lease && !has_heard_all {
                 self.waiting.reports.push(held);
                 continue;
             }
--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -90,7 +90,7 @@
             return self.rollouts.directors.clear();
         }
         let live = registry.serving_boots(now);
-        let is_complete = registry.is_complete(now);
+        let has_heard_all = registry.has_heard_all(now);
         let keeps_time = now.since(self.rollouts.kept_at) >= ELAPSED_PAUSE;
         if keeps_time {
             self.rollouts.kept_at = now;
@@ -99,7 +99,7 @@
         for record in current {
             let director = self.rollouts.director(&record, now);
             let elapsed_ms = director.elapsed_ms(now);
-            let known = if is_complete { &live } else { &BTreeMap::new() };
+            let known = if has_heard_all { &live } else { &BTreeMap::new() };
             let decision = director.decide(&record, known, now);
             let decision = decision.filter(|_| self.rollouts.may_propose(&record, now));
             if let Some(decision) = &decision {
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -353,7 +353,7 @@
     }
 
     /// True once every member has reported to this leader or its lease has expired.
-    pub fn is_complete(&self, now: Moment) -> bool {
+    pub fn has_heard_all(&self, now: Moment) -> bool {
         self.live(now).all(|(_, state)| state.report.is_some())
     }
 
@@ -373,7 +373,7 @@
         now: Moment,
     ) -> Option<TierRank> {
         let wanted = self.wanted(service, now);
-        if !self.is_complete(now) {
+        if !self.has_heard_all(now) {
             let own =
                 self.members.get(daemon).and_then(|state| Self::pool(state, service)?.guaranteed);
             let level = self.levels.entry(service.clone()).or_default();
@@ -399,7 +399,7 @@
     /// Units not assigned to any member; 0 while a live member has not reported, since it may hold
     /// any of them.
     fn free(&self, service: &ServiceName, now: Moment) -> u32 {
-        if !self.is_complete(now) {
+        if !self.has_heard_all(now) {
             return 0;
         }
         let used: u32 = self.live(now).map(|(_, state)| Self::outstanding(state, service)).sum();
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -390,7 +390,7 @@
         let report = daemon.member.report(1, vec![state], false, now);
         let has_lease = report.has_lease;
         if self.book.record(report, now) != ReportOutcome::Recorded
-            || (!has_lease && !self.book.is_complete(now))
+            || (!has_lease && !self.book.has_heard_all(now))
         {
             return;
         }
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -205,7 +205,7 @@
             }
             return;
         }
-        if !has_lease && !self.book.is_complete(now) {
+        if !has_lease && !self.book.has_heard_all(now) {
             return;
         }
         let orders = self.book.orders(&daemon, &self.table, now);
