--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -170,7 +170,7 @@
             }
         }
         // None: the lease ran out before the answer came, so the next report asks anew.
-        let Some(moves) = self.member.take(orders, self.state.clock.now()) else { return };
+        let Some(moves) = self.member.apply(orders, self.state.clock.now()) else { return };
         let now = self.state.clock.now();
         match &moves.serving {
             Some(serving) => self.state.fleet.set_serving_list(serving.addresses.clone(), now),
--- a/src/control/fleet_member.rs
+++ b/src/control/fleet_member.rs
@@ -175,7 +175,7 @@
     /// `None` if the lease that the report was made under has expired since: before reading the
     /// report, the leader may have counted this daemon as dead, given its shares away and stopped
     /// relying on its floors.
-    pub fn take(&mut self, orders: DaemonOrders, now: Moment) -> Option<MemberMove> {
+    pub fn apply(&mut self, orders: DaemonOrders, now: Moment) -> Option<MemberMove> {
         if self.had_lease && now >= self.lease_until {
             return None;
         }
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -400,7 +400,7 @@
     }
 
     fn obey(&mut self, number: usize, orders: DaemonOrders) {
-        let Some(moves) = self.daemons[number].member.take(orders, self.now) else { return };
+        let Some(moves) = self.daemons[number].member.apply(orders, self.now) else { return };
         let model = self.plan.profile.model;
         for step in moves.pools.into_iter().filter(|step| step.service.as_str() == model) {
             let is_shared = self.plan.without != Some(MechanismSwitch::Shares);
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -225,7 +225,7 @@
             return;
         }
         let now = Moment((self.now as f64 * daemon.speed) as u64);
-        let Some(moves) = daemon.member.take(orders, now) else { return };
+        let Some(moves) = daemon.member.apply(orders, now) else { return };
         for step in moves.pools {
             match step.service.as_str() {
                 ORGANISATION_LIMITS_POOL => daemon.limit_share = step.share,
--- a/tests/test_quarantine_log.rs
+++ b/tests/test_quarantine_log.rs
@@ -136,7 +136,7 @@
 
     let first = member.report(0, Vec::new(), false, now);
     let again = member.report(0, Vec::new(), false, now);
-    member.take(serde_json::from_str(r#"{"version":1,"pools":[]}"#).expect("orders"), now);
+    member.apply(serde_json::from_str(r#"{"version":1,"pools":[]}"#).expect("orders"), now);
     let later = member.report(1, Vec::new(), false, now);
 
     assert!(first.wants_suspects && again.wants_suspects);
