--- a/src/control/fleet_member.rs
+++ b/src/control/fleet_member.rs
@@ -27,7 +27,7 @@
 
 /// Change to one pool required by new orders.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PoolMove {
+pub struct PoolChange {
     /// Service of the pool.
     pub service: ServiceName,
     /// Fraction of the limit that may be used, 0.0 to 1.0.
@@ -38,11 +38,11 @@
 
 /// Changes that new orders require of a daemon, to be applied in the order of the fields.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberMove {
+pub struct MemberChange {
     /// Newer table to put in force.
     pub table: Option<Box<VersionedTable>>,
     /// Changes to the pools.
-    pub pools: Vec<PoolMove>,
+    pub pools: Vec<PoolChange>,
     /// Time until which the daemon may admit requests, provided that it has `version` in force.
     pub current_until: Moment,
     /// Table version in force in the fleet.
@@ -175,7 +175,7 @@
     /// `None` if the lease that the report was made under has expired since: before reading the
     /// report, the leader may have counted this daemon as dead, given its shares away and stopped
     /// relying on its floors.
-    pub fn apply(&mut self, orders: DaemonOrders, now: Moment) -> Option<MemberMove> {
+    pub fn apply(&mut self, orders: DaemonOrders, now: Moment) -> Option<MemberChange> {
         if self.had_lease && now >= self.lease_until {
             return None;
         }
@@ -194,13 +194,13 @@
                 imposed: order.imposed,
                 is_fresh,
             };
-            pools.push(PoolMove {
+            pools.push(PoolChange {
                 share: f64::from(order.share) / f64::from(SHARE_UNITS),
                 floor,
                 service: order.service,
             });
         }
-        Some(MemberMove {
+        Some(MemberChange {
             table: orders.table,
             pools,
             current_until: self.lease_until,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -27,7 +27,7 @@
     DaemonOrders, DaemonReport, FleetRegistry, MemberView, ORGANISATION_LIMITS_POOL, PoolOrder,
     PoolReport, ReportAnswer, ReportOutcome, SHARE_UNITS, ServingList,
 };
-pub use fleet_member::{FleetMember, MemberMove, PoolMove, PoolState};
+pub use fleet_member::{FleetMember, MemberChange, PoolChange, PoolState};
 pub use ledger::{
     ControlCommand, ControlLedger, ControlReply, EditConflict, EditOutcome, EditRecord,
     NumberedOutcome, NumberedTable, TableEdit,
