--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -157,7 +157,7 @@
             wanted: None,
             guaranteed: None,
             demand: limits.demand(),
-            used: limits.largest_utilisation(),
+            utilisation: limits.largest_utilisation(),
         };
         states.chain([limits]).collect()
     }
@@ -211,6 +211,6 @@
         wanted: scheduler.wanted_floor(),
         guaranteed: scheduler.guaranteed_floor(),
         demand: scheduler.demand_tokens(),
-        used: scheduler.max_utilisation(),
+        utilisation: scheduler.max_utilisation(),
     }
 }
--- a/src/control/fleet_member.rs
+++ b/src/control/fleet_member.rs
@@ -22,7 +22,7 @@
     /// Estimated tokens of the waiting and running requests.
     pub demand: u64,
     /// Fraction of the limit used by running requests, 0.0 to 1.0.
-    pub used: f64,
+    pub utilisation: f64,
 }
 
 /// Change to one pool required by new orders.
@@ -155,7 +155,7 @@
     /// Includes work dispatched under a larger share, which counts until it has ended.
     fn pool_report(&self, pool: PoolState) -> PoolReport {
         let ordered = self.shares.get(&pool.service).copied().unwrap_or(0);
-        let used = (pool.used.clamp(0.0, 1.0) * f64::from(SHARE_UNITS)) as u32;
+        let used = (pool.utilisation.clamp(0.0, 1.0) * f64::from(SHARE_UNITS)) as u32;
         PoolReport {
             service: pool.service,
             wanted: pool.wanted,
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -384,7 +384,7 @@
             wanted: scheduler.wanted_floor(),
             guaranteed: scheduler.guaranteed_floor(),
             demand: scheduler.demand_tokens(),
-            used: scheduler.max_utilisation(),
+            utilisation: scheduler.max_utilisation(),
         };
 
         let report = daemon.member.report(1, vec![state], false, now);
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -264,7 +264,7 @@
             wanted: daemon.floor.wanted(),
             guaranteed: daemon.floor.guaranteed(),
             demand: self.rng.random_range(0..1_000),
-            used: 0.0,
+            utilisation: 0.0,
         };
         let limits = PoolState {
             service: ORGANISATION_LIMITS_POOL.into(),
@@ -272,7 +272,7 @@
             guaranteed: None,
             // Without a draw of its own, so that the seeds' schedules stay as they are.
             demand: self.now / STEP % 10,
-            used: 0.0,
+            utilisation: 0.0,
         };
         let report = daemon.member.report(1, vec![pool, limits], false, now);
         daemon.sequence = report.sequence;
