--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -7,7 +7,7 @@
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{JoinAnswer, LeaderAnswer, VoterRow};
 use crate::control::voter_folder::blank_snapshot;
-use crate::control::voting::{lost_voters, may_join, next_step};
+use crate::control::voting::{lost_voters, may_join, next_membership};
 use crate::control::waiters::{EntryWaiter, ReplyTo};
 use crate::policy::Moment;
 use crate::replica::{FleetId, FleetMembership, HardState, SnapshotRecord, VoterId};
@@ -94,7 +94,7 @@
         let now = self.now();
         let Some(core) = &mut self.core else { return };
         let lost = if self.setup.replaces_voters { lost_voters(core, now) } else { Vec::new() };
-        if let Some(membership) = next_step(core, &self.ledger, &lost) {
+        if let Some(membership) = next_membership(core, &self.ledger, &lost) {
             let text =
                 membership.voters.keys().map(VoterId::to_string).collect::<Vec<String>>().join(" ");
             if let Ok(output) = core.change_membership(membership, now) {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -44,4 +44,4 @@
 pub use server::start_server;
 pub use setup::ControlSetup;
 pub use table_versions::{TableVersionRow, table_versions};
-pub use voting::{may_join, next_step};
+pub use voting::{may_join, next_membership};
--- a/src/control/voting.rs
+++ b/src/control/voting.rs
@@ -47,7 +47,7 @@
 }
 
 /// The next membership change, if one is due.
-pub fn next_step<C: Clone + Debug>(
+pub fn next_membership<C: Clone + Debug>(
     core: &ReplicaCore<C>,
     ledger: &ControlLedger,
     lost: &[VoterId],
--- a/tests/test_voting.rs
+++ b/tests/test_voting.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tarragonknot::control::{ControlCommand, ControlLedger, may_join, next_step};
+use tarragonknot::control::{ControlCommand, ControlLedger, may_join, next_membership};
 use tarragonknot::policy::Moment;
 use tarragonknot::replica::{
     FleetId, FleetMembership, HardState, LogPosition, ReplicaConfig, ReplicaCore, ReplicaStart,
@@ -43,7 +43,7 @@
 fn a_lost_voter_leaves_an_even_number() {
     let ledger = ControlLedger::default();
 
-    let changed = next_step(&core(4), &ledger, &[voter(3)]).expect("a change");
+    let changed = next_membership(&core(4), &ledger, &[voter(3)]).expect("a change");
 
     assert!(!changed.voters.contains_key(&voter(3)));
     assert_eq!(changed.voters.len(), 3);
@@ -54,9 +54,9 @@
 fn an_odd_number_waits_for_its_lost_voter() {
     let ledger = ControlLedger::default();
 
-    assert_eq!(next_step(&core(3), &ledger, &[voter(2)]), None);
-    assert_eq!(next_step(&core(3), &ledger, &[]), None);
-    assert_eq!(next_step(&core(4), &ledger, &[]), None);
+    assert_eq!(next_membership(&core(3), &ledger, &[voter(2)]), None);
+    assert_eq!(next_membership(&core(3), &ledger, &[]), None);
+    assert_eq!(next_membership(&core(4), &ledger, &[]), None);
 }
 
 /// Two lost at once is more than one change can mend safely: nothing is removed.
@@ -64,7 +64,7 @@
 fn two_lost_voters_are_not_removed() {
     let ledger = ControlLedger::default();
 
-    assert_eq!(next_step(&core(4), &ledger, &[voter(2), voter(3)]), None);
+    assert_eq!(next_membership(&core(4), &ledger, &[voter(2), voter(3)]), None);
 }
 
 #[test]
