--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 use tarragonknot::claim::{ClaimKey, ClaimOutcome, ClaimOwner, ClaimReply};
 use tarragonknot::control::{
-    ClaimKeeper, ClaimSettings, ControlApiClient, EditOutcome, FleetKey, KnownVoters, LeaderAnswer,
-    LeaderHint, TableEdit, connect,
+    ClaimClient, ClaimClientSettings, ControlApiClient, EditOutcome, FleetKey, KnownVoters,
+    LeaderAnswer, LeaderHint, TableEdit, connect,
 };
 use tarragonknot::standin::{EngineShape, start_engine};
 use tarragonknot::table::{KeyDigest, OperatorTable, VersionedTable, check_document};
@@ -270,7 +270,7 @@
         fleet.daemons[..VOTERS].iter().map(|daemon| daemon.control).collect();
     let hint = LeaderHint::default();
     hint.set(Some(fleet.daemons[fleet.leader().await].control));
-    let keeper = ClaimKeeper::start(ClaimSettings {
+    let client = ClaimClient::start(ClaimClientSettings {
         voters: KnownVoters::new(voters),
         key: FleetKey::from_text(KEY),
         hint,
@@ -282,10 +282,10 @@
         let key = ClaimKey { organisation: "org".into(), key: format!("single-{number}") };
         let started = Instant::now();
         let reply =
-            keeper.take(&key, "digest".to_owned(), &owner(number), Duration::from_secs(60)).await;
+            client.take(&key, "digest".to_owned(), &owner(number), Duration::from_secs(60)).await;
         assert_eq!(reply, Some(ClaimReply::Granted));
         times.push(started.elapsed());
-        keeper.settle(&key, &owner(number), ClaimOutcome::Unknown);
+        client.settle(&key, &owner(number), ClaimOutcome::Unknown);
     }
     let p50 = quantile(&mut times, 0.5);
     say(
@@ -295,7 +295,7 @@
     let started = Instant::now();
     let until = started + Duration::from_secs(CLAIM_SECONDS);
     let claimers = (0..CLAIMERS).map(|claimer| {
-        let keeper = keeper.clone();
+        let client = client.clone();
         tokio::spawn(async move {
             let mut count = 0u64;
             while Instant::now() < until {
@@ -306,9 +306,9 @@
                     };
                     let owner =
                         ClaimOwner { daemon: "bench".into(), boot: 1, request: key.key.clone() };
-                    let keeper = keeper.clone();
+                    let client = client.clone();
                     async move {
-                        keeper
+                        client
                             .take(&key, "digest".to_owned(), &owner, Duration::from_secs(60))
                             .await
                     }
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -24,9 +24,9 @@
 /// Delay before a retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Settings of a [`ClaimKeeper`].
+/// Settings of a [`ClaimClient`].
 #[derive(Clone, Debug)]
-pub struct ClaimSettings {
+pub struct ClaimClientSettings {
     /// Control addresses at which to look for the leader.
     pub voters: KnownVoters,
     /// Shared key of the fleet.
@@ -44,17 +44,17 @@
 
 /// Handle for acquiring and settling claims.
 #[derive(Clone, Debug)]
-pub struct ClaimKeeper {
+pub struct ClaimClient {
     sender: mpsc::UnboundedSender<PendingClaim>,
 }
 
-impl ClaimKeeper {
+impl ClaimClient {
     /// Starts the background task on the current runtime.
-    pub fn start(settings: ClaimSettings) -> Self {
+    pub fn start(settings: ClaimClientSettings) -> Self {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let keeper = ClaimKeeper { sender };
-        tokio::spawn(run_batches(settings, receiver, keeper.clone()));
-        keeper
+        let client = ClaimClient { sender };
+        tokio::spawn(run_batches(settings, receiver, client.clone()));
+        client
     }
 
     /// Acquires a claim. Returns `None` if it could not be committed in time; the claim is then
@@ -96,18 +96,18 @@
 }
 
 async fn run_batches(
-    settings: ClaimSettings,
+    settings: ClaimClientSettings,
     mut receiver: mpsc::UnboundedReceiver<PendingClaim>,
-    keeper: ClaimKeeper,
+    client: ClaimClient,
 ) {
     let calls = Arc::new(Semaphore::new(CALLS_AT_ONCE));
-    let ClaimSettings { voters, key, hint } = settings;
+    let ClaimClientSettings { voters, key, hint } = settings;
     let mut leader = LeaderClient::new(voters, key, hint.clone());
     let mut batch = Vec::new();
     while receiver.recv_many(&mut batch, BATCH).await > 0 {
         let Ok(permit) = Arc::clone(&calls).acquire_owned().await else { return };
-        let client = leader.get().await.map(|(_, client)| client);
-        let call = run_call(std::mem::take(&mut batch), client, hint.clone(), keeper.clone());
+        let rpc_client = leader.get().await.map(|(_, rpc_client)| rpc_client);
+        let call = run_call(std::mem::take(&mut batch), rpc_client, hint.clone(), client.clone());
         tokio::spawn(async move {
             let _permit = permit;
             call.await;
@@ -117,13 +117,13 @@
 
 async fn run_call(
     batch: Vec<PendingClaim>,
-    client: Option<Arc<WsClient>>,
+    leader: Option<Arc<WsClient>>,
     hint: LeaderHint,
-    keeper: ClaimKeeper,
+    client: ClaimClient,
 ) {
     let commands: Vec<ClaimCommand> = batch.iter().map(|pending| pending.command.clone()).collect();
-    let answer = match &client {
-        Some(client) => tokio::time::timeout(CALL_TIMEOUT, client.claims(commands)).await.ok(),
+    let answer = match &leader {
+        Some(leader) => tokio::time::timeout(CALL_TIMEOUT, leader.claims(commands)).await.ok(),
         None => None,
     };
     match answer {
@@ -140,7 +140,7 @@
     let now = Instant::now();
     for pending in batch {
         match pending.until > now {
-            true => drop(keeper.sender.send(pending)),
+            true => drop(client.sender.send(pending)),
             false => pending.reply.into_iter().for_each(|sender| drop(sender.send(None))),
         }
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -21,7 +21,7 @@
 mod waiters;
 
 pub use agent::{AgentSettings, start_agent};
-pub use claims::{ClaimKeeper, ClaimSettings};
+pub use claims::{ClaimClient, ClaimClientSettings};
 pub use control_loop::start_control;
 pub use fleet::{
     DaemonOrders, DaemonReport, FleetRegistry, MemberView, ORGANISATION_LIMITS_POOL, PoolOrder,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -3,8 +3,8 @@
 mod upkeep;
 
 use crate::control::{
-    AgentSettings, ClaimKeeper, ClaimSettings, ControlHandle, ControlSetup, FleetKey, KnownVoters,
-    LeaderHint, OperatorDoor, start_agent, start_control, start_server,
+    AgentSettings, ClaimClient, ClaimClientSettings, ControlHandle, ControlSetup, FleetKey,
+    KnownVoters, LeaderHint, OperatorDoor, start_agent, start_control, start_server,
 };
 use crate::platform;
 use crate::policy::{LimitTolerance, MechanismSet, RetryBound, request_chart, upstream_chart};
@@ -273,7 +273,7 @@
             return drop(started.send(Err(StartError::Thread { detail: error.to_string() })));
         }
     };
-    state.set_claims(ClaimKeeper::start(ClaimSettings {
+    state.set_claims(ClaimClient::start(ClaimClientSettings {
         voters: agent.voters.clone(),
         key,
         hint: hint.clone(),
--- a/src/traffic/claim_guard.rs
+++ b/src/traffic/claim_guard.rs
@@ -39,8 +39,8 @@
 
     fn record(&mut self, outcome: ClaimOutcome) {
         self.is_open = false;
-        if let Some(keeper) = self.state.claims() {
-            keeper.settle(&self.key, &self.owner, outcome);
+        if let Some(client) = self.state.claims() {
+            client.settle(&self.key, &self.owner, outcome);
         }
     }
 }
@@ -61,14 +61,14 @@
     call: &UpstreamCall,
     life: Duration,
 ) -> Result<ClaimGuard, Option<ClaimReply>> {
-    let keeper = state.claims().ok_or(None)?;
+    let client = state.claims().ok_or(None)?;
     let key = ClaimKey { organisation: caller.organisation.clone(), key: key.to_owned() };
     let owner = ClaimOwner {
         daemon: state.daemon.clone(),
         boot: state.boot(),
         request: call.id.to_string(),
     };
-    match keeper.take(&key, request_digest(call), &owner, life).await {
+    match client.take(&key, request_digest(call), &owner, life).await {
         Some(ClaimReply::Granted) => {
             Ok(ClaimGuard { state: Arc::clone(state), key, owner, is_open: true })
         }
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -13,7 +13,7 @@
 use super::rollout_gate::RolloutGate;
 use super::routed::CallDialect;
 use crate::clock::TrafficClock;
-use crate::control::ClaimKeeper;
+use crate::control::ClaimClient;
 use crate::policy::{
     LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RequestSizes, RetryBound,
     RetryBudget, RetryDetector, RouteSizes, SizeDecile,
@@ -81,7 +81,7 @@
     route_sizes: Mutex<HashMap<String, RouteSizes>>,
     is_ready: AtomicBool,
     is_drained: AtomicBool,
-    claims: OnceLock<ClaimKeeper>,
+    claims: OnceLock<ClaimClient>,
     /// Told when a table is put in force.
     pub table_news: Notify,
     /// True once a list of upstreams was received, or if none is read.
@@ -424,12 +424,12 @@
     }
 
     /// Gives the traffic its way to claims; only the first call counts.
-    pub fn set_claims(&self, keeper: ClaimKeeper) {
-        let _ = self.claims.set(keeper);
+    pub fn set_claims(&self, client: ClaimClient) {
+        let _ = self.claims.set(client);
     }
 
     /// The way to claims.
-    pub fn claims(&self) -> Option<&ClaimKeeper> {
+    pub fn claims(&self) -> Option<&ClaimClient> {
         self.claims.get()
     }
 
