--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -281,8 +281,9 @@
     for number in 0..200 {
         let key = ClaimKey { organisation: "org".into(), key: format!("single-{number}") };
         let started = Instant::now();
-        let reply =
-            client.take(&key, "digest".to_owned(), &owner(number), Duration::from_secs(60)).await;
+        let reply = client
+            .acquire(&key, "digest".to_owned(), &owner(number), Duration::from_secs(60))
+            .await;
         assert_eq!(reply, Some(ClaimReply::Granted));
         times.push(started.elapsed());
         client.settle(&key, &owner(number), ClaimOutcome::Unknown);
@@ -309,7 +310,7 @@
                     let client = client.clone();
                     async move {
                         client
-                            .take(&key, "digest".to_owned(), &owner, Duration::from_secs(60))
+                            .acquire(&key, "digest".to_owned(), &owner, Duration::from_secs(60))
                             .await
                     }
                 });
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -59,7 +59,7 @@
 
     /// Acquires a claim. Returns `None` if it could not be committed in time; the claim is then
     /// withdrawn in the background, and the request must not be dispatched.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         key: &ClaimKey,
         digest: String,
--- a/src/traffic/claim_guard.rs
+++ b/src/traffic/claim_guard.rs
@@ -68,7 +68,7 @@
         boot: state.boot(),
         request: call.id.to_string(),
     };
-    match client.take(&key, request_digest(call), &owner, life).await {
+    match client.acquire(&key, request_digest(call), &owner, life).await {
         Some(ClaimReply::Granted) => {
             Ok(ClaimGuard { state: Arc::clone(state), key, owner, is_open: true })
         }
