--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -31,7 +31,7 @@
     }
 
     pub(super) fn load_ledger(&mut self, text: &str) {
-        match ControlLedger::from_text(text) {
+        match ControlLedger::from_json(text) {
             Ok(ledger) => self.ledger = ledger,
             Err(fault) => {
                 error!(self.setup.log, "snapshot does not hold a ledger"; "fault" => fault.to_string())
@@ -95,7 +95,7 @@
         if (covered as usize) < SNAPSHOT_ENTRIES {
             return;
         }
-        let snapshot = core.compact(Arc::from(self.ledger.to_text()));
+        let snapshot = core.compact(Arc::from(self.ledger.to_json()));
         if let Err(fault) = store.replace(&snapshot, &self.hard, core.log().entries()) {
             self.stop_voting(&fault);
         }
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -211,12 +211,12 @@
 
 impl ControlLedger {
     /// Serialises the state for a snapshot.
-    pub fn to_text(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
     /// Restores the state from a snapshot; an empty text is the empty state.
-    pub fn from_text(text: &str) -> Result<Self, serde_json::Error> {
+    pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
         if text.is_empty() {
             return Ok(ControlLedger::default());
         }
--- a/tests/schedule.rs
+++ b/tests/schedule.rs
@@ -255,7 +255,7 @@
         let now = self.local(position);
         let voter = &mut self.voters[position];
         let disk = voter.disk.clone();
-        voter.ledger = ControlLedger::from_text(&disk.snapshot.state).expect("our own text");
+        voter.ledger = ControlLedger::from_json(&disk.snapshot.state).expect("our own text");
         let start = ReplicaStart {
             me: voter.id.clone(),
             hard_state: disk.hard,
@@ -339,7 +339,7 @@
         }
         if let Some(snapshot) = &output.install {
             voter.ledger =
-                ControlLedger::from_text(&snapshot.state).map_err(|error| error.to_string())?;
+                ControlLedger::from_json(&snapshot.state).map_err(|error| error.to_string())?;
         }
         for envelope in output.messages {
             self.send(position, envelope);
@@ -423,7 +423,7 @@
         if core.applied_index().saturating_sub(core.log().base().index) < 40 {
             return;
         }
-        let snapshot = core.compact(Arc::from(voter.ledger.to_text()));
+        let snapshot = core.compact(Arc::from(voter.ledger.to_json()));
         voter.disk.entries.retain(|entry| entry.at.index > snapshot.at.index);
         voter.disk.snapshot = snapshot;
         voter.synced = voter.disk.clone();
--- a/tests/test_quarantine_log.rs
+++ b/tests/test_quarantine_log.rs
@@ -30,9 +30,9 @@
 /// voters are killed at once and start anew. Cause: daemons keep what they know in memory.
 #[test]
 fn what_is_held_back_outlives_the_restart_of_everything() {
-    let kept = ledger().to_text();
+    let kept = ledger().to_json();
 
-    let ledger = ControlLedger::from_text(&kept).expect("a snapshot");
+    let ledger = ControlLedger::from_json(&kept).expect("a snapshot");
     let mut daemon = CrashTable::default();
     // The daemon has been up for 2 s; the content's last end was a minute ago.
     let now = Moment::from_millis(2_000);
@@ -49,10 +49,10 @@
 #[test]
 fn a_snapshot_without_contents_is_read() {
     let mut snapshot: serde_json::Value =
-        serde_json::from_str(&ControlLedger::default().to_text()).expect("JSON");
+        serde_json::from_str(&ControlLedger::default().to_json()).expect("JSON");
     snapshot.as_object_mut().expect("an object").remove("quarantine");
 
-    let ledger = ControlLedger::from_text(&snapshot.to_string()).expect("a snapshot");
+    let ledger = ControlLedger::from_json(&snapshot.to_string()).expect("a snapshot");
 
     assert_eq!(ledger.quarantine().held(NOON), []);
 }
--- a/tests/test_rollout.rs
+++ b/tests/test_rollout.rs
@@ -88,7 +88,7 @@
             continue;
         }
         for choice in 0..8 {
-            let restarted = ControlLedger::from_text(&ledger.to_text()).expect("a snapshot");
+            let restarted = ControlLedger::from_json(&ledger.to_json()).expect("a snapshot");
             let mut next = if choice == 7 { restarted } else { ledger.clone() };
             let mut known = acknowledged.clone();
             let command = command(choice, before.as_ref().map_or(1, |record| record.number));
--- a/tests/test_routes.rs
+++ b/tests/test_routes.rs
@@ -118,7 +118,7 @@
     assert_eq!(replies, expected);
     assert_eq!(ledger.table().version, 9);
     assert_eq!(ledger.table().document.as_deref(), Some("nine"));
-    let again = ControlLedger::from_text(&ledger.to_text()).expect("its own text");
+    let again = ControlLedger::from_json(&ledger.to_json()).expect("its own text");
     assert_eq!(again.table(), ledger.table());
 }
 
