--- a/src/control/control_loop/edits.rs
+++ b/src/control/control_loop/edits.rs
@@ -138,7 +138,7 @@
         let Some(registry) = &self.registry else { return };
         for reply in replies {
             if let ClaimReply::Running(owner) = reply
-                && !registry.is_owner_live(&owner.daemon, owner.boot, now)
+                && !registry.is_boot_live(&owner.daemon, owner.boot, now)
             {
                 *reply = ClaimReply::Unknown;
             }
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -108,7 +108,7 @@
 
     pub(super) fn drop_dead(&mut self, now: Moment) {
         let Some(registry) = &self.registry else { return };
-        let dead = registry.dead(now);
+        let dead = registry.expired_members(now);
         self.dead_since.retain(|daemon, _| dead.iter().any(|(name, _)| name == daemon));
         let mut gone = Vec::new();
         for (daemon, boot) in dead {
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -409,7 +409,7 @@
             members: self
                 .registry
                 .as_ref()
-                .map_or_else(Vec::new, |registry| registry.view(self.now())),
+                .map_or_else(Vec::new, |registry| registry.member_views(self.now())),
         }
     }
 }
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -107,7 +107,7 @@
             let mut orders = registry.orders(&held.daemon, table, now);
             orders.voters.clone_from(&voters);
             let (list, digest) = serving.get_or_init(|| {
-                let list = registry.serving(now);
+                let list = registry.serving_list(now);
                 let digest = list.digest();
                 (list, digest)
             });
@@ -133,7 +133,7 @@
             }
         }
         for mut force in std::mem::take(&mut self.waiting.force) {
-            let lagging = registry.lagging(force.version, now);
+            let lagging = registry.lagging_daemons(force.version, now);
             if !lagging.is_empty() && now < force.until {
                 self.waiting.force.push(force);
                 continue;
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -29,11 +29,11 @@
 /// the pools' limits. No service can have this name, since service names contain no space.
 pub const ORGANISATION_LIMITS_POOL: &str = "organisation limits";
 /// Minimum share of every member whatever its demand, as a fraction of its equal share.
-const LEAST_PART: f64 = 0.2;
+const MIN_EQUAL_FRACTION: f64 = 0.2;
 /// Factor by which clocks may differ over one lease.
-const DRIFT_MARGIN: f64 = 1.1;
+const CLOCK_DRIFT_FACTOR: f64 = 1.1;
 /// Minimum change of a share that is ordered, so that noise in the demand causes no orders.
-const SHARE_STEP: u32 = SHARE_UNITS / 50;
+const MIN_SHARE_CHANGE: u32 = SHARE_UNITS / 50;
 
 /// One pool's state in a daemon's report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -210,16 +210,16 @@
 #[derive(Clone, Debug)]
 struct MemberState {
     boot: u64,
-    heard: Option<Moment>,
+    last_report_at: Option<Moment>,
     /// Time at which the member first reported its current table version.
     version_since: Option<Moment>,
     report: Option<DaemonReport>,
     /// The largest share ordered since the last report.
-    ordered: BTreeMap<ServiceName, u32>,
+    max_ordered_shares: BTreeMap<ServiceName, u32>,
     /// The loosest floor imposed since the last report; `None` if all tiers were allowed.
-    loosened: BTreeMap<ServiceName, Option<TierRank>>,
+    loosest_imposed: BTreeMap<ServiceName, Option<TierRank>>,
     /// Pools whose floor the member may be raising because of an order sent since the last report.
-    tightening: BTreeSet<ServiceName>,
+    raising_pools: BTreeSet<ServiceName>,
 }
 
 /// The leader's registry of the fleet's members.
@@ -227,23 +227,28 @@
 pub struct FleetRegistry {
     term: u64,
     lease: Duration,
-    began: Moment,
+    elected_at: Moment,
     members: BTreeMap<DaemonName, MemberState>,
     /// The floor imposed on each pool.
-    levels: BTreeMap<ServiceName, Option<TierRank>>,
+    imposed_floors: BTreeMap<ServiceName, Option<TierRank>>,
 }
 
 impl FleetRegistry {
-    /// Creates the registry of a leader elected at `began`. Members that have not reported to it
-    /// count as holding leases until one lease after that time.
+    /// Creates the registry of a newly elected leader. Members that have not reported to it count
+    /// as holding leases until one lease after `elected_at`.
     pub fn new(
         term: u64,
         lease: Duration,
-        began: Moment,
+        elected_at: Moment,
         members: &BTreeMap<DaemonName, u64>,
     ) -> Self {
-        let mut registry =
-            FleetRegistry { term, lease, began, members: BTreeMap::new(), levels: BTreeMap::new() };
+        let mut registry = FleetRegistry {
+            term,
+            lease,
+            elected_at,
+            members: BTreeMap::new(),
+            imposed_floors: BTreeMap::new(),
+        };
         registry.set_members(members);
         registry
     }
@@ -254,12 +259,12 @@
         for (daemon, boot) in members {
             let fresh = MemberState {
                 boot: *boot,
-                heard: None,
+                last_report_at: None,
                 version_since: None,
                 report: None,
-                ordered: BTreeMap::new(),
-                loosened: BTreeMap::new(),
-                tightening: BTreeSet::new(),
+                max_ordered_shares: BTreeMap::new(),
+                loosest_imposed: BTreeMap::new(),
+                raising_pools: BTreeSet::new(),
             };
             self.members.entry(daemon.clone()).or_insert(fresh);
         }
@@ -284,44 +289,44 @@
         if state.report.as_ref().is_some_and(|last| last.sequence >= report.sequence) {
             return ReportOutcome::Superseded;
         }
-        state.heard = Some(now);
-        let had = state.report.as_ref().map(|last| last.version);
+        state.last_report_at = Some(now);
+        let previous_version = state.report.as_ref().map(|last| last.version);
         state.version_since =
-            state.version_since.filter(|_| had == Some(report.version)).or(Some(now));
-        state.ordered.clear();
-        state.loosened.clear();
-        state.tightening.clear();
+            state.version_since.filter(|_| previous_version == Some(report.version)).or(Some(now));
+        state.max_ordered_shares.clear();
+        state.loosest_imposed.clear();
+        state.raising_pools.clear();
         state.report = Some(report);
         ReportOutcome::Recorded
     }
 
     fn is_live(&self, state: &MemberState, now: Moment) -> bool {
-        let since = state.heard.unwrap_or(self.began);
-        now.since(since) < self.lease.mul_f64(DRIFT_MARGIN)
+        let since = state.last_report_at.unwrap_or(self.elected_at);
+        now.since(since) < self.lease.mul_f64(CLOCK_DRIFT_FACTOR)
     }
 
-    fn live(&self, now: Moment) -> impl Iterator<Item = (&DaemonName, &MemberState)> {
+    fn live_members(&self, now: Moment) -> impl Iterator<Item = (&DaemonName, &MemberState)> {
         self.members.iter().filter(move |(_, state)| self.is_live(state, now))
     }
 
     /// Members whose lease has expired and that may be removed from the member list.
-    pub fn dead(&self, now: Moment) -> Vec<(DaemonName, u64)> {
+    pub fn expired_members(&self, now: Moment) -> Vec<(DaemonName, u64)> {
         let dead = self.members.iter().filter(|(_, state)| !self.is_live(state, now));
         dead.map(|(daemon, state)| (daemon.clone(), state.boot)).collect()
     }
 
     /// True if this boot of the daemon is live, so that a claim held by it may still be in
     /// progress.
-    pub fn is_owner_live(&self, daemon: &DaemonName, boot: u64, now: Moment) -> bool {
+    pub fn is_boot_live(&self, daemon: &DaemonName, boot: u64, now: Moment) -> bool {
         self.members.get(daemon).is_some_and(|state| state.boot == boot && self.is_live(state, now))
     }
 
     /// Daemons that may still admit requests under a table version below `version`.
-    pub fn lagging(&self, version: u64, now: Moment) -> Vec<DaemonName> {
+    pub fn lagging_daemons(&self, version: u64, now: Moment) -> Vec<DaemonName> {
         let is_behind = |state: &MemberState| {
             state.report.as_ref().is_none_or(|report| report.version < version)
         };
-        self.live(now)
+        self.live_members(now)
             .filter(|(_, state)| is_behind(state))
             .map(|(daemon, _)| daemon.clone())
             .collect()
@@ -333,86 +338,88 @@
 
     /// The floor that every live daemon enforces; `None` while any of them admits every tier or has
     /// not reported.
-    pub fn confirmed(&self, service: &ServiceName, now: Moment) -> Option<TierRank> {
-        let kept = self.live(now).map(|(_, state)| match &state.report {
+    pub fn confirmed_floor(&self, service: &ServiceName, now: Moment) -> Option<TierRank> {
+        let floors = self.live_members(now).map(|(_, state)| match &state.report {
             Some(report) if report.is_leaving => Some(TierRank(0)),
-            _ => Self::kept(state, service),
+            _ => Self::guaranteed_floor(state, service),
         });
-        kept.collect::<Option<Vec<TierRank>>>()?.into_iter().max()
+        floors.collect::<Option<Vec<TierRank>>>()?.into_iter().max()
     }
 
     /// The floor that a member is known to enforce: the one it guaranteed, or a looser one imposed
     /// since.
-    fn kept(state: &MemberState, service: &ServiceName) -> Option<TierRank> {
+    fn guaranteed_floor(state: &MemberState, service: &ServiceName) -> Option<TierRank> {
         let guaranteed = Self::pool(state, service)?.guaranteed?;
-        match state.loosened.get(service) {
+        match state.loosest_imposed.get(service) {
             Some(None) => None,
-            Some(Some(loosened)) => Some(guaranteed.max(*loosened)),
+            Some(Some(loosest)) => Some(guaranteed.max(*loosest)),
             None => Some(guaranteed),
         }
     }
 
     /// True once every member has reported to this leader or its lease has expired.
     pub fn has_heard_all(&self, now: Moment) -> bool {
-        self.live(now).all(|(_, state)| state.report.is_some())
+        self.live_members(now).all(|(_, state)| state.report.is_some())
     }
 
     /// The strictest floor that any live daemon wants.
-    fn wanted(&self, service: &ServiceName, now: Moment) -> Option<TierRank> {
-        self.live(now).filter_map(|(_, state)| Self::pool(state, service)?.wanted).min()
+    fn strictest_wanted(&self, service: &ServiceName, now: Moment) -> Option<TierRank> {
+        self.live_members(now).filter_map(|(_, state)| Self::pool(state, service)?.wanted).min()
     }
 
     /// The floor to impose on a member. A leader to which some members have not reported does not
     /// know which daemons rely on a floor, so it relaxes none. Nor is a floor relaxed while a
     /// member may still be raising its own in response to an earlier order: that member would drop
     /// a tier while another admits a lower one again.
-    fn imposed_on(
+    fn floor_to_impose(
         &mut self,
         daemon: &DaemonName,
         service: &ServiceName,
         now: Moment,
     ) -> Option<TierRank> {
-        let wanted = self.wanted(service, now);
+        let wanted = self.strictest_wanted(service, now);
         if !self.has_heard_all(now) {
             let own =
                 self.members.get(daemon).and_then(|state| Self::pool(state, service)?.guaranteed);
-            let level = self.levels.entry(service.clone()).or_default();
-            *level = level.iter().copied().chain(wanted).min();
-            return level.iter().copied().chain(own).min();
+            let floor = self.imposed_floors.entry(service.clone()).or_default();
+            *floor = floor.iter().copied().chain(wanted).min();
+            return floor.iter().copied().chain(own).min();
         }
-        let level = self.levels.get(service).copied().flatten();
-        let is_looser = level.is_some_and(|level| wanted.is_none_or(|wanted| wanted > level));
-        let is_tightening = self.live(now).any(|(_, state)| state.tightening.contains(service));
-        if is_looser && is_tightening {
-            return level;
+        let floor = self.imposed_floors.get(service).copied().flatten();
+        let is_looser = floor.is_some_and(|floor| wanted.is_none_or(|wanted| wanted > floor));
+        let is_raising =
+            self.live_members(now).any(|(_, state)| state.raising_pools.contains(service));
+        if is_looser && is_raising {
+            return floor;
         }
-        self.levels.insert(service.clone(), wanted);
+        self.imposed_floors.insert(service.clone(), wanted);
         wanted
     }
 
     /// Units that a member may be using: the larger of its reported and its ordered share.
-    fn outstanding(state: &MemberState, service: &ServiceName) -> u32 {
+    fn outstanding_units(state: &MemberState, service: &ServiceName) -> u32 {
         let held = Self::pool(state, service).map_or(0, |pool| pool.share);
-        held.max(state.ordered.get(service).copied().unwrap_or(0))
+        held.max(state.max_ordered_shares.get(service).copied().unwrap_or(0))
     }
 
     /// Units not assigned to any member; 0 while a live member has not reported, since it may hold
     /// any of them.
-    fn free(&self, service: &ServiceName, now: Moment) -> u32 {
+    fn unassigned_units(&self, service: &ServiceName, now: Moment) -> u32 {
         if !self.has_heard_all(now) {
             return 0;
         }
-        let used: u32 = self.live(now).map(|(_, state)| Self::outstanding(state, service)).sum();
+        let used: u32 =
+            self.live_members(now).map(|(_, state)| Self::outstanding_units(state, service)).sum();
         SHARE_UNITS.saturating_sub(used)
     }
 
     /// The share that a daemon should have: a minimum part, and the rest in proportion to its
     /// demand.
-    fn earned(&self, daemon: &DaemonName, service: &ServiceName, now: Moment) -> u32 {
+    fn target_share(&self, daemon: &DaemonName, service: &ServiceName, now: Moment) -> u32 {
         let admits =
             |state: &MemberState| state.report.as_ref().is_none_or(|report| !report.is_leaving);
         let live: Vec<(&DaemonName, &MemberState)> =
-            self.live(now).filter(|(_, state)| admits(state)).collect();
+            self.live_members(now).filter(|(_, state)| admits(state)).collect();
         if !live.iter().any(|(name, _)| *name == daemon) {
             return 0;
         }
@@ -422,25 +429,25 @@
         let own = self.members.get(daemon).map_or(0.0, demand);
         let equal = 1.0 / live.len() as f64;
         let by_demand = if total > 0.0 { own / total } else { equal };
-        let part = LEAST_PART * equal + (1.0 - LEAST_PART) * by_demand;
+        let part = MIN_EQUAL_FRACTION * equal + (1.0 - MIN_EQUAL_FRACTION) * by_demand;
         (part * f64::from(SHARE_UNITS)) as u32
     }
 
     /// Determines and records the share to order. A decrease takes effect at once; an increase is
     /// limited to unassigned units.
-    fn order_share(&mut self, daemon: &DaemonName, service: &ServiceName, now: Moment) -> u32 {
-        let earned = self.earned(daemon, service, now);
-        let free = self.free(service, now);
+    fn assign_share(&mut self, daemon: &DaemonName, service: &ServiceName, now: Moment) -> u32 {
+        let target = self.target_share(daemon, service, now);
+        let unassigned = self.unassigned_units(service, now);
         let Some(state) = self.members.get_mut(daemon) else { return 0 };
         let held = Self::pool(state, service).map_or(0, |pool| pool.share);
-        let outstanding = Self::outstanding(state, service);
-        let is_small = earned.abs_diff(held) < SHARE_STEP && held > 0 && earned > 0;
+        let outstanding = Self::outstanding_units(state, service);
+        let is_small = target.abs_diff(held) < MIN_SHARE_CHANGE && held > 0 && target > 0;
         let share = match () {
             () if is_small => held,
-            () if earned <= outstanding => earned,
-            () => earned.min(outstanding + free),
+            () if target <= outstanding => target,
+            () => target.min(outstanding + unassigned),
         };
-        let ordered = state.ordered.entry(service.clone()).or_default();
+        let ordered = state.max_ordered_shares.entry(service.clone()).or_default();
         *ordered = share.max(*ordered);
         share
     }
@@ -454,12 +461,12 @@
     ) -> DaemonOrders {
         let report = self.members.get(daemon).and_then(|state| state.report.as_ref());
         let known = report.map_or(0, |report| report.version);
-        let newer = (known != table.version).then(|| Box::new(table.clone()));
+        let newer_table = (known != table.version).then(|| Box::new(table.clone()));
         let divides_alone = report.is_some_and(|report| report.divides_alone);
         let pools = if divides_alone { Vec::new() } else { self.pool_orders(daemon, table, now) };
         DaemonOrders {
             version: table.version,
-            table: newer,
+            table: newer_table,
             packed: None,
             pools,
             serving: None,
@@ -478,18 +485,18 @@
         let limits = ServiceName::from(ORGANISATION_LIMITS_POOL);
         let services: BTreeSet<&ServiceName> =
             table.table.services.iter().map(|row| &row.service).chain([&limits]).collect();
-        let order = |service: &ServiceName| PoolOrder {
+        let pool_order = |service: &ServiceName| PoolOrder {
             service: service.clone(),
-            imposed: self.imposed_on(daemon, service, now),
-            confirmed: self.confirmed(service, now),
-            share: self.order_share(daemon, service, now),
+            imposed: self.floor_to_impose(daemon, service, now),
+            confirmed: self.confirmed_floor(service, now),
+            share: self.assign_share(daemon, service, now),
         };
-        services.into_iter().map(order).collect()
+        services.into_iter().map(pool_order).collect()
     }
 
     /// The list of live daemons that serve callers.
-    pub fn serving(&self, now: Moment) -> ServingList {
-        let reports = self.live(now).filter_map(|(_, state)| state.report.as_ref());
+    pub fn serving_list(&self, now: Moment) -> ServingList {
+        let reports = self.live_members(now).filter_map(|(_, state)| state.report.as_ref());
         let serving = reports.filter(|report| report.serves_callers && !report.is_leaving);
         ServingList::new(serving.map(|report| report.control).collect())
     }
@@ -503,10 +510,11 @@
                 .imposed
                 .is_some_and(|imposed| guaranteed.is_none_or(|guaranteed| imposed < guaranteed))
             {
-                state.tightening.insert(order.service.clone());
+                state.raising_pools.insert(order.service.clone());
             }
-            let loosened = state.loosened.entry(order.service.clone()).or_insert(order.imposed);
-            *loosened = loosened.zip(order.imposed).map(|(before, now)| before.max(now));
+            let loosest =
+                state.loosest_imposed.entry(order.service.clone()).or_insert(order.imposed);
+            *loosest = loosest.zip(order.imposed).map(|(before, now)| before.max(now));
         }
     }
 
@@ -516,22 +524,22 @@
             let report = state.report.as_ref();
             report.is_some_and(|report| report.serves_callers && !report.is_leaving)
         };
-        let serving = self.live(now).filter(|(_, state)| serves(state));
+        let serving = self.live_members(now).filter(|(_, state)| serves(state));
         serving.map(|(daemon, state)| (daemon.clone(), state.boot)).collect()
     }
 
     /// Number of live daemons.
     pub fn live_count(&self, now: Moment) -> usize {
-        self.live(now).count()
+        self.live_members(now).count()
     }
 
     /// All members, for the operators' status.
-    pub fn view(&self, now: Moment) -> Vec<MemberView> {
+    pub fn member_views(&self, now: Moment) -> Vec<MemberView> {
         let view = |(daemon, state): (&DaemonName, &MemberState)| MemberView {
             daemon: daemon.clone(),
             version: state.report.as_ref().map_or(0, |report| report.version),
             version_ms: state.version_since.map(|since| now.since(since).as_millis() as u64),
-            heard_ms: state.heard.map(|heard| now.since(heard).as_millis() as u64),
+            heard_ms: state.last_report_at.map(|at| now.since(at).as_millis() as u64),
             is_live: self.is_live(state, now),
             control: state.report.as_ref().map(|report| report.control),
         };
