--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -2,7 +2,7 @@
 
 use super::ControlLoop;
 use crate::control::joining::{
-    JoinTask, JoinedFleet, ask_to_join, founding_membership, founding_voter,
+    JoinTask, JoinedFleet, founding_membership, founding_voter, request_join,
 };
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{JoinAnswer, LeaderAnswer, VoterRow};
@@ -82,7 +82,7 @@
         } else if now.since(self.alone_since) >= FORGOTTEN_AFTER {
             self.alone_since = now;
             let task = self.joining();
-            tokio::spawn(async move { ask_to_join(&task).await });
+            tokio::spawn(async move { request_join(&task).await });
         }
     }
 
--- a/src/control/joining.rs
+++ b/src/control/joining.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Delay between attempts to join or found a fleet.
-const JOIN_PAUSE: Duration = Duration::from_millis(200);
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// How a voter became part of a fleet.
 pub enum JoinedFleet {
@@ -28,11 +28,11 @@
 /// Data folder number of a voter that founds a fleet together with others. All founders must write
 /// the same membership without communicating, so the number cannot be random; folders created later
 /// draw a number above it.
-pub const FOUNDING_FOLDER: u32 = 0;
+pub const FOUNDER_FOLDER_NUMBER: u32 = 0;
 
 /// Identity of a founder.
 pub fn founding_voter(daemon: &DaemonName) -> VoterId {
-    VoterId { daemon: daemon.clone(), folder: FOUNDING_FOLDER }
+    VoterId { daemon: daemon.clone(), folder: FOUNDER_FOLDER_NUMBER }
 }
 
 /// Initial membership of a fleet founded together. Every founder derives it from the same list
@@ -41,8 +41,8 @@
 pub fn founding_membership(founders: &[PeerRow]) -> FleetMembership {
     let voters: BTreeMap<VoterId, SocketAddr> =
         founders.iter().map(|peer| (founding_voter(&peer.daemon), peer.control)).collect();
-    let names: Vec<String> = voters.values().map(SocketAddr::to_string).collect();
-    let fleet = FleetId(xxh3_64(names.join(" ").as_bytes()));
+    let addresses: Vec<String> = voters.values().map(SocketAddr::to_string).collect();
+    let fleet = FleetId(xxh3_64(addresses.join(" ").as_bytes()));
     FleetMembership { fleet, voters, learners: BTreeMap::new() }
 }
 
@@ -66,37 +66,37 @@
 pub async fn join_or_found(task: JoinTask, joined: mpsc::Sender<JoinedFleet>) {
     let mut was_barred = false;
     loop {
-        let answer = ask_to_join(&task).await;
-        if answer.is_barred && !was_barred {
+        let answers = request_join(&task).await;
+        if answers.is_barred && !was_barred {
             was_barred = true;
             warn!(task.log, "not accepted as a voter; see `tarragonknot voter list`");
         }
         // A founder whose disk was wiped must not found a second fleet beside the first, so every
         // peer must have answered that it belongs to none.
-        let may_found = task.may_found && answer.without_fleet == task.peers.len();
-        let end =
-            answer.fleet.map(JoinedFleet::Joined).or(may_found.then_some(JoinedFleet::Founded));
-        if let Some(end) = end {
-            let _ = joined.send(end).await;
+        let may_found = task.may_found && answers.peers_without_fleet == task.peers.len();
+        let outcome =
+            answers.fleet.map(JoinedFleet::Joined).or(may_found.then_some(JoinedFleet::Founded));
+        if let Some(outcome) = outcome {
+            let _ = joined.send(outcome).await;
             return;
         }
-        tokio::time::sleep(JOIN_PAUSE).await;
+        tokio::time::sleep(JOIN_RETRY_DELAY).await;
     }
 }
 
 /// Peers' answers to one round of join requests.
 #[derive(Default)]
-pub struct JoinRound {
+pub struct JoinAnswers {
     /// Fleet that accepted the voter.
     pub fleet: Option<FleetId>,
     /// Number of peers that belong to no fleet.
-    pub without_fleet: usize,
+    pub peers_without_fleet: usize,
     /// True if operators have removed this daemon from the voters.
     pub is_barred: bool,
 }
 
-pub async fn ask_to_join(task: &JoinTask) -> JoinRound {
-    let mut round = JoinRound::default();
+pub async fn request_join(task: &JoinTask) -> JoinAnswers {
+    let mut answers = JoinAnswers::default();
     let mut addresses: VecDeque<SocketAddr> = task.peers.iter().copied().collect();
     let mut asked = Vec::new();
     while let Some(address) = addresses.pop_front() {
@@ -107,16 +107,16 @@
         let Ok(client) = connect(address, &task.key).await else { continue };
         match client.join(task.voter.clone(), task.control).await {
             Ok(LeaderAnswer::Done(JoinAnswer { fleet, is_accepted: true })) => {
-                round.fleet = Some(fleet);
-                return round;
+                answers.fleet = Some(fleet);
+                return answers;
             }
-            Ok(LeaderAnswer::Done(_)) => round.is_barred = true,
+            Ok(LeaderAnswer::Done(_)) => answers.is_barred = true,
             Ok(LeaderAnswer::Elsewhere(Some(leader))) => addresses.push_back(leader),
             Ok(LeaderAnswer::Elsewhere(None)) if matches!(client.fleet().await, Ok(None)) => {
-                round.without_fleet += 1
+                answers.peers_without_fleet += 1
             }
             _ => {}
         }
     }
-    round
+    answers
 }
