--- a/src/control/voting.rs
+++ b/src/control/voting.rs
@@ -12,36 +12,37 @@
 
 /// Maximum number of voters that the leader adds on its own. Operators cannot exceed it either,
 /// since more voters only slow commits.
-pub const MOST_VOTERS: usize = 5;
+pub const MAX_VOTERS: usize = 5;
 /// Maximum number of spare learners kept beside a full set of voters where lost voters are replaced
 /// without an operator.
-const MOST_SPARES: usize = 6;
+const MAX_SPARE_LEARNERS: usize = 6;
 /// Silence after which a voter counts as lost. It exceeds the restart time of a killed process; a
 /// voter that was only cut off catches up again as a learner.
-const LOST_AFTER: Duration = Duration::from_millis(3_000);
+const VOTER_SILENCE_LIMIT: Duration = Duration::from_millis(3_000);
 /// Maximum number of entries behind the commit index at which a learner counts as caught up.
-const CAUGHT_UP: u64 = 64;
+const MAX_LAG_ENTRIES: u64 = 64;
 
 /// True if a voter that asks to join may be added as a learner.
 ///
-/// With `keeps_spares`, learners are accepted beyond the number needed to fill the set of voters,
+/// With `may_add_spares`, learners are accepted beyond the number needed to fill the set of voters,
 /// so that they can replace lost voters.
 pub fn may_join(
     membership: &FleetMembership,
     ledger: &ControlLedger,
     voter: &VoterId,
-    keeps_spares: bool,
+    may_add_spares: bool,
 ) -> bool {
     let replaces = membership.voters.keys().any(|known| known.daemon == voter.daemon);
-    let has_place = membership.voters.len() < MOST_VOTERS
-        || (keeps_spares && membership.learners.len() < MOST_SPARES);
+    let has_place = membership.voters.len() < MAX_VOTERS
+        || (may_add_spares && membership.learners.len() < MAX_SPARE_LEARNERS);
     ledger.may_vote(&voter.daemon) && (replaces || has_place)
 }
 
-/// Voters not heard from for [`LOST_AFTER`].
+/// Voters not heard from for [`VOTER_SILENCE_LIMIT`].
 pub fn lost_voters<C: Clone + Debug>(core: &ReplicaCore<C>, now: Moment) -> Vec<VoterId> {
     let is_lost = |id: &&VoterId| {
-        *id != core.me() && core.heard(id).is_none_or(|heard| now.since(heard) >= LOST_AFTER)
+        *id != core.me()
+            && core.heard(id).is_none_or(|heard| now.since(heard) >= VOTER_SILENCE_LIMIT)
     };
     core.membership().voters.keys().filter(is_lost).cloned().collect()
 }
@@ -61,21 +62,22 @@
     }
     let is_caught_up = |id: &&VoterId| {
         core.matched(id)
-            .is_some_and(|matched| matched + CAUGHT_UP >= core.commit_index() && matched > 0)
+            .is_some_and(|matched| matched + MAX_LAG_ENTRIES >= core.commit_index() && matched > 0)
     };
     let learner = membership.learners.keys().find(is_caught_up);
     // A permanently lost voter adds no safety to an even number of voters, and keeps a spare out of
     // a full set.
-    let has_even = membership.voters.len() > 2 && membership.voters.len().is_multiple_of(2);
-    let is_in_the_way = has_even || (learner.is_some() && membership.voters.len() >= MOST_VOTERS);
-    if let (true, [lost]) = (is_in_the_way, lost) {
+    let has_even_count = membership.voters.len() > 2 && membership.voters.len().is_multiple_of(2);
+    let may_remove_lost =
+        has_even_count || (learner.is_some() && membership.voters.len() >= MAX_VOTERS);
+    if let (true, [lost]) = (may_remove_lost, lost) {
         return Some(membership.without(lost));
     }
     let learner = learner?;
     let old = membership.voters.keys().find(|id| id.daemon == learner.daemon);
     match old {
         Some(old) if membership.voters.len() > 1 => Some(membership.without(old)),
-        None if membership.voters.len() >= MOST_VOTERS => None,
+        None if membership.voters.len() >= MAX_VOTERS => None,
         _ => Some(membership.with_voter(learner)),
     }
 }
