--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -12,14 +12,14 @@
 use std::sync::Arc;
 
 /// Number of edits whose complete tables are retained for `table diff`.
-const KEPT_TABLES: usize = 32;
+const MAX_STORED_TABLES: usize = 32;
 /// Number of edits whose records are retained.
-const KEPT_EDITS: usize = 1_000;
+const MAX_STORED_EDITS: usize = 1_000;
 /// Number of outcomes retained for resent edits; more than one day's edits at the planned fleet
 /// size.
-const KEPT_OUTCOMES: usize = 10_000;
+const MAX_STORED_OUTCOMES: usize = 10_000;
 /// Maximum number of differing cells stored with a conflict.
-const KEPT_CELLS: usize = 50;
+const MAX_CONFLICT_CELLS: usize = 50;
 
 /// Table edit by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -174,9 +174,9 @@
     table: VersionedTable,
     history: VecDeque<EditRecord>,
     tables: VecDeque<VersionedTable>,
-    outcomes: VecDeque<KeptOutcome>,
+    outcomes: VecDeque<StoredOutcome>,
     #[serde(skip)]
-    by_edit: HashMap<String, EditOutcome>,
+    outcomes_by_edit_id: HashMap<String, EditOutcome>,
     claims: ClaimRegistry,
     members: BTreeMap<DaemonName, u64>,
     barred: BTreeSet<DaemonName>,
@@ -187,7 +187,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct KeptOutcome {
+struct StoredOutcome {
     edit_id: String,
     outcome: EditOutcome,
 }
@@ -199,7 +199,7 @@
             history: VecDeque::new(),
             tables: VecDeque::new(),
             outcomes: VecDeque::new(),
-            by_edit: HashMap::new(),
+            outcomes_by_edit_id: HashMap::new(),
             claims: ClaimRegistry::default(),
             members: BTreeMap::new(),
             barred: BTreeSet::new(),
@@ -221,10 +221,10 @@
             return Ok(ControlLedger::default());
         }
         let mut ledger: ControlLedger = serde_json::from_str(text)?;
-        ledger.by_edit = ledger
+        ledger.outcomes_by_edit_id = ledger
             .outcomes
             .iter()
-            .map(|kept| (kept.edit_id.clone(), kept.outcome.clone()))
+            .map(|stored| (stored.edit_id.clone(), stored.outcome.clone()))
             .collect();
         Ok(ledger)
     }
@@ -263,7 +263,7 @@
 
     /// Applies an edit. A resent edit receives its first outcome, whatever has happened since.
     fn edit(&mut self, edit: &TableEdit) -> EditOutcome {
-        if let Some(known) = self.by_edit.get(&edit.edit_id) {
+        if let Some(known) = self.outcomes_by_edit_id.get(&edit.edit_id) {
             return known.clone();
         }
         let is_current =
@@ -272,14 +272,14 @@
             true => EditOutcome::Accepted(self.accept(edit)),
             false => {
                 let mut difference = diff_tables(&self.table.table, &edit.table);
-                difference.truncate(KEPT_CELLS);
+                difference.truncate(MAX_CONFLICT_CELLS);
                 EditOutcome::Conflict(EditConflict {
                     winner: self.history.back().cloned(),
                     difference,
                 })
             }
         };
-        self.keep_outcome(&edit.edit_id, &outcome);
+        self.store_outcome(&edit.edit_id, &outcome);
         outcome
     }
 
@@ -297,7 +297,7 @@
 
     fn accept(&mut self, edit: &TableEdit) -> EditRecord {
         self.tables.push_back(self.table.clone());
-        if self.tables.len() > KEPT_TABLES {
+        if self.tables.len() > MAX_STORED_TABLES {
             self.tables.pop_front();
         }
         self.table = VersionedTable::new(self.table.version + 1, edit.table.clone());
@@ -309,26 +309,26 @@
             at: edit.at,
         };
         self.history.push_back(record.clone());
-        if self.history.len() > KEPT_EDITS {
+        if self.history.len() > MAX_STORED_EDITS {
             self.history.pop_front();
         }
         record
     }
 
-    fn keep_outcome(&mut self, edit_id: &str, outcome: &EditOutcome) {
-        self.by_edit.insert(edit_id.to_owned(), outcome.clone());
+    fn store_outcome(&mut self, edit_id: &str, outcome: &EditOutcome) {
+        self.outcomes_by_edit_id.insert(edit_id.to_owned(), outcome.clone());
         self.outcomes
-            .push_back(KeptOutcome { edit_id: edit_id.to_owned(), outcome: outcome.clone() });
-        if self.outcomes.len() > KEPT_OUTCOMES
+            .push_back(StoredOutcome { edit_id: edit_id.to_owned(), outcome: outcome.clone() });
+        if self.outcomes.len() > MAX_STORED_OUTCOMES
             && let Some(oldest) = self.outcomes.pop_front()
         {
-            self.by_edit.remove(&oldest.edit_id);
+            self.outcomes_by_edit_id.remove(&oldest.edit_id);
         }
     }
 
     /// Outcome of an edit that was already applied.
     pub fn outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
-        self.by_edit.get(edit_id)
+        self.outcomes_by_edit_id.get(edit_id)
     }
 
     /// The table in force.
