--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -10,19 +10,19 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
 /// Maximum number of commands in one call.
-const BATCH: usize = 512;
+const MAX_BATCH_COMMANDS: usize = 512;
 /// Maximum number of concurrent calls.
-const CALLS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_CALLS: usize = 4;
 /// Time within which a call must be answered before it is repeated. Acquiring a claim twice for the
 /// same owner is harmless.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time within which a claim must be committed; after that the attempt is abandoned and the claim
 /// withdrawn.
-const TAKE_LIMIT: Duration = Duration::from_millis(2_500);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time for which the recording of an outcome is retried.
-const SETTLE_LIMIT: Duration = Duration::from_secs(120);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Delay before a retry.
-const RETRY_PAUSE: Duration = Duration::from_millis(30);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// Settings of a [`ClaimClient`].
 #[derive(Clone, Debug)]
@@ -36,16 +36,16 @@
 }
 
 #[derive(Debug)]
-struct PendingClaim {
+struct PendingCommand {
     command: ClaimCommand,
-    until: Instant,
+    deadline: Instant,
     reply: Option<oneshot::Sender<Option<ClaimReply>>>,
 }
 
 /// Handle for acquiring and settling claims.
 #[derive(Clone, Debug)]
 pub struct ClaimClient {
-    sender: mpsc::UnboundedSender<PendingClaim>,
+    sender: mpsc::UnboundedSender<PendingCommand>,
 }
 
 impl ClaimClient {
@@ -64,9 +64,9 @@
         key: &ClaimKey,
         digest: String,
         owner: &ClaimOwner,
-        life: Duration,
+        ttl: Duration,
     ) -> Option<ClaimReply> {
-        let ttl_ms = life.as_millis() as u64;
+        let ttl_ms = ttl.as_millis() as u64;
         let command = ClaimCommand::Acquire {
             key: key.clone(),
             digest,
@@ -75,8 +75,8 @@
             ttl_ms,
         };
         let (sender, receiver) = oneshot::channel();
-        let until = Instant::now() + TAKE_LIMIT;
-        self.sender.send(PendingClaim { command, until, reply: Some(sender) }).ok()?;
+        let deadline = Instant::now() + ACQUIRE_TIMEOUT;
+        self.sender.send(PendingCommand { command, deadline, reply: Some(sender) }).ok()?;
         let reply = receiver.await.ok().flatten();
         if reply.is_none() {
             self.settle(key, owner, ClaimOutcome::NotRun);
@@ -87,9 +87,9 @@
     /// Records the outcome of a claim in the background.
     pub fn settle(&self, key: &ClaimKey, owner: &ClaimOwner, outcome: ClaimOutcome) {
         let command = ClaimCommand::Settle { key: key.clone(), owner: owner.clone(), outcome };
-        let _ = self.sender.send(PendingClaim {
+        let _ = self.sender.send(PendingCommand {
             command,
-            until: Instant::now() + SETTLE_LIMIT,
+            deadline: Instant::now() + SETTLE_TIMEOUT,
             reply: None,
         });
     }
@@ -97,17 +97,17 @@
 
 async fn run_batches(
     settings: ClaimClientSettings,
-    mut receiver: mpsc::UnboundedReceiver<PendingClaim>,
+    mut receiver: mpsc::UnboundedReceiver<PendingCommand>,
     client: ClaimClient,
 ) {
-    let calls = Arc::new(Semaphore::new(CALLS_AT_ONCE));
+    let calls = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     let ClaimClientSettings { voters, key, hint } = settings;
     let mut leader = LeaderClient::new(voters, key, hint.clone());
     let mut batch = Vec::new();
-    while receiver.recv_many(&mut batch, BATCH).await > 0 {
+    while receiver.recv_many(&mut batch, MAX_BATCH_COMMANDS).await > 0 {
         let Ok(permit) = Arc::clone(&calls).acquire_owned().await else { return };
         let rpc_client = leader.get().await.map(|(_, rpc_client)| rpc_client);
-        let call = run_call(std::mem::take(&mut batch), rpc_client, hint.clone(), client.clone());
+        let call = send_batch(std::mem::take(&mut batch), rpc_client, hint.clone(), client.clone());
         tokio::spawn(async move {
             let _permit = permit;
             call.await;
@@ -115,8 +115,8 @@
     }
 }
 
-async fn run_call(
-    batch: Vec<PendingClaim>,
+async fn send_batch(
+    batch: Vec<PendingCommand>,
     leader: Option<Arc<WsClient>>,
     hint: LeaderHint,
     client: ClaimClient,
@@ -136,10 +136,10 @@
         Some(Ok(LeaderAnswer::Elsewhere(leader))) => hint.set(leader),
         _ => hint.set(None),
     }
-    tokio::time::sleep(RETRY_PAUSE).await;
+    tokio::time::sleep(RETRY_DELAY).await;
     let now = Instant::now();
     for pending in batch {
-        match pending.until > now {
+        match pending.deadline > now {
             true => drop(client.sender.send(pending)),
             false => pending.reply.into_iter().for_each(|sender| drop(sender.send(None))),
         }
