--- a/src/control/control_loop/edits.rs
+++ b/src/control/control_loop/edits.rs
@@ -14,17 +14,17 @@
 use std::time::Duration;
 
 /// Maximum time that an operator's `--wait` lasts.
-const FORCE_WAIT: Duration = Duration::from_secs(10);
+const MAX_IN_FORCE_WAIT: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
-    pub(super) fn take_edit(
+    pub(super) fn on_edit(
         &mut self,
         edit: Box<TableEdit>,
         wait: bool,
         reply: ReplyTo<ApplyAnswer>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         let mut edit = edit;
         edit.at = unix_millis();
@@ -32,13 +32,13 @@
         self.proposals.push((vec![command], EntryWaiter::Edit { wait, reply }));
     }
 
-    pub(super) fn take_numbered(
+    pub(super) fn on_numbered(
         &mut self,
         numbered: Box<NumberedTable>,
         reply: ReplyTo<NumberedOutcome>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         info!(self.setup.log, "numbered table proposed"; "version" => numbered.version,
             "held" => self.ledger.table().version, "bytes" => numbered.document.len());
@@ -46,13 +46,13 @@
             .push((vec![ControlCommand::Replace(numbered)], EntryWaiter::Replace { reply }));
     }
 
-    pub(super) fn take_claims(
+    pub(super) fn on_claims(
         &mut self,
         commands: Vec<ClaimCommand>,
         reply: ReplyTo<Vec<ClaimReply>>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         let stamp = unix_millis();
         let mut commands = commands;
@@ -74,7 +74,7 @@
         let answer = if self.holds_lease() {
             LeaderAnswer::Done(value)
         } else {
-            LeaderAnswer::Elsewhere(self.other_leader())
+            LeaderAnswer::Elsewhere(self.remote_leader())
         };
         let _ = reply.send(answer);
     }
@@ -115,7 +115,7 @@
                 let _ = reply.send(LeaderAnswer::Done(outcome));
             }
             (EntryWaiter::Claims { mut replies, reply, .. }, _) => {
-                self.judge_owners(&mut replies);
+                self.mark_dead_owners(&mut replies);
                 let _ = reply.send(LeaderAnswer::Done(replies));
             }
             (EntryWaiter::Rollout { reply }, ControlReply::Rollout(answer)) => {
@@ -133,7 +133,7 @@
 
     /// Marks claims of dead owners as unknown: they will never be settled, and their requests may
     /// have been executed.
-    pub(super) fn judge_owners(&self, replies: &mut [ClaimReply]) {
+    pub(super) fn mark_dead_owners(&self, replies: &mut [ClaimReply]) {
         let now = self.now();
         let Some(registry) = &self.registry else { return };
         for reply in replies {
@@ -155,7 +155,7 @@
         let answer = ApplyAnswer { outcome, progress };
         match &answer.outcome {
             EditOutcome::Accepted(record) => {
-                let until = if wait { self.now() + FORCE_WAIT } else { Moment(0) };
+                let until = if wait { self.now() + MAX_IN_FORCE_WAIT } else { Moment(0) };
                 self.waiting.force.push(ForceWait {
                     version: record.version,
                     until,
--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 /// Number of log entries after which a snapshot is written.
-const SNAPSHOT_ENTRIES: usize = 4_096;
+const ENTRIES_PER_SNAPSHOT: usize = 4_096;
 /// Delay between attempts to reopen a failed data folder.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+const REOPEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl ControlLoop {
-    pub(super) fn adopt(&mut self, voter: OpenVoter) {
+    pub(super) fn install_voter(&mut self, voter: OpenVoter) {
         let OpenVoter { store, identity, state } = voter;
         self.store = Some(store);
-        self.hard = state.hard_state.clone();
+        self.hard_state = state.hard_state.clone();
         if let Some(fleet) = identity.fleet {
             self.fleet = Some(fleet);
             let snapshot = state.snapshot.clone().unwrap_or_else(|| blank_snapshot(fleet));
@@ -61,27 +61,28 @@
     pub(super) fn stop_voting(&mut self, fault: &StoreError) {
         error!(self.setup.log, "cannot keep the log; not voting until the folder works again"; "fault" => fault.to_string());
         self.core = None;
-        self.broken_since = Some(self.now());
-        self.watch_role();
+        self.folder_failed_at = Some(self.now());
+        self.update_role();
     }
 
     /// Restarts the voter from the contents of its data folder, as after a process restart. Without
     /// this, a disk that was full for a moment would disable the voter permanently although its
     /// process runs, and the next such disk would cost the quorum.
-    pub(super) fn reopen_if_broken(&mut self, now: Moment) {
-        let Some(since) = self.broken_since.filter(|since| now.since(*since) >= REOPEN_PAUSE)
+    pub(super) fn reopen_failed_folder(&mut self, now: Moment) {
+        let Some(since) =
+            self.folder_failed_at.filter(|since| now.since(*since) >= REOPEN_RETRY_DELAY)
         else {
             return;
         };
         let Some(folder) = self.setup.data_folder.clone() else { return };
-        self.broken_since = Some(now);
+        self.folder_failed_at = Some(now);
         // The lock on the folder must be released before it is taken again.
         self.store = None;
         match open_voter(&self.setup, &folder, &mut self.rng) {
             Ok(voter) => {
                 info!(self.setup.log, "folder works again"; "after_ms" => now.since(since).as_millis() as u64);
-                self.broken_since = None;
-                self.adopt(voter);
+                self.folder_failed_at = None;
+                self.install_voter(voter);
             }
             Err(fault) => {
                 warn!(self.setup.log, "folder does not work yet"; "fault" => fault.to_string());
@@ -92,11 +93,11 @@
     pub(super) fn compact_if_long(&mut self) {
         let (Some(core), Some(store)) = (&mut self.core, &mut self.store) else { return };
         let covered = core.applied_index().saturating_sub(core.log().base().index);
-        if (covered as usize) < SNAPSHOT_ENTRIES {
+        if (covered as usize) < ENTRIES_PER_SNAPSHOT {
             return;
         }
         let snapshot = core.compact(Arc::from(self.ledger.to_json()));
-        if let Err(fault) = store.replace(&snapshot, &self.hard, core.log().entries()) {
+        if let Err(fault) = store.replace(&snapshot, &self.hard_state, core.log().entries()) {
             self.stop_voting(&fault);
         }
     }
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -18,12 +18,12 @@
 use std::time::Duration;
 
 /// Time after the expiry of its lease at which a dead member is removed from the member list.
-const DEAD_FOR: Duration = Duration::from_secs(10);
+const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(10);
 /// Time without a leader after which a voter asks to join again.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
+const REJOIN_DELAY: Duration = Duration::from_secs(2);
 
 impl ControlLoop {
-    pub(super) fn joining(&self) -> JoinTask {
+    pub(super) fn join_task(&self) -> JoinTask {
         let voter = self.identity.as_ref().map(|identity| identity.voter.clone());
         JoinTask {
             voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder: 0 }),
@@ -37,7 +37,7 @@
 
     /// Records in the data folder that the voter belongs to a fleet, and only then starts the
     /// replica.
-    pub(super) fn joined(&mut self, joined: JoinedFleet) {
+    pub(super) fn enter_fleet(&mut self, joined: JoinedFleet) {
         let Some(mut identity) = self.identity.take() else { return };
         let (fleet, snapshot) = match joined {
             JoinedFleet::Joined(fleet) => (fleet, blank_snapshot(fleet)),
@@ -55,9 +55,9 @@
             }
         };
         let Some(store) = &mut self.store else { return };
-        let hard = HardState::default();
+        let initial_state = HardState::default();
         let kept = store
-            .replace::<ControlCommand>(&snapshot, &hard, &[])
+            .replace::<ControlCommand>(&snapshot, &initial_state, &[])
             .and_then(|()| identity.set_fleet(store.path(), fleet));
         if let Err(fault) = kept {
             error!(self.setup.log, "cannot keep the fleet's identity"; "fault" => fault.to_string());
@@ -66,8 +66,12 @@
         }
         info!(self.setup.log, "belongs to a fleet"; "fleet" => fleet.0, "founded" => !matches!(joined, JoinedFleet::Joined(_)));
         self.fleet = Some(fleet);
-        let state =
-            FolderState { hard_state: hard, snapshot: None, entries: Vec::new(), commit: 0 };
+        let state = FolderState {
+            hard_state: initial_state,
+            snapshot: None,
+            entries: Vec::new(),
+            commit: 0,
+        };
         self.start_core(&identity, snapshot, state);
         self.identity = Some(identity);
     }
@@ -75,19 +79,19 @@
     /// Asks to join again if no leader has been heard for a while, since the voter may have been
     /// removed without being notified. A leader that has it in the membership answers so; another
     /// may add it as a learner.
-    pub(super) fn ask_if_forgotten(&mut self, now: Moment) {
-        let hears_leader = self.core.as_ref().is_none_or(|core| core.leader().is_some());
-        if hears_leader {
-            self.alone_since = now;
-        } else if now.since(self.alone_since) >= FORGOTTEN_AFTER {
-            self.alone_since = now;
-            let task = self.joining();
+    pub(super) fn rejoin_if_leaderless(&mut self, now: Moment) {
+        let has_leader = self.core.as_ref().is_none_or(|core| core.leader().is_some());
+        if has_leader {
+            self.leaderless_since = now;
+        } else if now.since(self.leaderless_since) >= REJOIN_DELAY {
+            self.leaderless_since = now;
+            let task = self.join_task();
             tokio::spawn(async move { request_join(&task).await });
         }
     }
 
     /// Performs the leader's periodic work.
-    pub(super) fn lead(&mut self) {
+    pub(super) fn run_leader_tasks(&mut self) {
         if !self.holds_lease() {
             return;
         }
@@ -99,32 +103,33 @@
                 membership.voters.keys().map(VoterId::to_string).collect::<Vec<String>>().join(" ");
             if let Ok(output) = core.change_membership(membership, now) {
                 info!(self.setup.log, "changing voters"; "voters" => text);
-                self.settle(output, None);
+                self.process_output(output, None);
             }
         }
-        self.drop_dead(now);
-        self.direct_rollouts(now);
+        self.remove_dead_members(now);
+        self.advance_rollouts(now);
     }
 
-    pub(super) fn drop_dead(&mut self, now: Moment) {
+    pub(super) fn remove_dead_members(&mut self, now: Moment) {
         let Some(registry) = &self.registry else { return };
         let dead = registry.expired_members(now);
         self.dead_since.retain(|daemon, _| dead.iter().any(|(name, _)| name == daemon));
-        let mut gone = Vec::new();
+        let mut leave_commands = Vec::new();
         for (daemon, boot) in dead {
             let since = *self.dead_since.entry(daemon.clone()).or_insert(now);
-            if now.since(since) >= DEAD_FOR {
+            if now.since(since) >= DEAD_MEMBER_RETENTION {
                 self.dead_since.insert(daemon.clone(), now);
                 warn!(self.setup.log, "daemon is dead"; "name" => daemon.as_str());
-                gone.push(ControlCommand::Leave { daemon, boot });
+                leave_commands.push(ControlCommand::Leave { daemon, boot });
             }
         }
-        gone.into_iter()
+        leave_commands
+            .into_iter()
             .for_each(|command| self.proposals.push((vec![command], EntryWaiter::Nobody)));
-        self.propose_taken();
+        self.propose_pending();
     }
 
-    pub(super) fn take_join(
+    pub(super) fn on_join(
         &mut self,
         voter: VoterId,
         control: SocketAddr,
@@ -132,7 +137,7 @@
     ) {
         let now = self.now();
         let (true, Some(fleet)) = (self.holds_lease(), self.fleet) else {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         };
         let Some(core) = &mut self.core else { return };
         let is_known = core.membership().address(&voter) == Some(control);
@@ -145,7 +150,7 @@
         let membership = core.membership().with_learner(voter, control);
         match core.change_membership(membership, now) {
             Ok(output) => {
-                self.settle(output, None);
+                self.process_output(output, None);
                 // Not accepted yet: the voter asks again and is then found in the membership.
                 let _ = reply.send(LeaderAnswer::Elsewhere(None));
             }
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -11,7 +11,7 @@
 mod reports;
 mod rollouts;
 
-use self::rollouts::RolloutDesk;
+use self::rollouts::RolloutTracker;
 use super::fleet::{FleetRegistry, PoolOrder};
 use super::joining::JoinedFleet;
 use super::joining::join_or_found;
@@ -40,9 +40,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Interval between ticks of the replica.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of requests in one batch.
-const TAKEN_TOGETHER: usize = 2_048;
+const MAX_REQUEST_BATCH: usize = 2_048;
 
 /// Starts the control loop on the current runtime. `drain` is set when an operator asks the daemon
 /// to drain.
@@ -62,7 +62,7 @@
         ledger: ControlLedger::default(),
         core: None,
         store: None,
-        hard: HardState::default(),
+        hard_state: HardState::default(),
         identity: None,
         registry: None,
         fleet: None,
@@ -71,18 +71,18 @@
         drain,
         waiting: Waiting::default(),
         proposals: Vec::new(),
-        alone_since: Moment(0),
+        leaderless_since: Moment(0),
         dead_since: BTreeMap::new(),
-        broken_since: None,
-        sent: BTreeMap::new(),
-        packed: PackedTable::default(),
-        proposed_suspects: RecentRequests::default(),
-        released: RecentRequests::default(),
-        rollouts: RolloutDesk::default(),
+        folder_failed_at: None,
+        sent_orders: BTreeMap::new(),
+        packed_table: PackedTable::default(),
+        recent_suspects: RecentRequests::default(),
+        recent_releases: RecentRequests::default(),
+        rollout_tracker: RolloutTracker::default(),
         setup,
     };
     if let Some(voter) = voter {
-        control.adopt(voter);
+        control.install_voter(voter);
     }
     tokio::spawn(control.run(requests, replies));
     Ok(ControlHandle { sender })
@@ -93,7 +93,7 @@
     ledger: ControlLedger,
     core: Option<ReplicaCore<ControlCommand>>,
     store: Option<StoreFolder>,
-    hard: HardState,
+    hard_state: HardState,
     identity: Option<FolderIdentity>,
     registry: Option<FleetRegistry>,
     fleet: Option<FleetId>,
@@ -103,20 +103,20 @@
     waiting: Waiting,
     proposals: Vec<(Vec<ControlCommand>, EntryWaiter)>,
     /// Time since which no leader has been heard, or at which the voter last asked to join.
-    alone_since: Moment,
+    leaderless_since: Moment,
     dead_since: BTreeMap<DaemonName, Moment>,
     /// Time at which the data folder failed or was last tried again.
-    broken_since: Option<Moment>,
+    folder_failed_at: Option<Moment>,
     /// Orders last sent to each daemon. A report is held only while they are unchanged.
-    sent: BTreeMap<DaemonName, Vec<PoolOrder>>,
+    sent_orders: BTreeMap<DaemonName, Vec<PoolOrder>>,
     /// The table in force as sent to the daemons.
-    packed: PackedTable,
+    packed_table: PackedTable,
     /// Contents recently proposed for quarantine.
-    proposed_suspects: RecentRequests,
+    recent_suspects: RecentRequests,
     /// Contents recently released by operators.
-    released: RecentRequests,
+    recent_releases: RecentRequests,
     /// Roll-outs in progress, while this daemon leads.
-    rollouts: RolloutDesk,
+    rollout_tracker: RolloutTracker,
 }
 
 impl ControlLoop {
@@ -129,28 +129,28 @@
         mut requests: mpsc::UnboundedReceiver<ControlRequest>,
         mut replies: mpsc::UnboundedReceiver<ReplicaEnvelope<ControlCommand>>,
     ) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let (founding_sender, mut founding) = mpsc::channel(1);
         if self.store.is_some() && self.core.is_none() && !self.setup.founders.is_empty() {
-            self.joined(JoinedFleet::FoundedTogether);
+            self.enter_fleet(JoinedFleet::FoundedTogether);
         }
         if self.store.is_some() && self.core.is_none() {
-            tokio::spawn(join_or_found(self.joining(), founding_sender));
+            tokio::spawn(join_or_found(self.join_task(), founding_sender));
         }
         loop {
             tokio::select! {
                 request = requests.recv() => {
                     let Some(request) = request else { return };
-                    self.take(request);
-                    for _ in 1..TAKEN_TOGETHER {
+                    self.on_request(request);
+                    for _ in 1..MAX_REQUEST_BATCH {
                         let Ok(request) = requests.try_recv() else { break };
-                        self.take(request);
+                        self.on_request(request);
                     }
-                    self.propose_taken();
+                    self.propose_pending();
                 }
                 Some(envelope) = replies.recv() => self.receive(envelope),
-                Some(joined) = founding.recv() => self.joined(joined),
+                Some(joined) = founding.recv() => self.enter_fleet(joined),
                 _ = ticks.tick() => self.tick(),
             }
             self.answer_waiting();
@@ -159,34 +159,34 @@
 
     fn tick(&mut self) {
         let now = self.now();
-        self.reopen_if_broken(now);
+        self.reopen_failed_folder(now);
         let Some(core) = &mut self.core else { return };
         let output = core.tick(now, &mut self.rng);
-        self.settle(output, None);
-        self.lead();
-        self.ask_if_forgotten(now);
+        self.process_output(output, None);
+        self.run_leader_tasks();
+        self.rejoin_if_leaderless(now);
     }
 
     fn receive(&mut self, envelope: ReplicaEnvelope<ControlCommand>) {
         let now = self.now();
         let Some(core) = &mut self.core else { return };
         let output = core.receive(envelope, now, &mut self.rng);
-        self.settle(output, None);
+        self.process_output(output, None);
     }
 
     /// Processes the output of the replica in the order that safety requires: sync, send, apply.
     /// Messages to `answering` are returned instead of sent.
-    fn settle(
+    fn process_output(
         &mut self,
         output: ReplicaOutput<ControlCommand>,
         answering: Option<&VoterId>,
     ) -> Vec<ReplicaEnvelope<ControlCommand>> {
-        if let Some(hard) = &output.hard_state {
-            self.hard = hard.clone();
+        if let Some(hard_state) = &output.hard_state {
+            self.hard_state = hard_state.clone();
         }
         if output.must_sync()
             && let Some(store) = &mut self.store
-            && let Err(fault) = store.keep(&output, &self.hard)
+            && let Err(fault) = store.keep(&output, &self.hard_state)
         {
             // A failed write may be partially complete, so the contents of the folder are unknown.
             // This voter must make no promises until the folder has been read again.
@@ -210,7 +210,7 @@
         {
             warn!(self.setup.log, "cannot note what is committed"; "fault" => fault.to_string());
         }
-        self.watch_role();
+        self.update_role();
         self.compact_if_long();
         answers
     }
@@ -241,31 +241,31 @@
         self.answer_entry(entry.at, reply);
     }
 
-    fn propose_taken(&mut self) {
+    fn propose_pending(&mut self) {
         let now = self.now();
-        let mut taken = std::mem::take(&mut self.proposals);
+        let mut pending = std::mem::take(&mut self.proposals);
         let Some(core) = &mut self.core else {
-            return taken.into_iter().for_each(|(_, waiter)| waiter.elsewhere(None));
+            return pending.into_iter().for_each(|(_, waiter)| waiter.elsewhere(None));
         };
         let commands: Vec<ControlCommand> =
-            taken.iter_mut().flat_map(|(commands, _)| std::mem::take(commands)).collect();
+            pending.iter_mut().flat_map(|(commands, _)| std::mem::take(commands)).collect();
         if commands.is_empty() {
             return;
         }
-        let counts: Vec<usize> = taken.iter().map(|(_, waiter)| waiter.entry_count()).collect();
+        let counts: Vec<usize> = pending.iter().map(|(_, waiter)| waiter.entry_count()).collect();
         match core.propose(commands, now) {
             Ok((first, output)) => {
                 let term = core.term();
                 let mut index = first - 1;
-                for ((_, waiter), count) in taken.into_iter().zip(counts) {
+                for ((_, waiter), count) in pending.into_iter().zip(counts) {
                     index += count as u64;
                     self.waiting.entries.push_back((index, term, waiter));
                 }
-                self.settle(output, None);
+                self.process_output(output, None);
             }
             Err(_) => {
                 let leader = self.leader_address();
-                taken.into_iter().for_each(|(_, waiter)| waiter.elsewhere(leader));
+                pending.into_iter().for_each(|(_, waiter)| waiter.elsewhere(leader));
             }
         }
     }
@@ -280,9 +280,9 @@
         self.core.as_ref().is_some_and(|core| core.holds_lease(self.now()))
     }
 
-    fn watch_role(&mut self) {
-        let leads = self.core.as_ref().is_some_and(|core| core.role() == ReplicaRole::Leader);
-        match (leads, self.registry.is_some()) {
+    fn update_role(&mut self) {
+        let is_leader = self.core.as_ref().is_some_and(|core| core.role() == ReplicaRole::Leader);
+        match (is_leader, self.registry.is_some()) {
             (true, false) => {
                 info!(self.setup.log, "leads"; "term" => self.core.as_ref().map_or(0, ReplicaCore::term));
                 let term = self.core.as_ref().map_or(0, ReplicaCore::term);
@@ -293,8 +293,8 @@
                     self.ledger.members(),
                 ));
                 self.dead_since.clear();
-                self.sent.clear();
-                self.rollouts.clear();
+                self.sent_orders.clear();
+                self.rollout_tracker.clear();
             }
             (false, true) => {
                 info!(self.setup.log, "no longer leads");
@@ -314,15 +314,15 @@
         }
     }
 
-    fn take(&mut self, request: ControlRequest) {
+    fn on_request(&mut self, request: ControlRequest) {
         match request {
-            ControlRequest::Replica { envelope, reply } => self.take_envelope(*envelope, reply),
-            ControlRequest::Report { report, reply } => self.take_report(report, reply),
-            ControlRequest::Claims { commands, reply } => self.take_claims(commands, reply),
-            ControlRequest::Join { voter, control, reply } => self.take_join(voter, control, reply),
+            ControlRequest::Replica { envelope, reply } => self.on_envelope(*envelope, reply),
+            ControlRequest::Report { report, reply } => self.on_report(report, reply),
+            ControlRequest::Claims { commands, reply } => self.on_claims(commands, reply),
+            ControlRequest::Join { voter, control, reply } => self.on_join(voter, control, reply),
             ControlRequest::Fleet { reply } => drop(reply.send(self.fleet)),
-            ControlRequest::Apply { edit, wait, reply } => self.take_edit(edit, wait, reply),
-            ControlRequest::Replace { numbered, reply } => self.take_numbered(numbered, reply),
+            ControlRequest::Apply { edit, wait, reply } => self.on_edit(edit, wait, reply),
+            ControlRequest::Replace { numbered, reply } => self.on_numbered(numbered, reply),
             ControlRequest::KnownTable { reply } => {
                 let table = self.ledger.table();
                 drop(reply.send((table.version > 0).then(|| table.clone())));
@@ -351,8 +351,8 @@
             ControlRequest::Quarantine { reply } => {
                 self.answer_read(self.quarantine_rows(), reply);
             }
-            ControlRequest::Release { request, reply } => self.take_release(request, reply),
-            ControlRequest::Rollout { order, reply } => self.take_rollout(order, reply),
+            ControlRequest::Release { request, reply } => self.on_release(request, reply),
+            ControlRequest::Rollout { order, reply } => self.on_rollout(order, reply),
             ControlRequest::Rollouts { reply } => {
                 self.answer_read(self.ledger.rollouts().iter().cloned().collect(), reply);
             }
@@ -364,7 +364,7 @@
         }
     }
 
-    fn take_envelope(
+    fn on_envelope(
         &mut self,
         envelope: ReplicaEnvelope<ControlCommand>,
         reply: oneshot::Sender<Vec<ReplicaEnvelope<ControlCommand>>>,
@@ -373,12 +373,12 @@
         let from = envelope.from.clone();
         let Some(core) = &mut self.core else { return drop(reply.send(Vec::new())) };
         let output = core.receive(envelope, now, &mut self.rng);
-        let answers = self.settle(output, Some(&from));
+        let answers = self.process_output(output, Some(&from));
         let _ = reply.send(answers);
     }
 
     /// The leader's address, or `None` if it is this daemon, which cannot answer yet.
-    fn other_leader(&self) -> Option<SocketAddr> {
+    fn remote_leader(&self) -> Option<SocketAddr> {
         self.leader_address().filter(|address| *address != self.setup.control)
     }
 
--- a/src/control/control_loop/quarantine.rs
+++ b/src/control/control_loop/quarantine.rs
@@ -13,37 +13,37 @@
 
 /// Time within which the same content with the same number of crashes is proposed only once,
 /// however many daemons report it.
-const PROPOSED_FOR: Duration = Duration::from_secs(2);
+const PROPOSAL_REPEAT_DELAY: Duration = Duration::from_secs(2);
 /// Time for which a release is included in all orders, so that every reporting daemon receives it
 /// and tells the others.
-const RELEASED_FOR: Duration = Duration::from_secs(10);
+const RELEASE_SEND_PERIOD: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
     /// Proposes the reported crashes that are not in the ledger yet.
-    pub(super) fn take_suspects(&mut self, rows: Vec<SuspectRow>) {
+    pub(super) fn on_suspects(&mut self, rows: Vec<SuspectRow>) {
         let now = self.now();
-        self.proposed_suspects.forget(PROPOSED_FOR, now);
-        let news: Vec<SuspectRow> = rows
+        self.recent_suspects.forget(PROPOSAL_REPEAT_DELAY, now);
+        let new_rows: Vec<SuspectRow> = rows
             .into_iter()
             .filter(|row| self.ledger.quarantine().lacks(row))
-            .filter(|row| self.proposed_suspects.note(row.request, row.crashes.len(), now))
+            .filter(|row| self.recent_suspects.note(row.request, row.crashes.len(), now))
             .collect();
-        if !news.is_empty() {
-            let command = ControlCommand::Quarantine { rows: news, at: unix_millis() };
+        if !new_rows.is_empty() {
+            let command = ControlCommand::Quarantine { rows: new_rows, at: unix_millis() };
             self.proposals.push((vec![command], EntryWaiter::Nobody));
         }
     }
 
-    pub(super) fn take_release(
+    pub(super) fn on_release(
         &mut self,
         request: RequestFingerprint,
         reply: ReplyTo<Vec<QuarantineRow>>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         info!(self.setup.log, "request released by an operator"; "fingerprint" => request.to_string());
-        self.released.note(request, 0, self.now());
+        self.recent_releases.note(request, 0, self.now());
         let command = ControlCommand::Release { request, at: unix_millis() };
         self.proposals.push((vec![command], EntryWaiter::Quarantine { reply }));
     }
@@ -54,9 +54,9 @@
 
     /// Records of recently released contents, for all daemons.
     pub(super) fn released_rows(&mut self) -> Vec<SuspectRow> {
-        self.released.forget(RELEASED_FOR, self.setup.clock.now());
+        self.recent_releases.forget(RELEASE_SEND_PERIOD, self.setup.clock.now());
         let log = self.ledger.quarantine();
         let now = unix_millis();
-        self.released.iter().flat_map(|request| log.rows(Some(request), now)).collect()
+        self.recent_releases.iter().flat_map(|request| log.rows(Some(request), now)).collect()
     }
 }
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -13,16 +13,16 @@
 use std::time::Duration;
 
 /// Time after which a report is answered even if no order has changed.
-const REPORT_HOLD: Duration = Duration::from_millis(400);
+const MAX_REPORT_HOLD: Duration = Duration::from_millis(400);
 
 impl ControlLoop {
     /// Records a report and holds it until there are orders to answer it with. A daemon that is not
     /// on the member list receives no orders until its `Join` is committed, since from then on
     /// every leader knows that it may hold a lease.
-    pub(super) fn take_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
+    pub(super) fn on_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
         let now = self.now();
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         let Some(registry) = &mut self.registry else { return };
         let (daemon, version, has_lease) =
@@ -38,7 +38,7 @@
             ReportOutcome::UnknownBoot => {
                 let command = ControlCommand::Join { daemon: daemon.clone(), boot };
                 self.proposals.push((vec![command], EntryWaiter::Nobody));
-                self.sent.remove(&daemon);
+                self.sent_orders.remove(&daemon);
                 return drop(reply.send(LeaderAnswer::Elsewhere(None)));
             }
             ReportOutcome::TermMismatch => {
@@ -48,7 +48,7 @@
             ReportOutcome::Superseded => return drop(reply.send(LeaderAnswer::Elsewhere(None))),
         }
         self.waiting.reports.retain(|held| held.daemon != daemon);
-        self.take_rollout_reports(&daemon, boot, rollouts);
+        self.on_rollout_reports(&daemon, boot, rollouts);
         let held = HeldReport {
             daemon,
             has_lease,
@@ -61,7 +61,7 @@
             reply,
         };
         self.waiting.reports.push(held);
-        self.take_suspects(suspects);
+        self.on_suspects(suspects);
     }
 
     /// Answers held reports whose orders have changed or whose hold time is over, and edits that
@@ -71,7 +71,7 @@
             return;
         }
         if !self.holds_lease() {
-            let leader = self.other_leader();
+            let leader = self.remote_leader();
             self.waiting
                 .reports
                 .drain(..)
@@ -96,7 +96,7 @@
                 self.waiting.reports.push(held);
                 continue;
             }
-            let is_due = now.since(held.since) >= REPORT_HOLD;
+            let is_due = now.since(held.since) >= MAX_REPORT_HOLD;
             // Otherwise every event at the leader would cost time proportional to the square of the
             // number of daemons.
             let knows_all = held.version == table.version && held.knows_rollouts == rollouts_digest;
@@ -117,12 +117,13 @@
             };
             orders.rollouts = (held.knows_rollouts != rollouts_digest).then(|| rollouts.clone());
             orders.serving = (held.knows_serving != *digest).then(|| list.clone());
-            let is_news = !knows_all || self.sent.get(&held.daemon) != Some(&orders.pools);
-            if is_due || is_news {
+            let has_changes =
+                !knows_all || self.sent_orders.get(&held.daemon) != Some(&orders.pools);
+            if is_due || has_changes {
                 registry.record_sent_orders(&held.daemon, &orders.pools);
-                self.sent.insert(held.daemon, orders.pools.clone());
+                self.sent_orders.insert(held.daemon, orders.pools.clone());
                 if let Some(newer) = &orders.table {
-                    orders.packed = self.packed.of(newer);
+                    orders.packed = self.packed_table.of(newer);
                 }
                 if orders.packed.is_some() {
                     orders.table = None;
--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -16,24 +16,24 @@
 use std::time::Duration;
 
 /// Interval at which a roll-out's elapsed time is recorded, so that a new leader resumes from it.
-const ELAPSED_PAUSE: Duration = Duration::from_secs(1);
+const ELAPSED_RECORD_INTERVAL: Duration = Duration::from_secs(1);
 /// Time after which a proposed change that has not been committed is proposed again.
-const PROPOSED_FOR: Duration = Duration::from_secs(1);
+const PROPOSAL_REPEAT_DELAY: Duration = Duration::from_secs(1);
 
 /// The leader's state of the roll-outs in progress.
 #[derive(Default)]
-pub struct RolloutDesk {
+pub struct RolloutTracker {
     directors: BTreeMap<ServiceName, RolloutDirector>,
     /// Number and stage of the roll-out for which a change was last proposed, and the time of the
     /// proposal.
-    proposed: BTreeMap<ServiceName, (u64, RolloutStage, Moment)>,
-    kept_at: Moment,
+    last_proposals: BTreeMap<ServiceName, (u64, RolloutStage, Moment)>,
+    elapsed_recorded_at: Moment,
 }
 
-impl RolloutDesk {
+impl RolloutTracker {
     /// Discards all state when the leader changes.
     pub fn clear(&mut self) {
-        *self = RolloutDesk::default();
+        *self = RolloutTracker::default();
     }
 
     fn director(&mut self, record: &RolloutRecord, now: Moment) -> &mut RolloutDirector {
@@ -48,16 +48,18 @@
     }
 
     fn may_propose(&self, record: &RolloutRecord, now: Moment) -> bool {
-        self.proposed.get(&record.order.service).is_none_or(|(number, stage, at)| {
-            *number != record.number || *stage != record.stage || now.since(*at) >= PROPOSED_FOR
+        self.last_proposals.get(&record.order.service).is_none_or(|(number, stage, at)| {
+            *number != record.number
+                || *stage != record.stage
+                || now.since(*at) >= PROPOSAL_REPEAT_DELAY
         })
     }
 }
 
 impl ControlLoop {
-    pub(super) fn take_rollout(&mut self, order: RolloutOrder, reply: ReplyTo<RolloutReply>) {
+    pub(super) fn on_rollout(&mut self, order: RolloutOrder, reply: ReplyTo<RolloutReply>) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         info!(self.setup.log, "roll-out proposed"; "service" => order.service.as_str(), "to" => order.to.as_str(),
             "duration_ms" => order.duration_ms);
@@ -65,7 +67,7 @@
         self.proposals.push((vec![command], EntryWaiter::Rollout { reply }));
     }
 
-    pub(super) fn take_rollout_reports(
+    pub(super) fn on_rollout_reports(
         &mut self,
         daemon: &DaemonName,
         boot: u64,
@@ -76,32 +78,33 @@
             let mut records = self.ledger.rollouts().iter();
             let record = records.find(|record| record.number == report.number);
             let Some(record) = record.filter(|record| !record.stage.is_final()) else { continue };
-            self.rollouts.director(record, now).take(daemon, boot, report);
+            self.rollout_tracker.director(record, now).take(daemon, boot, report);
         }
     }
 
     /// Proposes the roll-out steps that the daemons' counts or the elapsed time require.
-    pub(super) fn direct_rollouts(&mut self, now: Moment) {
+    pub(super) fn advance_rollouts(&mut self, now: Moment) {
         let Some(registry) = &self.registry else { return };
         let records = self.ledger.rollouts().iter();
         let current: Vec<RolloutRecord> =
             records.filter(|record| !record.stage.is_final()).cloned().collect();
         if current.is_empty() {
-            return self.rollouts.directors.clear();
+            return self.rollout_tracker.directors.clear();
         }
         let live = registry.serving_boots(now);
         let has_heard_all = registry.has_heard_all(now);
-        let keeps_time = now.since(self.rollouts.kept_at) >= ELAPSED_PAUSE;
-        if keeps_time {
-            self.rollouts.kept_at = now;
+        let is_record_due =
+            now.since(self.rollout_tracker.elapsed_recorded_at) >= ELAPSED_RECORD_INTERVAL;
+        if is_record_due {
+            self.rollout_tracker.elapsed_recorded_at = now;
         }
         let mut steps = Vec::new();
         for record in current {
-            let director = self.rollouts.director(&record, now);
+            let director = self.rollout_tracker.director(&record, now);
             let elapsed_ms = director.elapsed_ms(now);
             let known = if has_heard_all { &live } else { &BTreeMap::new() };
             let decision = director.decide(&record, known, now);
-            let decision = decision.filter(|_| self.rollouts.may_propose(&record, now));
+            let decision = decision.filter(|_| self.rollout_tracker.may_propose(&record, now));
             if let Some(decision) = &decision {
                 info!(self.setup.log, "roll-out decided"; "service" => record.order.service.as_str(),
                     "to" => record.order.to.as_str(), "number" => record.number, "stage" => format!("{:?}", record.stage),
@@ -110,9 +113,9 @@
                     "answers_old" => decision.answers.0, "answers_new" => decision.answers.1,
                     "failures_old" => decision.failures.0, "failures_new" => decision.failures.1);
                 let proposed = (record.number, record.stage, now);
-                self.rollouts.proposed.insert(record.order.service.clone(), proposed);
+                self.rollout_tracker.last_proposals.insert(record.order.service.clone(), proposed);
             }
-            if decision.is_some() || keeps_time {
+            if decision.is_some() || is_record_due {
                 steps.push(ControlCommand::RolloutStep(RolloutStep {
                     service: record.order.service.clone(),
                     number: record.number,
@@ -126,7 +129,7 @@
             steps
                 .into_iter()
                 .for_each(|step| self.proposals.push((vec![step], EntryWaiter::Nobody)));
-            self.propose_taken();
+            self.propose_pending();
         }
     }
 }
