--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -34,7 +34,7 @@
         match ControlLedger::from_json(text) {
             Ok(ledger) => self.ledger = ledger,
             Err(fault) => {
-                error!(self.setup.log, "snapshot does not hold a ledger"; "fault" => fault.to_string())
+                error!(self.setup.log, "snapshot does not contain a valid ledger"; "fault" => fault.to_string())
             }
         }
     }
@@ -59,7 +59,7 @@
 
     /// Stops taking part in votes until the data folder can be read again.
     pub(super) fn stop_voting(&mut self, fault: &StoreError) {
-        error!(self.setup.log, "cannot keep the log; not voting until the folder works again"; "fault" => fault.to_string());
+        error!(self.setup.log, "could not write to the data folder; not voting until it can be used again"; "fault" => fault.to_string());
         self.core = None;
         self.folder_failed_at = Some(self.now());
         self.update_role();
@@ -80,12 +80,12 @@
         self.store = None;
         match open_voter(&self.setup, &folder, &mut self.rng) {
             Ok(voter) => {
-                info!(self.setup.log, "folder works again"; "after_ms" => now.since(since).as_millis() as u64);
+                info!(self.setup.log, "data folder can be used again"; "after_ms" => now.since(since).as_millis() as u64);
                 self.folder_failed_at = None;
                 self.install_voter(voter);
             }
             Err(fault) => {
-                warn!(self.setup.log, "folder does not work yet"; "fault" => fault.to_string());
+                warn!(self.setup.log, "data folder cannot be used yet"; "fault" => fault.to_string());
             }
         }
     }
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -60,11 +60,11 @@
             .replace::<ControlCommand>(&snapshot, &initial_state, &[])
             .and_then(|()| identity.set_fleet(store.path(), fleet));
         if let Err(fault) = kept {
-            error!(self.setup.log, "cannot keep the fleet's identity"; "fault" => fault.to_string());
+            error!(self.setup.log, "could not store the fleet's identity"; "fault" => fault.to_string());
             self.identity = Some(identity);
             return;
         }
-        info!(self.setup.log, "belongs to a fleet"; "fleet" => fleet.0, "founded" => !matches!(joined, JoinedFleet::Joined(_)));
+        info!(self.setup.log, "joined a fleet"; "fleet" => fleet.0, "founded" => !matches!(joined, JoinedFleet::Joined(_)));
         self.fleet = Some(fleet);
         let state = FolderState {
             hard_state: initial_state,
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -208,7 +208,7 @@
         if let (Some(last), Some(store)) = (output.committed.last(), &mut self.store)
             && let Err(fault) = store.note_commit::<ControlCommand>(last.at.index)
         {
-            warn!(self.setup.log, "cannot note what is committed"; "fault" => fault.to_string());
+            warn!(self.setup.log, "could not record the commit index"; "fault" => fault.to_string());
         }
         self.update_role();
         self.compact_if_long();
--- a/src/control/control_loop/quarantine.rs
+++ b/src/control/control_loop/quarantine.rs
@@ -19,7 +19,7 @@
 const RELEASE_SEND_PERIOD: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
-    /// Proposes the reported crashes that are not in the ledger yet.
+    /// Proposes what the reports add to the ledger: further crashes, or that a content was cleared.
     pub(super) fn on_suspects(&mut self, rows: Vec<SuspectRow>) {
         let now = self.now();
         self.recent_suspects.forget(PROPOSAL_REPEAT_DELAY, now);
