--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -64,7 +64,7 @@
             self.identity = Some(identity);
             return;
         }
-        info!(self.setup.log, "joined a fleet"; "fleet" => fleet.0, "founded" => !matches!(joined, JoinedFleet::Joined(_)));
+        info!(self.setup.log, "belongs to a fleet"; "fleet" => fleet.0, "founded" => !matches!(joined, JoinedFleet::Joined(_)));
         self.fleet = Some(fleet);
         let state = FolderState {
             hard_state: initial_state,
@@ -77,8 +77,8 @@
     }
 
     /// Asks to join again if no leader has been heard for a while, since the voter may have been
-    /// removed without being notified. A leader that has it in the membership answers so; another
-    /// may add it as a learner.
+    /// removed without being notified. A leader whose membership contains the voter says so; one
+    /// whose membership does not may add it as a learner.
     pub(super) fn rejoin_if_leaderless(&mut self, now: Moment) {
         let has_leader = self.core.as_ref().is_none_or(|core| core.leader().is_some());
         if has_leader {
