--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -1,6 +1,6 @@
 //! A daemon's end of the fleet: reports to the leader, carries out its orders, keeps the lease.
 
-use super::fleet::{DaemonOrders, DaemonReport, LIMITS, ReportAnswer};
+use super::fleet::{DaemonOrders, DaemonReport, ORGANISATION_LIMITS_POOL, ReportAnswer};
 use super::fleet_member::{FleetMember, PoolState};
 use super::links::{FleetKey, KnownVoters, LeaderClient, LeaderHint};
 use super::packed_table::unpack;
@@ -153,11 +153,11 @@
             .map(|(service, pool)| pool.inspect(|scheduler| pool_state(service, scheduler)));
         let limits = self.state.limits();
         let limits = PoolState {
-            service: LIMITS.into(),
+            service: ORGANISATION_LIMITS_POOL.into(),
             wanted: None,
             guaranteed: None,
             demand: limits.demand(),
-            used: limits.largest_utilisation(),
+            utilisation: limits.largest_utilisation(),
         };
         states.chain([limits]).collect()
     }
@@ -170,7 +170,7 @@
             }
         }
         // None: the lease ran out before the answer came, so the next report asks anew.
-        let Some(moves) = self.member.take(orders, self.state.clock.now()) else { return };
+        let Some(moves) = self.member.apply(orders, self.state.clock.now()) else { return };
         let now = self.state.clock.now();
         match &moves.serving {
             Some(serving) => self.state.fleet.set_serving_list(serving.addresses.clone(), now),
@@ -187,7 +187,7 @@
         }
         let pools = self.state.pools();
         for step in moves.pools {
-            if step.service.as_str() == LIMITS {
+            if step.service.as_str() == ORGANISATION_LIMITS_POOL {
                 self.state.limits().set_share(step.share);
             }
             let Some(pool) = pools.get(&step.service) else { continue };
@@ -211,6 +211,6 @@
         wanted: scheduler.wanted_floor(),
         guaranteed: scheduler.guaranteed_floor(),
         demand: scheduler.demand_tokens(),
-        used: scheduler.max_utilisation(),
+        utilisation: scheduler.max_utilisation(),
     }
 }
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -1,4 +1,5 @@
-//! The traffic's way to claims: batches commands and brings them to the leader.
+//! Client of the claim registry for request handling: batches claim commands and sends them to the
+//! leader.
 
 use super::links::{FleetKey, KnownVoters, LeaderClient, LeaderHint};
 use super::rpc::{ControlApiClient, LeaderAnswer};
@@ -8,62 +9,64 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
-/// Commands in one call.
-const BATCH: usize = 512;
-/// Calls under way.
-const CALLS_AT_ONCE: usize = 4;
-/// One call is answered within this time, or is made again; a repeated take by its owner is harmless.
+/// Maximum number of commands in one call.
+const MAX_BATCH_COMMANDS: usize = 512;
+/// Maximum number of concurrent calls.
+const MAX_CONCURRENT_CALLS: usize = 4;
+/// Time within which a call must be answered before it is repeated. Acquiring a claim twice for the
+/// same owner is harmless.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A take that is not committed within this time is given up, and withdrawn.
-const TAKE_LIMIT: Duration = Duration::from_millis(2_500);
-/// A settlement is tried for this long.
-const SETTLE_LIMIT: Duration = Duration::from_secs(120);
-/// Time before the next try.
-const RETRY_PAUSE: Duration = Duration::from_millis(30);
+/// Time within which a claim must be committed; after that the attempt is abandoned and the claim
+/// withdrawn.
+const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time for which the recording of an outcome is retried.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// What the keeper needs.
+/// Settings of a [`ClaimClient`].
 #[derive(Clone, Debug)]
-pub struct ClaimSettings {
-    /// Control addresses to look for the leader at.
+pub struct ClaimClientSettings {
+    /// Control addresses at which to look for the leader.
     pub voters: KnownVoters,
-    /// The fleet's key.
+    /// Shared key of the fleet.
     pub key: FleetKey,
-    /// Where the leader is believed to be.
+    /// Last known address of the leader.
     pub hint: LeaderHint,
 }
 
 #[derive(Debug)]
-struct PendingClaim {
+struct PendingCommand {
     command: ClaimCommand,
-    until: Instant,
+    deadline: Instant,
     reply: Option<oneshot::Sender<Option<ClaimReply>>>,
 }
 
-/// A handle for taking and settling claims.
+/// Handle for acquiring and settling claims.
 #[derive(Clone, Debug)]
-pub struct ClaimKeeper {
-    sender: mpsc::UnboundedSender<PendingClaim>,
+pub struct ClaimClient {
+    sender: mpsc::UnboundedSender<PendingCommand>,
 }
 
-impl ClaimKeeper {
-    /// Starts the keeper on the current runtime.
-    pub fn start(settings: ClaimSettings) -> Self {
+impl ClaimClient {
+    /// Starts the background task on the current runtime.
+    pub fn start(settings: ClaimClientSettings) -> Self {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let keeper = ClaimKeeper { sender };
-        tokio::spawn(run_batches(settings, receiver, keeper.clone()));
-        keeper
+        let client = ClaimClient { sender };
+        tokio::spawn(run_batches(settings, receiver, client.clone()));
+        client
     }
 
-    /// Takes a claim; none if it could not be committed in time, in which case it is withdrawn in the
-    /// background and the request must not be dispatched.
-    pub async fn take(
+    /// Acquires a claim. Returns `None` if it could not be committed in time; the claim is then
+    /// withdrawn in the background, and the request must not be dispatched.
+    pub async fn acquire(
         &self,
         key: &ClaimKey,
         digest: String,
         owner: &ClaimOwner,
-        life: Duration,
+        ttl: Duration,
     ) -> Option<ClaimReply> {
-        let ttl_ms = life.as_millis() as u64;
+        let ttl_ms = ttl.as_millis() as u64;
         let command = ClaimCommand::Acquire {
             key: key.clone(),
             digest,
@@ -72,8 +75,8 @@
             ttl_ms,
         };
         let (sender, receiver) = oneshot::channel();
-        let until = Instant::now() + TAKE_LIMIT;
-        self.sender.send(PendingClaim { command, until, reply: Some(sender) }).ok()?;
+        let deadline = Instant::now() + ACQUIRE_TIMEOUT;
+        self.sender.send(PendingCommand { command, deadline, reply: Some(sender) }).ok()?;
         let reply = receiver.await.ok().flatten();
         if reply.is_none() {
             self.settle(key, owner, ClaimOutcome::NotRun);
@@ -81,30 +84,30 @@
         reply
     }
 
-    /// Records an outcome, in the background.
+    /// Records the outcome of a claim in the background.
     pub fn settle(&self, key: &ClaimKey, owner: &ClaimOwner, outcome: ClaimOutcome) {
         let command = ClaimCommand::Settle { key: key.clone(), owner: owner.clone(), outcome };
-        let _ = self.sender.send(PendingClaim {
+        let _ = self.sender.send(PendingCommand {
             command,
-            until: Instant::now() + SETTLE_LIMIT,
+            deadline: Instant::now() + SETTLE_TIMEOUT,
             reply: None,
         });
     }
 }
 
 async fn run_batches(
-    settings: ClaimSettings,
-    mut receiver: mpsc::UnboundedReceiver<PendingClaim>,
-    keeper: ClaimKeeper,
+    settings: ClaimClientSettings,
+    mut receiver: mpsc::UnboundedReceiver<PendingCommand>,
+    client: ClaimClient,
 ) {
-    let calls = Arc::new(Semaphore::new(CALLS_AT_ONCE));
-    let ClaimSettings { voters, key, hint } = settings;
+    let calls = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
+    let ClaimClientSettings { voters, key, hint } = settings;
     let mut leader = LeaderClient::new(voters, key, hint.clone());
     let mut batch = Vec::new();
-    while receiver.recv_many(&mut batch, BATCH).await > 0 {
+    while receiver.recv_many(&mut batch, MAX_BATCH_COMMANDS).await > 0 {
         let Ok(permit) = Arc::clone(&calls).acquire_owned().await else { return };
-        let client = leader.get().await.map(|(_, client)| client);
-        let call = run_call(std::mem::take(&mut batch), client, hint.clone(), keeper.clone());
+        let rpc_client = leader.get().await.map(|(_, rpc_client)| rpc_client);
+        let call = send_batch(std::mem::take(&mut batch), rpc_client, hint.clone(), client.clone());
         tokio::spawn(async move {
             let _permit = permit;
             call.await;
@@ -112,15 +115,15 @@
     }
 }
 
-async fn run_call(
-    batch: Vec<PendingClaim>,
-    client: Option<Arc<WsClient>>,
+async fn send_batch(
+    batch: Vec<PendingCommand>,
+    leader: Option<Arc<WsClient>>,
     hint: LeaderHint,
-    keeper: ClaimKeeper,
+    client: ClaimClient,
 ) {
     let commands: Vec<ClaimCommand> = batch.iter().map(|pending| pending.command.clone()).collect();
-    let answer = match &client {
-        Some(client) => tokio::time::timeout(CALL_TIMEOUT, client.claims(commands)).await.ok(),
+    let answer = match &leader {
+        Some(leader) => tokio::time::timeout(CALL_TIMEOUT, leader.claims(commands)).await.ok(),
         None => None,
     };
     match answer {
@@ -133,11 +136,11 @@
         Some(Ok(LeaderAnswer::Elsewhere(leader))) => hint.set(leader),
         _ => hint.set(None),
     }
-    tokio::time::sleep(RETRY_PAUSE).await;
+    tokio::time::sleep(RETRY_DELAY).await;
     let now = Instant::now();
     for pending in batch {
-        match pending.until > now {
-            true => drop(keeper.sender.send(pending)),
+        match pending.deadline > now {
+            true => drop(client.sender.send(pending)),
             false => pending.reply.into_iter().for_each(|sender| drop(sender.send(None))),
         }
     }
--- a/src/control/control_loop/edits.rs
+++ b/src/control/control_loop/edits.rs
@@ -1,4 +1,4 @@
-//! Edits, numbered tables, claims and reads: what only the leader may answer.
+//! Edits, numbered tables, claims and reads: requests that only the leader may answer.
 
 use super::ControlLoop;
 use crate::claim::{ClaimCommand, ClaimReply};
@@ -13,18 +13,18 @@
 use slog::info;
 use std::time::Duration;
 
-/// An operator's `--wait` lasts at most this long.
-const FORCE_WAIT: Duration = Duration::from_secs(10);
+/// Maximum time that an operator's `--wait` lasts.
+const MAX_IN_FORCE_WAIT: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
-    pub(super) fn take_edit(
+    pub(super) fn on_edit(
         &mut self,
         edit: Box<TableEdit>,
         wait: bool,
         reply: ReplyTo<ApplyAnswer>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         let mut edit = edit;
         edit.at = unix_millis();
@@ -32,13 +32,13 @@
         self.proposals.push((vec![command], EntryWaiter::Edit { wait, reply }));
     }
 
-    pub(super) fn take_numbered(
+    pub(super) fn on_numbered(
         &mut self,
         numbered: Box<NumberedTable>,
         reply: ReplyTo<NumberedOutcome>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         info!(self.setup.log, "numbered table proposed"; "version" => numbered.version,
             "held" => self.ledger.table().version, "bytes" => numbered.document.len());
@@ -46,13 +46,13 @@
             .push((vec![ControlCommand::Replace(numbered)], EntryWaiter::Replace { reply }));
     }
 
-    pub(super) fn take_claims(
+    pub(super) fn on_claims(
         &mut self,
         commands: Vec<ClaimCommand>,
         reply: ReplyTo<Vec<ClaimReply>>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         let stamp = unix_millis();
         let mut commands = commands;
@@ -69,18 +69,18 @@
         self.proposals.push((commands, EntryWaiter::Claims { replies: Vec::new(), left, reply }));
     }
 
-    /// A read is answered only under the lease, so that it is never older than an answer given before.
+    /// Answers a read. Reads require the lease, so that no answer is older than one given before.
     pub(super) fn answer_read<T>(&self, value: T, reply: ReplyTo<T>) {
         let answer = if self.holds_lease() {
             LeaderAnswer::Done(value)
         } else {
-            LeaderAnswer::Elsewhere(self.other_leader())
+            LeaderAnswer::Elsewhere(self.remote_leader())
         };
         let _ = reply.send(answer);
     }
 
-    /// Hands an applied entry's reply to who waits for it. A waiter of another term lost its entry to a
-    /// new leader: it is told to ask again.
+    /// Passes an applied entry's reply to its waiter. A waiter of another term lost its entry to a
+    /// new leader and is told to ask again.
     pub(super) fn answer_entry(&mut self, at: LogPosition, reply: ControlReply) {
         while let Some((index, term, _)) = self.waiting.entries.front() {
             if *index < at.index || (*index == at.index && *term != at.term) {
@@ -115,7 +115,7 @@
                 let _ = reply.send(LeaderAnswer::Done(outcome));
             }
             (EntryWaiter::Claims { mut replies, reply, .. }, _) => {
-                self.judge_owners(&mut replies);
+                self.mark_dead_owners(&mut replies);
                 let _ = reply.send(LeaderAnswer::Done(replies));
             }
             (EntryWaiter::Rollout { reply }, ControlReply::Rollout(answer)) => {
@@ -131,13 +131,14 @@
         }
     }
 
-    /// A claim whose owner is dead will never be settled: its request may have run.
-    pub(super) fn judge_owners(&self, replies: &mut [ClaimReply]) {
+    /// Marks claims of dead owners as unknown: they will never be settled, and their requests may
+    /// have been executed.
+    pub(super) fn mark_dead_owners(&self, replies: &mut [ClaimReply]) {
         let now = self.now();
         let Some(registry) = &self.registry else { return };
         for reply in replies {
             if let ClaimReply::Running(owner) = reply
-                && !registry.is_owner_live(&owner.daemon, owner.boot, now)
+                && !registry.is_boot_live(&owner.daemon, owner.boot, now)
             {
                 *reply = ClaimReply::Unknown;
             }
@@ -154,7 +155,7 @@
         let answer = ApplyAnswer { outcome, progress };
         match &answer.outcome {
             EditOutcome::Accepted(record) => {
-                let until = if wait { self.now() + FORCE_WAIT } else { Moment(0) };
+                let until = if wait { self.now() + MAX_IN_FORCE_WAIT } else { Moment(0) };
                 self.waiting.force.push(ForceWait {
                     version: record.version,
                     until,
--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -1,4 +1,5 @@
-//! The loop's end of the data folder: starting from it, keeping it short, and what happens when it fails.
+//! The control loop's use of the data folder: start-up, log compaction and recovery from I/O
+//! errors.
 
 use super::ControlLoop;
 use crate::control::ledger::{ControlCommand, ControlLedger};
@@ -10,16 +11,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A snapshot is kept after this many entries.
-const SNAPSHOT_ENTRIES: usize = 4_096;
-/// Time between attempts to use a folder again that failed.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+/// Number of log entries after which a snapshot is written.
+const ENTRIES_PER_SNAPSHOT: usize = 4_096;
+/// Delay between attempts to reopen a failed data folder.
+const REOPEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl ControlLoop {
-    pub(super) fn adopt(&mut self, voter: OpenVoter) {
+    pub(super) fn install_voter(&mut self, voter: OpenVoter) {
         let OpenVoter { store, identity, state } = voter;
         self.store = Some(store);
-        self.hard = state.hard_state.clone();
+        self.hard_state = state.hard_state.clone();
         if let Some(fleet) = identity.fleet {
             self.fleet = Some(fleet);
             let snapshot = state.snapshot.clone().unwrap_or_else(|| blank_snapshot(fleet));
@@ -30,10 +31,10 @@
     }
 
     pub(super) fn load_ledger(&mut self, text: &str) {
-        match ControlLedger::from_text(text) {
+        match ControlLedger::from_json(text) {
             Ok(ledger) => self.ledger = ledger,
             Err(fault) => {
-                error!(self.setup.log, "snapshot does not hold a ledger"; "fault" => fault.to_string())
+                error!(self.setup.log, "snapshot does not contain a valid ledger"; "fault" => fault.to_string())
             }
         }
     }
@@ -56,33 +57,35 @@
         self.core = Some(ReplicaCore::new(self.setup.replica, start, now, &mut self.rng));
     }
 
-    /// Leaves the fleet's decisions to the others until the folder can be read again.
+    /// Stops taking part in votes until the data folder can be read again.
     pub(super) fn stop_voting(&mut self, fault: &StoreError) {
-        error!(self.setup.log, "cannot keep the log; not voting until the folder works again"; "fault" => fault.to_string());
+        error!(self.setup.log, "could not write to the data folder; not voting until it can be used again"; "fault" => fault.to_string());
         self.core = None;
-        self.broken_since = Some(self.now());
-        self.watch_role();
+        self.folder_failed_at = Some(self.now());
+        self.update_role();
     }
 
-    /// Starts again from what the folder holds, as after a restart. What goes wrong without it: a disk that was
-    /// full for a moment costs the voter for good although its process runs, and the next such disk the quorum.
-    pub(super) fn reopen_if_broken(&mut self, now: Moment) {
-        let Some(since) = self.broken_since.filter(|since| now.since(*since) >= REOPEN_PAUSE)
+    /// Restarts the voter from the contents of its data folder, as after a process restart. Without
+    /// this, a disk that was full for a moment would disable the voter permanently although its
+    /// process runs, and the next such disk would cost the quorum.
+    pub(super) fn reopen_failed_folder(&mut self, now: Moment) {
+        let Some(since) =
+            self.folder_failed_at.filter(|since| now.since(*since) >= REOPEN_RETRY_DELAY)
         else {
             return;
         };
         let Some(folder) = self.setup.data_folder.clone() else { return };
-        self.broken_since = Some(now);
-        // The folder's lock goes before it is taken again.
+        self.folder_failed_at = Some(now);
+        // The lock on the folder must be released before it is taken again.
         self.store = None;
         match open_voter(&self.setup, &folder, &mut self.rng) {
             Ok(voter) => {
-                info!(self.setup.log, "folder works again"; "after_ms" => now.since(since).as_millis() as u64);
-                self.broken_since = None;
-                self.adopt(voter);
+                info!(self.setup.log, "data folder can be used again"; "after_ms" => now.since(since).as_millis() as u64);
+                self.folder_failed_at = None;
+                self.install_voter(voter);
             }
             Err(fault) => {
-                warn!(self.setup.log, "folder does not work yet"; "fault" => fault.to_string());
+                warn!(self.setup.log, "data folder cannot be used yet"; "fault" => fault.to_string());
             }
         }
     }
@@ -90,11 +93,11 @@
     pub(super) fn compact_if_long(&mut self) {
         let (Some(core), Some(store)) = (&mut self.core, &mut self.store) else { return };
         let covered = core.applied_index().saturating_sub(core.log().base().index);
-        if (covered as usize) < SNAPSHOT_ENTRIES {
+        if (covered as usize) < ENTRIES_PER_SNAPSHOT {
             return;
         }
-        let snapshot = core.compact(Arc::from(self.ledger.to_text()));
-        if let Err(fault) = store.replace(&snapshot, &self.hard, core.log().entries()) {
+        let snapshot = core.compact(Arc::from(self.ledger.to_json()));
+        if let Err(fault) = store.replace(&snapshot, &self.hard_state, core.log().entries()) {
             self.stop_voting(&fault);
         }
     }
--- a/src/control/control_loop/quarantine.rs
+++ b/src/control/control_loop/quarantine.rs
@@ -1,4 +1,5 @@
-//! Contents that are held back: reported by daemons that saw upstreams end, given to daemons that start, released by operators.
+//! Quarantined contents: reported by daemons that saw upstreams end, sent to daemons that start,
+//! and released by operators.
 
 use super::ControlLoop;
 use crate::control::ledger::ControlCommand;
@@ -10,37 +11,39 @@
 use slog::info;
 use std::time::Duration;
 
-/// A content with so many ends is proposed once in this time, however many daemons report it.
-const PROPOSED_FOR: Duration = Duration::from_secs(2);
-/// A release goes with all orders for this long: every daemon that reports hears of it, and tells the others.
-const RELEASED_FOR: Duration = Duration::from_secs(10);
+/// Time within which the same content with the same number of crashes is proposed only once,
+/// however many daemons report it.
+const PROPOSAL_REPEAT_DELAY: Duration = Duration::from_secs(2);
+/// Time for which a release is included in all orders, so that every reporting daemon receives it
+/// and tells the others.
+const RELEASE_SEND_PERIOD: Duration = Duration::from_secs(10);
 
 impl ControlLoop {
-    /// Proposes what a report says beyond what is kept.
-    pub(super) fn take_suspects(&mut self, rows: Vec<SuspectRow>) {
+    /// Proposes what the reports add to the ledger: further crashes, or that a content was cleared.
+    pub(super) fn on_suspects(&mut self, rows: Vec<SuspectRow>) {
         let now = self.now();
-        self.proposed_suspects.forget(PROPOSED_FOR, now);
-        let news: Vec<SuspectRow> = rows
+        self.recent_suspects.forget(PROPOSAL_REPEAT_DELAY, now);
+        let new_rows: Vec<SuspectRow> = rows
             .into_iter()
             .filter(|row| self.ledger.quarantine().lacks(row))
-            .filter(|row| self.proposed_suspects.note(row.request, row.crashes.len(), now))
+            .filter(|row| self.recent_suspects.note(row.request, row.crashes.len(), now))
             .collect();
-        if !news.is_empty() {
-            let command = ControlCommand::Quarantine { rows: news, at: unix_millis() };
+        if !new_rows.is_empty() {
+            let command = ControlCommand::Quarantine { rows: new_rows, at: unix_millis() };
             self.proposals.push((vec![command], EntryWaiter::Nobody));
         }
     }
 
-    pub(super) fn take_release(
+    pub(super) fn on_release(
         &mut self,
         request: RequestFingerprint,
         reply: ReplyTo<Vec<QuarantineRow>>,
     ) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         info!(self.setup.log, "request released by an operator"; "fingerprint" => request.to_string());
-        self.released.note(request, 0, self.now());
+        self.recent_releases.note(request, 0, self.now());
         let command = ControlCommand::Release { request, at: unix_millis() };
         self.proposals.push((vec![command], EntryWaiter::Quarantine { reply }));
     }
@@ -49,11 +52,11 @@
         self.ledger.quarantine().held(unix_millis())
     }
 
-    /// What was released a moment ago, for all daemons.
+    /// Records of recently released contents, for all daemons.
     pub(super) fn released_rows(&mut self) -> Vec<SuspectRow> {
-        self.released.forget(RELEASED_FOR, self.setup.clock.now());
+        self.recent_releases.forget(RELEASE_SEND_PERIOD, self.setup.clock.now());
         let log = self.ledger.quarantine();
         let now = unix_millis();
-        self.released.iter().flat_map(|request| log.rows(Some(request), now)).collect()
+        self.recent_releases.iter().flat_map(|request| log.rows(Some(request), now)).collect()
     }
 }
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -1,7 +1,7 @@
-//! Daemons' reports, answered with orders, and edits that wait until they are in force.
+//! Reports of the daemons, answered with orders, and edits that wait until they are in force.
 
 use super::ControlLoop;
-use crate::control::fleet::{DaemonReport, ReportAnswer, ReportVerdict};
+use crate::control::fleet::{DaemonReport, ReportAnswer, ReportOutcome};
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{EditProgress, LeaderAnswer};
 use crate::control::setup::unix_millis;
@@ -12,16 +12,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A report is answered after this long even if no order changed.
-const REPORT_HOLD: Duration = Duration::from_millis(400);
+/// Time after which a report is answered even if no order has changed.
+const MAX_REPORT_HOLD: Duration = Duration::from_millis(400);
 
 impl ControlLoop {
-    /// A report of a daemon that is not on the member list is held until its `Join` is committed: from
-    /// then on every leader knows that it may hold a lease.
-    pub(super) fn take_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
+    /// Records a report and holds it until there are orders to answer it with. A daemon that is not
+    /// on the member list receives no orders until its `Join` is committed, since from then on
+    /// every leader knows that it may hold a lease.
+    pub(super) fn on_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
         let now = self.now();
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         let Some(registry) = &mut self.registry else { return };
         let (daemon, version, has_lease) =
@@ -32,22 +33,22 @@
         let suspects = std::mem::take(&mut report.suspects);
         let (knows_serving, knows_rollouts) = (report.knows_serving, report.knows_rollouts);
         let rollouts = std::mem::take(&mut report.rollouts);
-        match registry.report(report, now) {
-            ReportVerdict::Taken => {}
-            ReportVerdict::Unknown => {
+        match registry.record(report, now) {
+            ReportOutcome::Recorded => {}
+            ReportOutcome::UnknownBoot => {
                 let command = ControlCommand::Join { daemon: daemon.clone(), boot };
                 self.proposals.push((vec![command], EntryWaiter::Nobody));
-                self.sent.remove(&daemon);
+                self.sent_orders.remove(&daemon);
                 return drop(reply.send(LeaderAnswer::Elsewhere(None)));
             }
-            ReportVerdict::OtherTerm => {
+            ReportOutcome::TermMismatch => {
                 let answer = ReportAnswer::NewTerm(registry.term());
                 return drop(reply.send(LeaderAnswer::Done(answer)));
             }
-            ReportVerdict::Overtaken => return drop(reply.send(LeaderAnswer::Elsewhere(None))),
+            ReportOutcome::Superseded => return drop(reply.send(LeaderAnswer::Elsewhere(None))),
         }
         self.waiting.reports.retain(|held| held.daemon != daemon);
-        self.take_rollout_reports(&daemon, boot, rollouts);
+        self.on_rollout_reports(&daemon, boot, rollouts);
         let held = HeldReport {
             daemon,
             has_lease,
@@ -60,16 +61,17 @@
             reply,
         };
         self.waiting.reports.push(held);
-        self.take_suspects(suspects);
+        self.on_suspects(suspects);
     }
 
-    /// Answers held reports whose orders changed or whose time is over, and edits now in force.
+    /// Answers held reports whose orders have changed or whose hold time is over, and edits that
+    /// are now in force.
     pub(super) fn answer_waiting(&mut self) {
         if self.waiting.reports.is_empty() && self.waiting.force.is_empty() {
             return;
         }
         if !self.holds_lease() {
-            let leader = self.other_leader();
+            let leader = self.remote_leader();
             self.waiting
                 .reports
                 .drain(..)
@@ -82,19 +84,21 @@
         let rollouts_digest = rollouts.digest();
         let Some(registry) = &mut self.registry else { return };
         let table = self.ledger.table();
-        // A daemon without a lease gets one only from a leader that knows of every floor others rely on.
-        let is_complete = registry.is_complete(now);
+        // A daemon without a lease is granted one only by a leader that knows every floor on which
+        // others rely.
+        let has_heard_all = registry.has_heard_all(now);
         let membership = self.core.as_ref().map(ReplicaCore::membership);
         let voters: Vec<SocketAddr> =
             membership.iter().flat_map(|membership| membership.voters.values().copied()).collect();
         let serving = OnceCell::new();
         for held in std::mem::take(&mut self.waiting.reports) {
-            if !held.has_lease && !is_complete {
+            if !held.has_lease && !has_heard_all {
                 self.waiting.reports.push(held);
                 continue;
             }
-            let is_due = now.since(held.since) >= REPORT_HOLD;
-            // Without this every event at the leader would cost it as much as there are daemons, squared.
+            let is_due = now.since(held.since) >= MAX_REPORT_HOLD;
+            // Otherwise every event at the leader would cost time proportional to the square of the
+            // number of daemons.
             let knows_all = held.version == table.version && held.knows_rollouts == rollouts_digest;
             if held.divides_alone && !is_due && knows_all {
                 self.waiting.reports.push(held);
@@ -103,7 +107,7 @@
             let mut orders = registry.orders(&held.daemon, table, now);
             orders.voters.clone_from(&voters);
             let (list, digest) = serving.get_or_init(|| {
-                let list = registry.serving(now);
+                let list = registry.serving_list(now);
                 let digest = list.digest();
                 (list, digest)
             });
@@ -113,12 +117,13 @@
             };
             orders.rollouts = (held.knows_rollouts != rollouts_digest).then(|| rollouts.clone());
             orders.serving = (held.knows_serving != *digest).then(|| list.clone());
-            let is_news = !knows_all || self.sent.get(&held.daemon) != Some(&orders.pools);
-            if is_due || is_news {
-                registry.sent(&held.daemon, &orders.pools);
-                self.sent.insert(held.daemon, orders.pools.clone());
+            let has_changes =
+                !knows_all || self.sent_orders.get(&held.daemon) != Some(&orders.pools);
+            if is_due || has_changes {
+                registry.record_sent_orders(&held.daemon, &orders.pools);
+                self.sent_orders.insert(held.daemon, orders.pools.clone());
                 if let Some(newer) = &orders.table {
-                    orders.packed = self.packed.of(newer);
+                    orders.packed = self.packed_table.of(newer);
                 }
                 if orders.packed.is_some() {
                     orders.table = None;
@@ -129,7 +134,7 @@
             }
         }
         for mut force in std::mem::take(&mut self.waiting.force) {
-            let lagging = registry.lagging(force.version, now);
+            let lagging = registry.lagging_daemons(force.version, now);
             if !lagging.is_empty() && now < force.until {
                 self.waiting.force.push(force);
                 continue;
--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: operators' orders, what daemons report of them, and the leader's decisions.
+//! Roll-outs: orders of operators, reports of daemons, and decisions of the leader.
 
 use super::ControlLoop;
 use crate::control::ledger::ControlCommand;
@@ -15,24 +15,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often the time that a roll-out has lasted is kept: a new leader goes on from there.
-const ELAPSED_PAUSE: Duration = Duration::from_secs(1);
-/// A change that was proposed and has not come into force is proposed again after this long.
-const PROPOSED_FOR: Duration = Duration::from_secs(1);
+/// Interval at which a roll-out's elapsed time is recorded, so that a new leader resumes from it.
+const ELAPSED_RECORD_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a proposed change that has not been committed is proposed again.
+const PROPOSAL_REPEAT_DELAY: Duration = Duration::from_secs(1);
 
-/// What a leader knows of the roll-outs that are under way.
+/// The leader's state of the roll-outs in progress.
 #[derive(Default)]
-pub struct RolloutDesk {
+pub struct RolloutTracker {
     directors: BTreeMap<ServiceName, RolloutController>,
-    /// The stage in which a change was proposed last, and when.
-    proposed: BTreeMap<ServiceName, (u64, RolloutStage, Moment)>,
-    kept_at: Moment,
+    /// Number and stage of the roll-out for which a change was last proposed, and the time of the
+    /// proposal.
+    last_proposals: BTreeMap<ServiceName, (u64, RolloutStage, Moment)>,
+    elapsed_recorded_at: Moment,
 }
 
-impl RolloutDesk {
-    /// Forgets everything: another leader's time has begun.
+impl RolloutTracker {
+    /// Discards all state when the leader changes.
     pub fn clear(&mut self) {
-        *self = RolloutDesk::default();
+        *self = RolloutTracker::default();
     }
 
     fn director(&mut self, record: &RolloutRecord, now: Moment) -> &mut RolloutController {
@@ -47,16 +48,18 @@
     }
 
     fn may_propose(&self, record: &RolloutRecord, now: Moment) -> bool {
-        self.proposed.get(&record.order.service).is_none_or(|(number, stage, at)| {
-            *number != record.number || *stage != record.stage || now.since(*at) >= PROPOSED_FOR
+        self.last_proposals.get(&record.order.service).is_none_or(|(number, stage, at)| {
+            *number != record.number
+                || *stage != record.stage
+                || now.since(*at) >= PROPOSAL_REPEAT_DELAY
         })
     }
 }
 
 impl ControlLoop {
-    pub(super) fn take_rollout(&mut self, order: RolloutOrder, reply: ReplyTo<RolloutReply>) {
+    pub(super) fn on_rollout(&mut self, order: RolloutOrder, reply: ReplyTo<RolloutReply>) {
         if !self.holds_lease() {
-            return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
+            return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
         info!(self.setup.log, "roll-out proposed"; "service" => order.service.as_str(), "to" => order.to.as_str(),
             "duration_ms" => order.duration_ms);
@@ -64,7 +67,7 @@
         self.proposals.push((vec![command], EntryWaiter::Rollout { reply }));
     }
 
-    pub(super) fn take_rollout_reports(
+    pub(super) fn on_rollout_reports(
         &mut self,
         daemon: &DaemonName,
         boot: u64,
@@ -75,32 +78,33 @@
             let mut records = self.ledger.rollouts().iter();
             let record = records.find(|record| record.number == report.number);
             let Some(record) = record.filter(|record| !record.stage.is_final()) else { continue };
-            self.rollouts.director(record, now).record_report(daemon, boot, report);
+            self.rollout_tracker.director(record, now).record_report(daemon, boot, report);
         }
     }
 
-    /// Proposes what the daemons' counts, or the time, call for.
-    pub(super) fn direct_rollouts(&mut self, now: Moment) {
+    /// Proposes the roll-out steps that the daemons' counts or the elapsed time require.
+    pub(super) fn advance_rollouts(&mut self, now: Moment) {
         let Some(registry) = &self.registry else { return };
         let records = self.ledger.rollouts().iter();
         let current: Vec<RolloutRecord> =
             records.filter(|record| !record.stage.is_final()).cloned().collect();
         if current.is_empty() {
-            return self.rollouts.directors.clear();
+            return self.rollout_tracker.directors.clear();
         }
         let live = registry.serving_boots(now);
-        let is_complete = registry.is_complete(now);
-        let keeps_time = now.since(self.rollouts.kept_at) >= ELAPSED_PAUSE;
-        if keeps_time {
-            self.rollouts.kept_at = now;
+        let has_heard_all = registry.has_heard_all(now);
+        let is_record_due =
+            now.since(self.rollout_tracker.elapsed_recorded_at) >= ELAPSED_RECORD_INTERVAL;
+        if is_record_due {
+            self.rollout_tracker.elapsed_recorded_at = now;
         }
         let mut steps = Vec::new();
         for record in current {
-            let director = self.rollouts.director(&record, now);
+            let director = self.rollout_tracker.director(&record, now);
             let elapsed_ms = director.elapsed_ms(now);
-            let known = if is_complete { &live } else { &BTreeMap::new() };
+            let known = if has_heard_all { &live } else { &BTreeMap::new() };
             let decision = director.decide(&record, known, now);
-            let decision = decision.filter(|_| self.rollouts.may_propose(&record, now));
+            let decision = decision.filter(|_| self.rollout_tracker.may_propose(&record, now));
             if let Some(decision) = &decision {
                 info!(self.setup.log, "roll-out decided"; "service" => record.order.service.as_str(),
                     "to" => record.order.to.as_str(), "number" => record.number, "stage" => format!("{:?}", record.stage),
@@ -109,9 +113,9 @@
                     "answers_old" => decision.answers.0, "answers_new" => decision.answers.1,
                     "failures_old" => decision.failures.0, "failures_new" => decision.failures.1);
                 let proposed = (record.number, record.stage, now);
-                self.rollouts.proposed.insert(record.order.service.clone(), proposed);
+                self.rollout_tracker.last_proposals.insert(record.order.service.clone(), proposed);
             }
-            if decision.is_some() || keeps_time {
+            if decision.is_some() || is_record_due {
                 steps.push(ControlCommand::RolloutStep(RolloutStep {
                     service: record.order.service.clone(),
                     number: record.number,
@@ -125,7 +129,7 @@
             steps
                 .into_iter()
                 .for_each(|step| self.proposals.push((vec![step], EntryWaiter::Nobody)));
-            self.propose_taken();
+            self.propose_pending();
         }
     }
 }
--- a/src/control/joining.rs
+++ b/src/control/joining.rs
@@ -1,4 +1,4 @@
-//! How a voter comes to belong to a fleet: by asking its peers, or by founding one.
+//! Joining a fleet: a voter asks its peers to accept it, or founds a new fleet.
 
 use super::links::{FleetKey, connect};
 use super::rpc::{ControlApiClient, JoinAnswer, LeaderAnswer};
@@ -12,89 +12,91 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between attempts to join or found a fleet.
-const JOIN_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between attempts to join or found a fleet.
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How a voter came to belong to a fleet.
+/// How a voter became part of a fleet.
 pub enum JoinedFleet {
-    /// A leader let it in.
+    /// A leader accepted it.
     Joined(FleetId),
-    /// It founds one.
+    /// It founds a fleet on its own.
     Founded,
-    /// It founds one together with the other founders.
+    /// It founds a fleet together with the other configured founders.
     FoundedTogether,
 }
 
-/// The number of the data folder of a voter that founds a fleet with others. All founders must write the same
-/// membership without having talked, so none can draw a number; a folder made later draws one above.
-pub const FOUNDING_FOLDER: u32 = 0;
+/// Data folder number of a voter that founds a fleet together with others. All founders must write
+/// the same membership without communicating, so the number cannot be random; folders created later
+/// draw a number above it.
+pub const FOUNDER_FOLDER_NUMBER: u32 = 0;
 
-/// The identity of a founder.
+/// Identity of a founder.
 pub fn founding_voter(daemon: &DaemonName) -> VoterId {
-    VoterId { daemon: daemon.clone(), folder: FOUNDING_FOLDER }
+    VoterId { daemon: daemon.clone(), folder: FOUNDER_FOLDER_NUMBER }
 }
 
-/// The membership that founders begin with. Each works it out from the same list, so that they need not talk:
-/// whoever of them starts first, a quorum of them is a quorum of the fleet.
+/// Initial membership of a fleet founded together. Every founder derives it from the same list
+/// without communicating, so whichever of them start first, a quorum of the founders is a quorum of
+/// the fleet.
 pub fn founding_membership(founders: &[PeerRow]) -> FleetMembership {
     let voters: BTreeMap<VoterId, SocketAddr> =
         founders.iter().map(|peer| (founding_voter(&peer.daemon), peer.control)).collect();
-    let names: Vec<String> = voters.values().map(SocketAddr::to_string).collect();
-    let fleet = FleetId(xxh3_64(names.join(" ").as_bytes()));
+    let addresses: Vec<String> = voters.values().map(SocketAddr::to_string).collect();
+    let fleet = FleetId(xxh3_64(addresses.join(" ").as_bytes()));
     FleetMembership { fleet, voters, learners: BTreeMap::new() }
 }
 
-/// What a voter needs in order to ask.
+/// Parameters of a join attempt.
 pub struct JoinTask {
-    /// Who asks.
+    /// Identity of the joining voter.
     pub voter: VoterId,
-    /// Its control address.
+    /// Control address of the joining voter.
     pub control: SocketAddr,
-    /// Whom to ask first.
+    /// Control addresses of the peers to ask first.
     pub peers: Vec<SocketAddr>,
-    /// True if it may found a fleet.
+    /// True if the voter may found a fleet.
     pub may_found: bool,
-    /// The fleet's key.
+    /// Shared key of the fleet.
     pub key: FleetKey,
-    /// Logs.
+    /// Logger.
     pub log: Logger,
 }
 
-/// Asks the peers to let the voter in, until it belongs to a fleet.
+/// Asks the peers for admission until the voter belongs to a fleet or may found one.
 pub async fn join_or_found(task: JoinTask, joined: mpsc::Sender<JoinedFleet>) {
     let mut was_barred = false;
     loop {
-        let answer = ask_to_join(&task).await;
-        if answer.is_barred && !was_barred {
+        let answers = request_join(&task).await;
+        if answers.is_barred && !was_barred {
             was_barred = true;
             warn!(task.log, "not accepted as a voter; see `tarragonknot voter list`");
         }
-        // A founder whose disk was wiped must not found a second fleet beside the first: every peer must
-        // have answered that it belongs to none.
-        let may_found = task.may_found && answer.without_fleet == task.peers.len();
-        let end =
-            answer.fleet.map(JoinedFleet::Joined).or(may_found.then_some(JoinedFleet::Founded));
-        if let Some(end) = end {
-            let _ = joined.send(end).await;
+        // A founder whose disk was wiped must not found a second fleet beside the first, so every
+        // peer must have answered that it belongs to none.
+        let may_found = task.may_found && answers.peers_without_fleet == task.peers.len();
+        let outcome =
+            answers.fleet.map(JoinedFleet::Joined).or(may_found.then_some(JoinedFleet::Founded));
+        if let Some(outcome) = outcome {
+            let _ = joined.send(outcome).await;
             return;
         }
-        tokio::time::sleep(JOIN_PAUSE).await;
+        tokio::time::sleep(JOIN_RETRY_DELAY).await;
     }
 }
 
-/// What the peers said to a voter that asked to join.
+/// Peers' answers to one round of join requests.
 #[derive(Default)]
-pub struct JoinRound {
-    /// The fleet that let it in.
+pub struct JoinAnswers {
+    /// Fleet that accepted the voter.
     pub fleet: Option<FleetId>,
-    /// Peers that belong to no fleet.
-    pub without_fleet: usize,
-    /// True if operators have removed this daemon.
+    /// Number of peers that belong to no fleet.
+    pub peers_without_fleet: usize,
+    /// True if operators have removed this daemon from the voters.
     pub is_barred: bool,
 }
 
-pub async fn ask_to_join(task: &JoinTask) -> JoinRound {
-    let mut round = JoinRound::default();
+pub async fn request_join(task: &JoinTask) -> JoinAnswers {
+    let mut answers = JoinAnswers::default();
     let mut addresses: VecDeque<SocketAddr> = task.peers.iter().copied().collect();
     let mut asked = Vec::new();
     while let Some(address) = addresses.pop_front() {
@@ -105,16 +107,16 @@
         let Ok(client) = connect(address, &task.key).await else { continue };
         match client.join(task.voter.clone(), task.control).await {
             Ok(LeaderAnswer::Done(JoinAnswer { fleet, is_accepted: true })) => {
-                round.fleet = Some(fleet);
-                return round;
+                answers.fleet = Some(fleet);
+                return answers;
             }
-            Ok(LeaderAnswer::Done(_)) => round.is_barred = true,
+            Ok(LeaderAnswer::Done(_)) => answers.is_barred = true,
             Ok(LeaderAnswer::Elsewhere(Some(leader))) => addresses.push_back(leader),
             Ok(LeaderAnswer::Elsewhere(None)) if matches!(client.fleet().await, Ok(None)) => {
-                round.without_fleet += 1
+                answers.peers_without_fleet += 1
             }
             _ => {}
         }
     }
-    round
+    answers
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -21,13 +21,13 @@
 mod waiters;
 
 pub use agent::{AgentSettings, start_agent};
-pub use claims::{ClaimKeeper, ClaimSettings};
+pub use claims::{ClaimClient, ClaimClientSettings};
 pub use control_loop::start_control;
 pub use fleet::{
-    DaemonOrders, DaemonReport, FleetRegistry, LIMITS, MemberView, PoolOrder, PoolReport,
-    ReportAnswer, ReportVerdict, SHARE_UNITS, ServingList,
+    DaemonOrders, DaemonReport, FleetRegistry, MemberView, ORGANISATION_LIMITS_POOL, PoolOrder,
+    PoolReport, ReportAnswer, ReportOutcome, SHARE_UNITS, ServingList,
 };
-pub use fleet_member::{FleetMember, MemberMove, PoolMove, PoolState};
+pub use fleet_member::{FleetMember, MemberChange, PoolChange, PoolState};
 pub use ledger::{
     ControlCommand, ControlLedger, ControlReply, EditConflict, EditOutcome, EditRecord,
     NumberedOutcome, NumberedTable, TableEdit,
@@ -44,4 +44,4 @@
 pub use server::start_server;
 pub use setup::ControlSetup;
 pub use table_versions::{TableVersionRow, table_versions};
-pub use voting::{may_join, next_step};
+pub use voting::{may_join, next_membership};
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -4,7 +4,7 @@
 use super::plan::{ExperimentPlan, FaultKind, MechanismSwitch};
 use super::poison::{ATTEMPT_PAUSE, CrashKnowledge, NEWS_PAUSE, RESTART_TIME, SENDS};
 use super::summary::RunSummary;
-use crate::control::{DaemonOrders, FleetMember, FleetRegistry, PoolState, ReportVerdict};
+use crate::control::{DaemonOrders, FleetMember, FleetRegistry, PoolState, ReportOutcome};
 use crate::load::{PlannedRequest, RequestKind};
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, LoadReport, Moment, OrganisationIndex, PoolAction, PoolEvent,
@@ -384,23 +384,23 @@
             wanted: scheduler.wanted_floor(),
             guaranteed: scheduler.guaranteed_floor(),
             demand: scheduler.demand_tokens(),
-            used: scheduler.max_utilisation(),
+            utilisation: scheduler.max_utilisation(),
         };
 
         let report = daemon.member.report(1, vec![state], false, now);
         let has_lease = report.has_lease;
-        if self.book.report(report, now) != ReportVerdict::Taken
-            || (!has_lease && !self.book.is_complete(now))
+        if self.book.record(report, now) != ReportOutcome::Recorded
+            || (!has_lease && !self.book.has_heard_all(now))
         {
             return;
         }
         let orders = self.book.orders(&daemon.name, &self.table, now);
-        self.book.sent(&daemon.name, &orders.pools);
+        self.book.record_sent_orders(&daemon.name, &orders.pools);
         self.obey(number, orders);
     }
 
     fn obey(&mut self, number: usize, orders: DaemonOrders) {
-        let Some(moves) = self.daemons[number].member.take(orders, self.now) else { return };
+        let Some(moves) = self.daemons[number].member.apply(orders, self.now) else { return };
         let model = self.plan.profile.model;
         for step in moves.pools.into_iter().filter(|step| step.service.as_str() == model) {
             let is_shared = self.plan.without != Some(MechanismSwitch::Shares);
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -13,7 +13,7 @@
 use super::rollout_gate::RolloutGate;
 use super::routed::CallDialect;
 use crate::clock::TrafficClock;
-use crate::control::ClaimKeeper;
+use crate::control::ClaimClient;
 use crate::policy::{
     LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RequestSizes, RetryBound,
     RetryBudget, RetryDetector, RouteSizes, SizeDecile,
@@ -78,7 +78,7 @@
     route_sizes: Mutex<HashMap<String, RouteSizes>>,
     is_ready: AtomicBool,
     is_drained: AtomicBool,
-    claims: OnceLock<ClaimKeeper>,
+    claims: OnceLock<ClaimClient>,
     /// Notified when a table takes effect.
     pub table_changes: Notify,
     /// True once a list of upstreams was received, or if none is read at all.
@@ -426,12 +426,12 @@
     }
 
     /// Sets the [`ClaimKeeper`]; only the first call has an effect.
-    pub fn set_claims(&self, keeper: ClaimKeeper) {
-        let _ = self.claims.set(keeper);
+    pub fn set_claims(&self, client: ClaimClient) {
+        let _ = self.claims.set(client);
     }
 
     /// The [`ClaimKeeper`], once set.
-    pub fn claims(&self) -> Option<&ClaimKeeper> {
+    pub fn claims(&self) -> Option<&ClaimClient> {
         self.claims.get()
     }
 
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tarragonknot::control::{
-    DaemonOrders, DaemonReport, FleetMember, FleetRegistry, LIMITS, PoolState, ReportVerdict,
-    SHARE_UNITS,
+    DaemonOrders, DaemonReport, FleetMember, FleetRegistry, ORGANISATION_LIMITS_POOL, PoolState,
+    ReportOutcome, SHARE_UNITS,
 };
 use tarragonknot::policy::{FloorOrder, Moment, ShedFloor, TierRank};
 use tarragonknot::table::{DaemonName, VersionedTable, check_document};
@@ -177,13 +177,13 @@
         let now = Moment(self.now);
         let (daemon, boot, sequence) = (report.daemon.clone(), report.boot, report.sequence);
         let has_lease = report.has_lease;
-        let verdict = match self.rule {
+        let outcome = match self.rule {
             BrokenRule::IgnoreTerm => {
-                self.book.report(DaemonReport { term: self.book.term(), ..report.clone() }, now)
+                self.book.record(DaemonReport { term: self.book.term(), ..report.clone() }, now)
             }
-            _ => self.book.report(report.clone(), now),
+            _ => self.book.record(report.clone(), now),
         };
-        if verdict == ReportVerdict::OtherTerm {
+        if outcome == ReportOutcome::TermMismatch {
             let to = self
                 .daemons
                 .iter()
@@ -192,7 +192,7 @@
             let term = self.book.term();
             return self.send(Message::Term { to, boot, sequence, term });
         }
-        if verdict == ReportVerdict::Unknown {
+        if outcome == ReportOutcome::UnknownBoot {
             let is_newer = self.members.get(&report.daemon).is_none_or(|boot| *boot <= report.boot);
             if is_newer {
                 self.members.insert(report.daemon.clone(), report.boot);
@@ -205,11 +205,11 @@
             }
             return;
         }
-        if !has_lease && !self.book.is_complete(now) {
+        if !has_lease && !self.book.has_heard_all(now) {
             return;
         }
         let orders = self.book.orders(&daemon, &self.table, now);
-        self.book.sent(&daemon, &orders.pools);
+        self.book.record_sent_orders(&daemon, &orders.pools);
         let to = self
             .daemons
             .iter()
@@ -225,10 +225,10 @@
             return;
         }
         let now = Moment((self.now as f64 * daemon.speed) as u64);
-        let Some(moves) = daemon.member.take(orders, now) else { return };
+        let Some(moves) = daemon.member.apply(orders, now) else { return };
         for step in moves.pools {
             match step.service.as_str() {
-                LIMITS => daemon.limit_share = step.share,
+                ORGANISATION_LIMITS_POOL => daemon.limit_share = step.share,
                 _ => {
                     daemon.share = step.share;
                     daemon.floor.apply(step.floor);
@@ -264,15 +264,15 @@
             wanted: daemon.floor.wanted(),
             guaranteed: daemon.floor.guaranteed(),
             demand: self.rng.random_range(0..1_000),
-            used: 0.0,
+            utilisation: 0.0,
         };
         let limits = PoolState {
-            service: LIMITS.into(),
+            service: ORGANISATION_LIMITS_POOL.into(),
             wanted: None,
             guaranteed: None,
             // Without a draw of its own, so that the seeds' schedules stay as they are.
             demand: self.now / STEP % 10,
-            used: 0.0,
+            utilisation: 0.0,
         };
         let report = daemon.member.report(1, vec![pool, limits], false, now);
         daemon.sequence = report.sequence;
