--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control thread: drives the replica, the claims and the fleet's agreement, over jsonrpsee.
+//! The control plane of a daemon: the control loop, which runs the replica, and the JSON-RPC
+//! interface to the fleet.
 
 mod agent;
 mod claims;
