--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -16,30 +16,31 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Opening a connection takes at most this long.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A short message is answered within this time, or its connection counts as silent: the next message
-/// goes over a new one. It is below the least election time, so that one silent connection elects nobody.
+/// Timeout for the answer to a short message, after which the connection is considered dead and the
+/// next message opens a new one. It is below the minimum election timeout, so that a single dead
+/// connection does not cause an election.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A snapshot or a large batch may take this long.
+/// Timeout for a snapshot or a large batch of entries.
 const LONG_TIMEOUT: Duration = Duration::from_secs(10);
-/// Messages waiting for one peer; more are dropped, as on a lossy network.
+/// Maximum number of messages queued for one peer; further ones are dropped, as by a lossy network.
 const WAITING_MESSAGES: usize = 256;
-/// Messages under way to one peer.
+/// Maximum number of concurrent calls to one peer.
 const CALLS_AT_ONCE: usize = 32;
-/// Largest message, in bytes.
+/// Maximum size of a message, in bytes.
 pub const MESSAGE_LIMIT: u32 = 256 << 20;
-/// Calls under way on one connection.
+/// Maximum number of unanswered calls on one connection.
 const PENDING_CALLS: usize = 4_096;
-/// An idle connection is pinged this often, so that one that went silent is noticed.
+/// Interval between WebSocket pings, which detect dead connections.
 const PING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The fleet's shared key. It is never logged: its debug form hides it.
+/// The key shared by the fleet. Its `Debug` output hides the value, so it is never logged.
 #[derive(Clone)]
 pub struct FleetKey(Arc<str>);
 
 impl FleetKey {
-    /// Reads the key from a file, without the white space around it.
+    /// Reads the key from a file, without surrounding white space.
     pub fn read(path: &Path) -> std::io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         match text.trim() {
@@ -50,17 +51,18 @@
         }
     }
 
-    /// The key of a fleet without one: whoever reaches the control interface may speak there.
+    /// The well-known key of a fleet without a secret one: anyone who can reach the control
+    /// interface may call it.
     pub fn open() -> Self {
         FleetKey::from_text("open")
     }
 
-    /// A key from text.
+    /// Creates a key from its text.
     pub fn from_text(text: &str) -> Self {
         FleetKey(Arc::from(text))
     }
 
-    /// The value of the `Authorization` header.
+    /// Returns the value of the `Authorization` header.
     pub fn bearer(&self) -> String {
         format!("Bearer {}", self.0)
     }
@@ -72,47 +74,48 @@
     }
 }
 
-/// Where this process believes the leader to be; a hint only, every answer is checked by the leader.
+/// The presumed control address of the leader, shared within the process. It may be outdated: a
+/// daemon that is not the leader redirects the caller.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderHint(Arc<Mutex<Option<SocketAddr>>>);
 
 impl LeaderHint {
-    /// The address, if one is known.
+    /// Returns the presumed address of the leader, if one is known.
     pub fn get(&self) -> Option<SocketAddr> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a new hint.
+    /// Replaces the presumed address.
     pub fn set(&self, leader: Option<SocketAddr>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = leader;
     }
 }
 
-/// The voters that settings name; replaced when settings are read again.
+/// The voters named in the settings; replaced when the settings are reloaded.
 #[derive(Clone, Debug, Default)]
 pub struct KnownVoters(Arc<Mutex<Vec<SocketAddr>>>);
 
 impl KnownVoters {
-    /// These voters.
+    /// Creates the list from `voters`.
     pub fn new(voters: Vec<SocketAddr>) -> Self {
         KnownVoters(Arc::new(Mutex::new(voters)))
     }
 
-    /// Replaces them.
+    /// Replaces the list.
     pub fn set(&self, voters: Vec<SocketAddr>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = voters;
     }
 
-    /// The voters now.
+    /// Returns the current list.
     pub fn get(&self) -> Vec<SocketAddr> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Why a call failed.
+/// An error of a call to a control interface.
 #[derive(Debug, Snafu)]
 pub enum CallFault {
-    /// No connection.
+    /// The connection could not be opened.
     #[snafu(display("{address}: cannot connect: {detail}"))]
     Unreachable {
         /// Whom.
@@ -120,13 +123,13 @@
         /// What happened.
         detail: String,
     },
-    /// The other end refused the key.
+    /// The daemon rejected the fleet key.
     #[snafu(display("{address}: the fleet key is not accepted"))]
     KeyRefused {
         /// Whom.
         address: SocketAddr,
     },
-    /// No answer in time, or an error.
+    /// The call failed or was not answered in time.
     #[snafu(display("{address}: {detail}"))]
     Failed {
         /// Whom.
@@ -139,7 +142,7 @@
     NoLeader,
 }
 
-/// Opens a persistent connection to a control interface.
+/// Opens a WebSocket connection to a control interface.
 pub async fn connect(address: SocketAddr, key: &FleetKey) -> Result<WsClient, CallFault> {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_str(&key.bearer());
@@ -172,11 +175,12 @@
     }
 }
 
-/// One connection to the leader, as far as the hint tells, else to one voter after the other.
+/// A client with one connection: to the presumed leader or, if none is known, to each known voter
+/// in turn.
 pub struct LeaderClient {
-    /// The voters that settings name.
+    /// The voters named in the settings.
     voters: KnownVoters,
-    /// The voters that a leader named last.
+    /// The voters most recently listed by a leader.
     told: Vec<SocketAddr>,
     key: FleetKey,
     hint: LeaderHint,
@@ -185,17 +189,17 @@
 }
 
 impl LeaderClient {
-    /// A client that is not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(voters: KnownVoters, key: FleetKey, hint: LeaderHint) -> Self {
         LeaderClient { voters, told: Vec::new(), key, hint, next_voter: 0, open: None }
     }
 
-    /// Where the leader is believed to be.
+    /// Returns the presumed address of the leader.
     pub fn hint(&self) -> &LeaderHint {
         &self.hint
     }
 
-    /// The connection, opened anew if need be, and whom it leads to.
+    /// Returns the connection and its address, connecting first if necessary.
     pub async fn get(&mut self) -> Option<(SocketAddr, Arc<WsClient>)> {
         let address = self.hint.get().or_else(|| self.some_voter())?;
         let is_open = |(known, client): &(SocketAddr, Arc<WsClient>)| {
@@ -208,20 +212,20 @@
         self.open.clone()
     }
 
-    /// The open connection, if there is one.
+    /// Returns the existing connection, if any.
     pub fn open(&self) -> Option<Arc<WsClient>> {
         self.open.as_ref().map(|(_, client)| Arc::clone(client))
     }
 
-    /// Gives the connection up unless the hint still names its other end: one that gave no answer may
-    /// have gone silent for good while new ones work.
+    /// Drops the connection unless it leads to the presumed leader. A connection that gave no
+    /// answer may be dead for good although new ones work.
     pub fn drop_unless_hinted(&mut self) {
         let hint = self.hint.get();
         self.open.take_if(|(known, _)| Some(*known) != hint);
     }
 
-    /// Takes the leader's list of voters; those of the settings stay, for the case that all of the others
-    /// are replaced while this daemon hears nothing.
+    /// Replaces the list of voters received from a leader. The voters from the settings remain in
+    /// use, in case all of the listed ones are replaced while this daemon is cut off.
     pub fn set_voters(&mut self, voters: Vec<SocketAddr>) {
         if !voters.is_empty() {
             self.told = voters;
@@ -235,10 +239,10 @@
     }
 }
 
-/// Where replies go.
+/// Channel for the replies of peers.
 pub type ReplySender = mpsc::UnboundedSender<ReplicaEnvelope<ControlCommand>>;
 
-/// Links to the other members.
+/// Connections to the other replicas.
 pub struct PeerLinks {
     key: FleetKey,
     log: Logger,
@@ -252,12 +256,12 @@
 }
 
 impl PeerLinks {
-    /// No links yet; replies will go to `replies`.
+    /// Creates an empty set of links that sends replies to `replies`.
     pub fn new(key: FleetKey, log: Logger, replies: ReplySender) -> Self {
         PeerLinks { key, log, replies, links: BTreeMap::new() }
     }
 
-    /// Sends a message to the member at `address`; drops it if too many wait.
+    /// Queues a message for the replica at `address`; drops it if the queue is full.
     pub fn send(&mut self, address: SocketAddr, envelope: ReplicaEnvelope<ControlCommand>) {
         let to = envelope.to.clone();
         if self.links.get(&to).is_none_or(|link| link.address != address || link.sender.is_closed())
@@ -278,7 +282,7 @@
     }
 }
 
-/// Carries one peer's messages over one connection, and opens another when a call gets no answer.
+/// Sends the messages for one peer over one connection, reconnecting when a call is not answered.
 async fn run_link(
     address: SocketAddr,
     key: FleetKey,
@@ -298,7 +302,7 @@
             _ => match connect(address, &key).await {
                 Ok(open) => Arc::clone(client.insert(Arc::new(open))),
                 Err(error) => {
-                    debug!(log, "peer not reached"; "error" => error.to_string());
+                    debug!(log, "could not connect to peer"; "error" => error.to_string());
                     client = None;
                     continue;
                 }
