--- a/src/control/operator_door.rs
+++ b/src/control/operator_door.rs
@@ -1,4 +1,4 @@
-//! Operators' calls that carry whole tables with versions of their own, decided by the leader.
+//! Operator calls for versioned whole tables and for rollouts, which the leader decides.
 
 use super::ledger::{NumberedOutcome, NumberedTable};
 use super::requests::{ControlHandle, ControlRequest};
@@ -10,23 +10,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An answer is given within this time: operators go on to another daemon after a second.
+/// Timeout for the answer of the control loop; operators try another daemon after one second.
 const ANSWER_TIME: Duration = Duration::from_millis(900);
 
-/// What an operator is told.
+/// The answer to an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DoorAnswer<T> {
-    /// The leader's word.
+    /// The leader's answer.
     Done(T),
-    /// The leader is there, by its control address.
+    /// The control address of the leader, to which the call must be sent instead.
     Elsewhere(SocketAddr),
-    /// Nobody can tell now; nothing is said of what became of the call.
+    /// No answer is available, and the call may or may not have taken effect.
     Unsure,
-    /// The table has faults and was not taken.
+    /// The request is invalid and was not applied.
     Bad(FaultList),
 }
 
-/// The operators' way to the control loop.
+/// Performs operators' calls on the control loop.
 pub struct OperatorDoor {
     control: ControlHandle,
     reader: Arc<dyn TableReader>,
@@ -34,17 +34,18 @@
 }
 
 impl OperatorDoor {
-    /// A way to `control` for tables that `reader` reads.
+    /// Creates a client of `control` that parses tables with `reader`.
     pub fn new(control: ControlHandle, reader: Arc<dyn TableReader>, log: Logger) -> Self {
         OperatorDoor { control, reader, log }
     }
 
-    /// Replaces the table. Acknowledged once a quorum has kept it, and also if a higher version is held.
+    /// Replaces the table. Acknowledged once a quorum has stored it, and also if a higher version
+    /// is already stored.
     pub async fn replace(&self, document: String) -> DoorAnswer<NumberedOutcome> {
         let version = match self.reader.read(&document) {
             Ok((version, _)) => version,
             Err(faults) => {
-                warn!(self.log, "table refused"; "faults" => faults.to_string());
+                warn!(self.log, "rejected an invalid table from an operator"; "faults" => faults.to_string());
                 return DoorAnswer::Bad(faults);
             }
         };
@@ -52,14 +53,14 @@
         let answer = self.ask(|reply| ControlRequest::Replace { numbered, reply }).await;
         let outcome = match &answer {
             DoorAnswer::Done(outcome) => format!("{outcome:?}"),
-            DoorAnswer::Elsewhere(leader) => format!("sent on to {leader}"),
-            _ => "not sure".to_owned(),
+            DoorAnswer::Elsewhere(leader) => format!("redirected to {leader}"),
+            _ => "unknown".to_owned(),
         };
-        info!(self.log, "table from an operator"; "version" => version, "outcome" => outcome);
+        info!(self.log, "operator request to replace the table"; "version" => version, "outcome" => outcome);
         answer
     }
 
-    /// The newest table's document.
+    /// Returns the document of the newest table.
     pub async fn read(&self) -> DoorAnswer<Arc<str>> {
         let answer = self.ask(|reply| ControlRequest::Table { version: None, reply }).await;
         match answer {
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Begins a roll-out. Acknowledged once a quorum has kept the order; its service must be one of the newest table.
+    /// Begins a rollout. Acknowledged once a quorum has stored the order. The newest table must
+    /// contain the service.
     pub async fn begin_rollout(&self, order: RolloutOrder) -> DoorAnswer<RolloutReply> {
         let document = match self.read().await {
             DoorAnswer::Done(document) => document,
@@ -93,16 +95,16 @@
         let outcome = match &answer {
             DoorAnswer::Done(RolloutReply::Accepted(record)) => format!("{:?}", record.stage),
             DoorAnswer::Done(RolloutReply::Busy(record)) => {
-                format!("another one is under way, to {}", record.order.to)
+                format!("another rollout is in progress, to {}", record.order.to)
             }
-            DoorAnswer::Elsewhere(leader) => format!("sent on to {leader}"),
-            _ => "not sure".to_owned(),
+            DoorAnswer::Elsewhere(leader) => format!("redirected to {leader}"),
+            _ => "unknown".to_owned(),
         };
-        info!(self.log, "roll-out from an operator"; "service" => service.as_str(), "to" => to.as_str(), "outcome" => outcome);
+        info!(self.log, "operator request to begin a rollout"; "service" => service.as_str(), "to" => to.as_str(), "outcome" => outcome);
         answer
     }
 
-    /// The newest roll-out of a service; none if there was none.
+    /// Returns the newest rollout of a service, if there has been one.
     pub async fn rollout(&self, service: &ServiceName) -> DoorAnswer<Option<RolloutRecord>> {
         match self.ask(|reply| ControlRequest::Rollouts { reply }).await {
             DoorAnswer::Done(records) => DoorAnswer::Done(
