--- a/src/control/packed_table.rs
+++ b/src/control/packed_table.rs
@@ -1,8 +1,9 @@
-//! Tables on their way to daemons: compressed once for all of them.
+//! Compresses tables for transfer to daemons, once for all of them.
 //!
-//! What goes wrong with plain ones: a table of 1,312 more routes is 400 KB, which a leader with a seventh of a processor
-//! writes 74 times; reports wait for longer than their time limit, daemons connect again and are sent the table again.
-//! One would notice by daemons that refuse the new routes seconds after the edit was acknowledged.
+//! Plain tables overload the leader: a table with 1,312 additional routes is 400 KB, which a leader
+//! with a seventh of a core has to write 74 times. Reports then exceed their timeout, and the
+//! daemons reconnect and are sent the table again. The symptom is daemons that refuse new routes
+//! for seconds after the edit was acknowledged.
 
 use crate::table::VersionedTable;
 use base64::Engine;
@@ -13,10 +14,10 @@
 use std::io::{Read, Write};
 use std::sync::Arc;
 
-/// Largest table that is unpacked, in bytes; a route takes about 300.
+/// Maximum size of an unpacked table, in bytes; a route takes about 300.
 const UNPACKED_LIMIT: u64 = 256 << 20;
 
-/// A table's JSON, compressed (RFC 1951) and in base64 (RFC 4648).
+/// Encodes a table as JSON, compressed with DEFLATE (RFC 1951), in base64 (RFC 4648).
 pub fn pack(table: &VersionedTable) -> Option<Arc<str>> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     serde_json::to_writer(&mut encoder, table).ok()?;
@@ -25,7 +26,7 @@
     Some(Arc::from(STANDARD.encode(bytes)))
 }
 
-/// The table in a packed one; none if it is damaged.
+/// Decodes a packed table; returns `None` if it is corrupt.
 pub fn unpack(packed: &str) -> Option<VersionedTable> {
     let bytes = STANDARD.decode(packed).ok()?;
     let mut text = Vec::new();
@@ -33,14 +34,14 @@
     serde_json::from_slice(&text).ok()
 }
 
-/// The packed form of the table in force, kept until another one is.
+/// Caches the packed form of the table in force.
 #[derive(Debug, Default)]
 pub struct PackedTable {
     kept: Option<(u64, String, Arc<str>)>,
 }
 
 impl PackedTable {
-    /// The packed form of `table`; packed anew only where it is another one than last time.
+    /// Returns the packed form of `table`, packing it only if it differs from the cached one.
     pub fn of(&mut self, table: &VersionedTable) -> Option<Arc<str>> {
         if let Some((version, hash, packed)) = &self.kept
             && *version == table.version
