--- a/src/control/quarantine_log.rs
+++ b/src/control/quarantine_log.rs
@@ -1,4 +1,5 @@
-//! Contents that are held back, as the voters keep them: what daemons know ends with them when all restart at once.
+//! The quarantine as stored by the voters. Daemons keep theirs in memory only, so it would be lost
+//! if all of them restarted at once.
 
 use crate::policy::Moment;
 use crate::quarantine::{HeldRequest, RequestFingerprint, SuspectRecord, SuspectRow};
@@ -6,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Contents that are kept, at most: near 200 KB in a snapshot.
+/// Maximum number of records, which take about 200 KB in a snapshot.
 const MOST_RECORDS: usize = 1_024;
 
-/// A content that is held back, as operators see it.
+/// A quarantined request content, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRow {
-    /// The content's fingerprint, as in logs.
+    /// The fingerprint of the content, as in logs.
     pub fingerprint: String,
-    /// Upstreams that ended under it.
+    /// Number of upstreams that crashed while running it.
     pub upstreams_ended: usize,
-    /// Milliseconds since the last one ended.
+    /// Milliseconds since the last crash.
     pub last_ended_ms: u64,
-    /// Milliseconds until it is let through by itself.
+    /// Milliseconds until the quarantine expires.
     pub held_for_ms: u64,
 }
 
@@ -33,26 +34,28 @@
     }
 }
 
-/// The contents. Times are those of the wall clock, since they outlive every process; the leader's clock stamps them.
+/// Crash records by request content. Times are wall-clock times, since they outlive every process;
+/// they are stamped by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuarantineLog {
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
 }
 
-/// A point of wall-clock time, in microseconds.
+/// Converts a wall-clock time in milliseconds to microseconds since the Unix epoch.
 fn wall(at_ms: u64) -> Moment {
     Moment(at_ms.saturating_mul(1_000))
 }
 
 impl QuarantineLog {
-    /// True if a row says more than is kept: of further ends, or that the content was cleared.
+    /// Returns true if a row is news: it has more crashes than the stored record, or says that the
+    /// content was cleared.
     pub fn lacks(&self, row: &SuspectRow) -> bool {
         let known = self.records.get(&row.request).map_or(0, SuspectRecord::crashes);
         let is_cleared = row.void_age_ms.is_some() && row.crashes.len() < known;
         is_cleared || row.crashes.len() > known
     }
 
-    /// Takes what a daemon reported at `at_ms` of the wall clock.
+    /// Merges rows that a daemon reported at the wall-clock time `at_ms`.
     pub fn take(&mut self, rows: &[SuspectRow], at_ms: u64) {
         let now = wall(at_ms);
         for row in rows {
@@ -74,12 +77,12 @@
         }
     }
 
-    /// An operator lets a content through.
+    /// Releases a content from quarantine by an operator's order.
     pub fn release(&mut self, request: RequestFingerprint, at_ms: u64) {
         self.records.entry(request).or_default().void(wall(at_ms).into());
     }
 
-    /// The rows for daemons: all contents that are not over, or only `request`.
+    /// Returns the rows to send to daemons: all unexpired records, or only the one of `request`.
     pub fn rows(&self, request: Option<RequestFingerprint>, now_ms: u64) -> Vec<SuspectRow> {
         let now = wall(now_ms);
         let is_chosen = |known: &RequestFingerprint| request.is_none_or(|one| one == *known);
@@ -88,7 +91,7 @@
         current.map(|(request, record)| record.row(*request, now)).collect()
     }
 
-    /// What is held back, the longest hold first.
+    /// Returns the quarantined contents, those with the longest remaining time first.
     pub fn held(&self, now_ms: u64) -> Vec<QuarantineRow> {
         let records = self.records.iter();
         let mut held: Vec<HeldRequest> =
@@ -98,12 +101,13 @@
     }
 }
 
-/// Contents that were proposed for the log or released a moment ago.
+/// Contents that were recently proposed for the log or released, with their numbers of crashes.
 #[derive(Clone, Debug, Default)]
 pub struct RecentRequests(BTreeMap<RequestFingerprint, (usize, Moment)>);
 
 impl RecentRequests {
-    /// Notes a content with a number of ends; false if that was noted a moment ago.
+    /// Records a content with its number of crashes; returns false if at least as many are already
+    /// recorded.
     pub fn note(&mut self, request: RequestFingerprint, crashes: usize, now: Moment) -> bool {
         let is_new = self.0.get(&request).is_none_or(|(known, _)| *known < crashes);
         if is_new {
@@ -112,12 +116,12 @@
         is_new
     }
 
-    /// Forgets what is older than `life`.
+    /// Removes entries older than `life`.
     pub fn forget(&mut self, life: Duration, now: Moment) {
         self.0.retain(|_, (_, at)| now.since(*at) < life);
     }
 
-    /// The contents.
+    /// Iterates over the contents.
     pub fn iter(&self) -> impl Iterator<Item = RequestFingerprint> {
         self.0.keys().copied()
     }
