--- a/src/control/requests.rs
+++ b/src/control/requests.rs
@@ -1,4 +1,4 @@
-//! What the control loop is asked, and the way to ask it.
+//! Requests to the control loop, and the handle that sends them.
 
 use super::fleet::{DaemonReport, ReportAnswer};
 use super::ledger::{ControlCommand, NumberedOutcome, NumberedTable, TableEdit};
@@ -91,14 +91,14 @@
     },
 }
 
-/// A way to ask the control loop.
+/// A handle for sending requests to the control loop.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     pub(super) sender: mpsc::UnboundedSender<ControlRequest>,
 }
 
 impl ControlHandle {
-    /// Sends a request and waits for its answer; none if the loop has ended.
+    /// Sends a request and waits for the answer; returns `None` if the loop has ended.
     pub async fn ask<T>(
         &self,
         request: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
