--- a/src/control/rpc.rs
+++ b/src/control/rpc.rs
@@ -1,4 +1,4 @@
-//! The control interface: between daemons, and from operators' commands. Carried by jsonrpsee.
+//! The JSON-RPC control interface, used between daemons and by operators' commands.
 
 use super::fleet::{DaemonReport, MemberView, ReportAnswer};
 use super::ledger::{ControlCommand, EditOutcome, EditRecord, TableEdit};
@@ -19,98 +19,98 @@
 pub enum LeaderAnswer<T> {
     /// The leader's answer.
     Done(T),
-    /// Ask there; none if no leader is known now.
+    /// The control address of the leader to ask instead; `None` if no leader is known.
     Elsewhere(Option<SocketAddr>),
 }
 
-/// How far an accepted edit has come.
+/// The progress of an accepted edit towards being in force on all daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EditProgress {
-    /// True once every live daemon has the version in force.
+    /// True once the version is in force on every live daemon.
     pub is_in_force: bool,
-    /// Daemons that may still admit under an older version.
+    /// Daemons that may still admit requests under an older version.
     pub lagging: Vec<DaemonName>,
 }
 
 /// The answer to an edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ApplyAnswer {
-    /// Accepted or in conflict.
+    /// Whether the edit was accepted or conflicts with another one.
     pub outcome: EditOutcome,
-    /// For accepted edits, how far they have come.
+    /// The progress of an accepted edit.
     pub progress: EditProgress,
 }
 
-/// A row of `table history`.
+/// A row in the output of `table history`.
 pub type HistoryRow = EditRecord;
 
-/// A voter, or a learner on its way to become one.
+/// A voter, or a learner that is becoming one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterRow {
-    /// Its identity.
+    /// The identity of the voter or learner.
     pub voter: VoterId,
-    /// Its control address.
+    /// The address of its control interface.
     pub control: SocketAddr,
     /// True for a voter, false for a learner.
     pub votes: bool,
-    /// The last log index known to be kept there; on the leader only.
+    /// The highest log index known to be stored there; reported by the leader only.
     pub matched: Option<u64>,
 }
 
-/// The answer to a voter that asks to join.
+/// The answer to a request to join the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinAnswer {
-    /// The fleet.
+    /// The id of the fleet.
     pub fleet: FleetId,
     /// False if operators have removed this daemon from the voters.
     pub is_accepted: bool,
 }
 
-/// One daemon's view of itself and, on the leader, of the fleet.
+/// The status of one daemon and, on the leader, of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// The daemon.
+    /// The name of the daemon.
     pub daemon: String,
     /// `leader`, `follower`, `candidate`, `joining` or `diskless`.
     pub role: String,
-    /// Its term.
+    /// The current term of its replica.
     pub term: u64,
-    /// The leader's control address, as far as it knows.
+    /// The control address of the leader, if known.
     pub leader: Option<SocketAddr>,
-    /// The version its replica has applied.
+    /// The table version that its replica has applied.
     pub table_version: u64,
-    /// The version's hash.
+    /// The hash of that version.
     pub table_hash: String,
-    /// Entries behind the snapshot.
+    /// Number of log entries after the snapshot.
     pub log_length: usize,
-    /// The last applied index.
+    /// The index of the last applied log entry.
     pub applied: u64,
-    /// Claims kept.
+    /// Number of stored claims.
     pub claims: usize,
-    /// The fleet's members; on the leader only.
+    /// The members of the fleet; reported by the leader only.
     pub members: Vec<MemberView>,
 }
 
 /// The control interface.
 #[rpc(server, client, namespace = "control")]
 pub trait ControlApi {
-    /// A replica's message; the answer is the replies to its sender.
+    /// Delivers a replica's message and returns the replies to its sender.
     #[method(name = "replica")]
     async fn replica(
         &self,
         envelope: ReplicaEnvelope<ControlCommand>,
     ) -> RpcResult<Vec<ReplicaEnvelope<ControlCommand>>>;
 
-    /// A daemon's report, answered with orders when they change or after a while.
+    /// Receives a daemon's report. Answered with orders once they change, or after a timeout.
     #[method(name = "report")]
     async fn report(&self, report: DaemonReport) -> RpcResult<LeaderAnswer<ReportAnswer>>;
 
-    /// Claims, answered once they are committed.
+    /// Applies claim commands, and answers once they are committed.
     #[method(name = "claims")]
     async fn claims(&self, commands: Vec<ClaimCommand>)
     -> RpcResult<LeaderAnswer<Vec<ClaimReply>>>;
 
-    /// A voter asks to join.
+    /// Asks to join the voters.
     #[method(name = "join")]
     async fn join(
         &self,
@@ -118,23 +118,23 @@
         control: SocketAddr,
     ) -> RpcResult<LeaderAnswer<JoinAnswer>>;
 
-    /// The fleet this daemon belongs to, if any.
+    /// Returns the id of the fleet to which this daemon belongs, if any.
     #[method(name = "fleet")]
     async fn fleet(&self) -> RpcResult<Option<FleetId>>;
 
-    /// Applies an edit; with `wait`, answers once it is in force or a few seconds have passed.
+    /// Applies an edit. With `wait`, answers once it is in force or after a few seconds.
     #[method(name = "apply")]
     async fn apply(&self, edit: TableEdit, wait: bool) -> RpcResult<LeaderAnswer<ApplyAnswer>>;
 
-    /// The table in force, or an older version that is still kept.
+    /// Returns the table in force, or an older version that is still stored.
     #[method(name = "table")]
     async fn table(&self, version: Option<u64>) -> RpcResult<LeaderAnswer<Option<VersionedTable>>>;
 
-    /// The newest table that this daemon knows to be committed; there may be a newer one.
+    /// Returns the newest table that this daemon knows to be committed. A newer one may exist.
     #[method(name = "known_table")]
     async fn known_table(&self) -> RpcResult<Option<VersionedTable>>;
 
-    /// The difference between two versions that are still kept.
+    /// Returns the difference between two stored versions.
     #[method(name = "diff")]
     async fn diff(
         &self,
@@ -142,15 +142,15 @@
         after: u64,
     ) -> RpcResult<LeaderAnswer<Option<Vec<CellChange>>>>;
 
-    /// Accepted edits, newest first.
+    /// Returns at most `most` accepted edits, newest first.
     #[method(name = "history")]
     async fn history(&self, most: usize) -> RpcResult<LeaderAnswer<Vec<HistoryRow>>>;
 
-    /// Voters and learners.
+    /// Lists voters and learners.
     #[method(name = "voters")]
     async fn voters(&self) -> RpcResult<LeaderAnswer<Vec<VoterRow>>>;
 
-    /// Lets a daemon become a voter, or removes it from the voters.
+    /// Allows a daemon to become a voter, or removes it from the voters.
     #[method(name = "voter_rule")]
     async fn voter_rule(
         &self,
@@ -158,30 +158,30 @@
         allowed: bool,
     ) -> RpcResult<LeaderAnswer<Vec<VoterRow>>>;
 
-    /// Contents that are held back.
+    /// Lists quarantined contents.
     #[method(name = "quarantine")]
     async fn quarantine(&self) -> RpcResult<LeaderAnswer<Vec<QuarantineRow>>>;
 
-    /// Lets a content through; the answer is what is held back after that.
+    /// Releases a content from quarantine, and returns those that remain.
     #[method(name = "release")]
     async fn release(
         &self,
         request: RequestFingerprint,
     ) -> RpcResult<LeaderAnswer<Vec<QuarantineRow>>>;
 
-    /// Orders a roll-out; answered once a quorum has kept it.
+    /// Begins a rollout, and answers once a quorum has stored the order.
     #[method(name = "rollout")]
     async fn rollout(&self, order: RolloutOrder) -> RpcResult<LeaderAnswer<RolloutReply>>;
 
-    /// The newest roll-out of each service.
+    /// Returns the newest rollout of each service.
     #[method(name = "rollouts")]
     async fn rollouts(&self) -> RpcResult<LeaderAnswer<Vec<RolloutRecord>>>;
 
-    /// This daemon's status.
+    /// Returns the status of this daemon.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<DaemonStatus>;
 
-    /// Begins this daemon's drain.
+    /// Starts draining this daemon.
     #[method(name = "drain")]
     async fn drain(&self) -> RpcResult<()>;
 }
