--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -1,4 +1,4 @@
-//! The server side of the control interface: checks the fleet key, hands calls to the control loop.
+//! Server of the control interface: checks the fleet key and passes calls to the control loop.
 
 use super::fleet::{DaemonReport, ReportAnswer};
 use super::ledger::{ControlCommand, TableEdit};
@@ -26,12 +26,12 @@
 use subtle::ConstantTimeEq;
 use tokio::sync::oneshot;
 
-/// JSON-RPC code for a control loop that has ended.
+/// JSON-RPC error code returned after the control loop has ended.
 const ENDED_CODE: i32 = -32_000;
-/// Connections at once: the fleet's daemons and some operators.
+/// Maximum number of connections, from the daemons of the fleet and some operators.
 const CONNECTION_LIMIT: u32 = 4_096;
 
-/// Starts the control interface on a bound listener.
+/// Starts the control interface server on a bound listener.
 pub async fn start_server(
     listener: std::net::TcpListener,
     key: FleetKey,
@@ -54,7 +54,7 @@
     Ok(server.start(ControlService { control, key: service_key, hint }.into_rpc()))
 }
 
-/// Lets only requests with the fleet's key through.
+/// HTTP middleware that rejects requests without the fleet key.
 #[derive(Clone)]
 struct KeyCheck<S> {
     inner: S,
@@ -104,8 +104,8 @@
         })
     }
 
-    /// Passes an operator's call on to the leader, so that any daemon can be asked. The answer is the
-    /// leader's own; if it cannot be reached the caller is told to ask elsewhere.
+    /// Forwards an operator's call to the leader, so that operators can call any daemon. Returns
+    /// the leader's answer, or `Elsewhere` if the leader cannot be reached.
     async fn pass_on<T, F>(
         &self,
         answer: LeaderAnswer<T>,
