--- a/src/control/setup.rs
+++ b/src/control/setup.rs
@@ -1,4 +1,4 @@
-//! What the control loop is started with.
+//! Configuration of the control loop.
 
 use super::links::FleetKey;
 use crate::clock::TrafficClock;
@@ -10,40 +10,41 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What the control loop needs to start.
+/// Configuration with which the control loop starts.
 #[derive(Clone, Debug)]
 pub struct ControlSetup {
-    /// The daemon.
+    /// The name of this daemon.
     pub daemon: DaemonName,
-    /// Its control address.
+    /// The address of its control interface.
     pub control: SocketAddr,
-    /// Its data folder; none for a diskless daemon.
+    /// The data folder; `None` for a diskless daemon.
     pub data_folder: Option<PathBuf>,
     /// The other voters.
     pub peers: Vec<PeerRow>,
-    /// The voters that found the fleet together, this one among them; empty where that is not to be done.
+    /// The voters that found the fleet together, including this one; empty if no fleet is to be
+    /// founded this way.
     pub founders: Vec<PeerRow>,
-    /// True if voters that are lost are replaced by new ones without an operator.
+    /// True if lost voters are replaced by new ones automatically.
     pub replaces_voters: bool,
-    /// True if it may found a fleet when every peer answers that it belongs to none.
+    /// True if this daemon may found a fleet once every peer answers that it belongs to none.
     pub found_fleet: bool,
-    /// The fleet's key.
+    /// The key shared by the fleet.
     pub key: FleetKey,
-    /// The currency lease.
+    /// How long a table counts as current after the leader confirmed it.
     pub lease: Duration,
-    /// The largest share of a service's requests that a version on trial may get.
+    /// Maximum share of a service's requests for a version on trial.
     pub rollout_share: f64,
-    /// Times of the replica.
+    /// Timing of the replica.
     pub replica: ReplicaConfig,
-    /// The clock shared with traffic.
+    /// The clock shared with the traffic code.
     pub clock: TrafficClock,
-    /// Logs.
+    /// The logger.
     pub log: Logger,
-    /// Seed of random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Wall-clock time in milliseconds.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(super) fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
