--- a/src/control/table_versions.rs
+++ b/src/control/table_versions.rs
@@ -1,34 +1,35 @@
-//! How far a table has come: which daemons have which version in force, and who lags since when.
+//! Distribution progress of tables: the versions in force by daemon, and the daemons that lag.
 
 use super::fleet::MemberView;
 use crate::table::DaemonName;
 use serde::Serialize;
 
-/// Daemons that are named for one version, at most: a page of names tells an operator no more than the first few.
+/// Maximum number of daemons named per version; a longer list would tell an operator no more.
 const MOST_NAMED: usize = 5;
 
-/// The daemons at one version.
+/// The daemons on which one version is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TableVersionRow {
     /// The version.
     pub version: u64,
-    /// Daemons with a valid lease that have it in force.
+    /// Number of these daemons with a valid lease.
     pub live: usize,
-    /// Daemons whose lease has run out, which admit nothing or go on under it, as they are set.
+    /// Number of these daemons whose lease has expired. Depending on their settings, they admit
+    /// nothing or continue under this version.
     pub lapsed: usize,
-    /// For how long they have lagged behind the newest version, in milliseconds; none at the newest.
+    /// Milliseconds for which they have lagged behind the newest version; `None` for the newest.
     pub lags_ms: Option<u64>,
-    /// The first of them.
+    /// The first few of these daemons.
     pub named: Vec<DaemonName>,
 }
 
-/// The versions that members have in force, the newest first.
+/// Returns the versions in force on the members, newest first.
 pub fn table_versions(members: &[MemberView]) -> Vec<TableVersionRow> {
     let mut versions: Vec<u64> = members.iter().map(|member| member.version).collect();
     versions.sort_unstable_by(|a, b| b.cmp(a));
     versions.dedup();
     let newest = versions.first().copied().unwrap_or(0);
-    // The newest version is as old as the first daemon that had it.
+    // The age of the newest version is the longest time for which a daemon has had it in force.
     let age = members.iter().filter(|member| member.version == newest);
     let age = age.filter_map(|member| member.version_ms).max();
     let row = |version: u64| {
