--- a/src/control/voter_folder.rs
+++ b/src/control/voter_folder.rs
@@ -1,4 +1,4 @@
-//! Opening a voter's data folder.
+//! Opens the data folder of a voter.
 
 use super::ledger::ControlCommand;
 use super::setup::{ControlSetup, unix_millis};
@@ -9,18 +9,19 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// A voter's folder, open, with what it holds.
+/// The opened data folder of a voter, with its contents.
 pub struct OpenVoter {
-    /// The folder.
+    /// The open folder.
     pub store: StoreFolder,
-    /// Whose it is.
+    /// The identity of the voter that owns it.
     pub identity: FolderIdentity,
-    /// What it holds.
+    /// The snapshot and log read from it.
     pub state: FolderState<ControlCommand>,
 }
 
-/// Opens the folder. A damaged or copied one is set aside, and the voter starts again under a new
-/// identity, to be filled by the others: it must not vote from what it may have lost.
+/// Opens the folder. A damaged or copied folder is set aside, and the voter rejoins under a new
+/// identity and receives its state from the others. It must not vote from a state that may have
+/// lost entries.
 pub fn open_voter(
     setup: &ControlSetup,
     folder: &Path,
@@ -55,7 +56,7 @@
     Ok(OpenVoter { store, identity, state })
 }
 
-/// The snapshot of a voter that has nothing yet.
+/// Returns the snapshot of a voter without any state.
 pub fn blank_snapshot(fleet: FleetId) -> SnapshotRecord {
     let membership = FleetMembership { fleet, ..FleetMembership::default() };
     SnapshotRecord { at: LogPosition::default(), membership, state: Arc::from("") }
