--- a/src/control/waiters.rs
+++ b/src/control/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for what in the control loop.
+//! Callers that wait for an event in the control loop.
 
 use super::fleet::ReportAnswer;
 use super::ledger::NumberedOutcome;
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// Where an answer that only the leader can give goes.
+/// Channel for an answer that only the leader can give.
 pub type ReplyTo<T> = oneshot::Sender<LeaderAnswer<T>>;
 
-/// Who waits for an entry to be applied.
+/// A caller that waits until its log entries are applied.
 pub enum EntryWaiter {
     Edit { wait: bool, reply: ReplyTo<ApplyAnswer> },
     Replace { reply: ReplyTo<NumberedOutcome> },
@@ -26,22 +26,23 @@
     Nobody,
 }
 
-/// A report that is held until its orders change.
+/// A daemon's report whose answer is held until its orders change.
 pub struct HeldReport {
     pub daemon: DaemonName,
     pub has_lease: bool,
-    /// True if only a newer table is news to the daemon: it takes no shares and floors.
+    /// True if the daemon takes no shares and floors, so that only a newer table warrants an
+    /// answer.
     pub divides_alone: bool,
     pub knows_serving: u64,
     pub wants_suspects: bool,
-    /// Digest of the roll-outs that the daemon knows.
+    /// Digest of the rollouts known to the daemon.
     pub knows_rollouts: u64,
     pub version: u64,
     pub since: Moment,
     pub reply: ReplyTo<ReportAnswer>,
 }
 
-/// An accepted edit that waits until it is in force.
+/// A caller that waits until its accepted edit is in force.
 pub struct ForceWait {
     pub answer: ApplyAnswer,
     pub version: u64,
@@ -49,17 +50,18 @@
     pub reply: ReplyTo<ApplyAnswer>,
 }
 
-/// Everybody who waits for something.
+/// All waiting callers.
 #[derive(Default)]
 pub struct Waiting {
-    /// By the index of the last entry waited for, with the term it was proposed in.
+    /// Index of the last entry, the term in which it was proposed, and the waiting caller; ordered
+    /// by index.
     pub entries: VecDeque<(u64, u64, EntryWaiter)>,
     pub reports: Vec<HeldReport>,
     pub force: Vec<ForceWait>,
 }
 
 impl EntryWaiter {
-    /// Tells the waiter to ask elsewhere.
+    /// Redirects the caller to `leader`.
     pub fn elsewhere(self, leader: Option<SocketAddr>) {
         match self {
             EntryWaiter::Edit { reply, .. } => drop(reply.send(LeaderAnswer::Elsewhere(leader))),
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Entries that the waiter waits for.
+    /// Number of entries for which the caller waits.
     pub fn entry_count(&self) -> usize {
         if let EntryWaiter::Claims { left, .. } = self { *left } else { 1 }
     }
