--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -19,9 +19,9 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout for consecutive reports that each replaced an unanswered one. The leader may hold each
 /// report for a while.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_800);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Delay before the next attempt when no leader is known.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Settings of the fleet agent.
 #[derive(Clone, Debug)]
@@ -80,9 +80,9 @@
                 }
             };
             if !is_answered {
-                self.take_known_table().await;
+                self.apply_known_table().await;
                 self.leader.drop_unless_hinted();
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -92,7 +92,7 @@
     async fn report(&mut self, address: SocketAddr, client: &WsClient) -> bool {
         let report = self.make_report();
         let since = *self.silent_since.get_or_insert_with(Instant::now);
-        let until = (Instant::now() + REPORT_TIMEOUT).min(since + SILENCE_LIMIT);
+        let until = (Instant::now() + REPORT_TIMEOUT).min(since + SILENCE_TIMEOUT);
         let until = tokio::time::Instant::from_std(until);
         let answer = tokio::select! {
             biased;
@@ -109,7 +109,7 @@
             }
             Ok(Ok(LeaderAnswer::Done(ReportAnswer::Orders(orders)))) => {
                 self.leader.hint().set(Some(address));
-                self.carry_out(orders);
+                self.apply_orders(orders);
                 true
             }
             Ok(Ok(LeaderAnswer::Elsewhere(leader))) => {
@@ -126,7 +126,7 @@
     /// Applies the newest committed table known to any voter, if this daemon has no table yet and
     /// may serve while cut off from the leader. After a restart of the whole fleet, voters can
     /// provide it a second before the first leader is elected.
-    async fn take_known_table(&mut self) {
+    async fn apply_known_table(&mut self) {
         if self.state.snapshot().version > 0 || !self.state.may_serve_cut_off() {
             return;
         }
@@ -167,7 +167,7 @@
         states.chain([limits]).collect()
     }
 
-    fn carry_out(&mut self, mut orders: DaemonOrders) {
+    fn apply_orders(&mut self, mut orders: DaemonOrders) {
         if let Some(packed) = orders.packed.take() {
             orders.table = unpack(&packed).map(Box::new);
             if orders.table.is_none() {
@@ -191,13 +191,13 @@
             self.state.apply_table(table);
         }
         let pools = self.state.pools();
-        for step in moves.pools {
-            if step.service.as_str() == LIMITS {
-                self.state.limits().set_share(step.share);
+        for pool_move in moves.pools {
+            if pool_move.service.as_str() == LIMITS {
+                self.state.limits().set_share(pool_move.share);
             }
-            let Some(pool) = pools.get(&step.service) else { continue };
-            pool.tell(PoolEvent::Share { share: step.share });
-            pool.tell(PoolEvent::FleetFloor(step.floor));
+            let Some(pool) = pools.get(&pool_move.service) else { continue };
+            pool.tell(PoolEvent::Share { share: pool_move.share });
+            pool.tell(PoolEvent::FleetFloor(pool_move.floor));
         }
         // Renew the lease only if the version in force here is at least the leader's. A newer table
         // in this answer has been applied above, and an older one is never applied.
