--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -130,7 +130,7 @@
         if self.state.snapshot().version > 0 || !self.state.may_serve_cut_off() {
             return;
         }
-        let Some(client) = self.leader.open() else { return };
+        let Some(client) = self.leader.connection() else { return };
         let known = tokio::time::timeout(REPORT_TIMEOUT, client.known_table()).await;
         if let Ok(Ok(Some(table))) = known {
             info!(self.state.log, "applied a voter's table without confirmation by a leader"; "version" => table.version);
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -21,17 +21,17 @@
 /// Timeout for the answer to a short message, after which the connection is considered dead and the
 /// next message opens a new one. It is below the minimum election timeout, so that a single dead
 /// connection does not cause an election.
-const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout for a snapshot or a large batch of entries.
-const LONG_TIMEOUT: Duration = Duration::from_secs(10);
+const BULK_CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of messages queued for one peer; further ones are dropped, as by a lossy network.
-const WAITING_MESSAGES: usize = 256;
+const PEER_QUEUE_CAPACITY: usize = 256;
 /// Maximum number of concurrent calls to one peer.
-const CALLS_AT_ONCE: usize = 32;
+const MAX_PEER_CALLS: usize = 32;
 /// Maximum size of a message, in bytes.
-pub const MESSAGE_LIMIT: u32 = 256 << 20;
+pub const MAX_MESSAGE_BYTES: u32 = 256 << 20;
 /// Maximum number of unanswered calls on one connection.
-const PENDING_CALLS: usize = 4_096;
+const MAX_PENDING_CALLS: usize = 4_096;
 /// Interval between WebSocket pings, which detect dead connections.
 const PING_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -154,10 +154,10 @@
     let builder = WsClientBuilder::default()
         .set_headers(headers)
         .connection_timeout(CONNECT_TIMEOUT)
-        .request_timeout(LONG_TIMEOUT)
-        .max_request_size(MESSAGE_LIMIT)
-        .max_response_size(MESSAGE_LIMIT)
-        .max_concurrent_requests(PENDING_CALLS)
+        .request_timeout(BULK_CALL_TIMEOUT)
+        .max_request_size(MAX_MESSAGE_BYTES)
+        .max_response_size(MAX_MESSAGE_BYTES)
+        .max_concurrent_requests(MAX_PENDING_CALLS)
         .enable_ws_ping(PingConfig::new().ping_interval(PING_INTERVAL))
         .set_tcp_no_delay(true);
     let connecting =
@@ -179,19 +179,26 @@
 /// in turn.
 pub struct LeaderClient {
     /// The voters named in the settings.
-    voters: KnownVoters,
+    settings_voters: KnownVoters,
     /// The voters most recently listed by a leader.
-    told: Vec<SocketAddr>,
+    listed_voters: Vec<SocketAddr>,
     key: FleetKey,
     hint: LeaderHint,
-    next_voter: usize,
-    open: Option<(SocketAddr, Arc<WsClient>)>,
+    voter_idx: usize,
+    connection: Option<(SocketAddr, Arc<WsClient>)>,
 }
 
 impl LeaderClient {
     /// Creates a client that is not connected yet.
     pub fn new(voters: KnownVoters, key: FleetKey, hint: LeaderHint) -> Self {
-        LeaderClient { voters, told: Vec::new(), key, hint, next_voter: 0, open: None }
+        LeaderClient {
+            settings_voters: voters,
+            listed_voters: Vec::new(),
+            key,
+            hint,
+            voter_idx: 0,
+            connection: None,
+        }
     }
 
     /// Returns the presumed address of the leader.
@@ -201,41 +208,42 @@
 
     /// Returns the connection and its address, connecting first if necessary.
     pub async fn get(&mut self) -> Option<(SocketAddr, Arc<WsClient>)> {
-        let address = self.hint.get().or_else(|| self.some_voter())?;
+        let address = self.hint.get().or_else(|| self.next_voter())?;
         let is_open = |(known, client): &(SocketAddr, Arc<WsClient>)| {
             *known == address && client.is_connected()
         };
-        if !self.open.as_ref().is_some_and(is_open) {
+        if !self.connection.as_ref().is_some_and(is_open) {
             let client = connect(address, &self.key).await.ok();
-            self.open = client.map(|client| (address, Arc::new(client)));
+            self.connection = client.map(|client| (address, Arc::new(client)));
         }
-        self.open.clone()
+        self.connection.clone()
     }
 
     /// Returns the existing connection, if any.
-    pub fn open(&self) -> Option<Arc<WsClient>> {
-        self.open.as_ref().map(|(_, client)| Arc::clone(client))
+    pub fn connection(&self) -> Option<Arc<WsClient>> {
+        self.connection.as_ref().map(|(_, client)| Arc::clone(client))
     }
 
     /// Drops the connection unless it leads to the presumed leader. A connection that gave no
     /// answer may be dead for good although new ones work.
     pub fn drop_unless_hinted(&mut self) {
         let hint = self.hint.get();
-        self.open.take_if(|(known, _)| Some(*known) != hint);
+        self.connection.take_if(|(known, _)| Some(*known) != hint);
     }
 
     /// Replaces the list of voters received from a leader. The voters from the settings remain in
     /// use, in case all of the listed ones are replaced while this daemon is cut off.
     pub fn set_voters(&mut self, voters: Vec<SocketAddr>) {
         if !voters.is_empty() {
-            self.told = voters;
+            self.listed_voters = voters;
         }
     }
 
-    fn some_voter(&mut self) -> Option<SocketAddr> {
-        let known: Vec<SocketAddr> = self.told.iter().copied().chain(self.voters.get()).collect();
-        self.next_voter = (self.next_voter + 1) % known.len().max(1);
-        known.get(self.next_voter).copied()
+    fn next_voter(&mut self) -> Option<SocketAddr> {
+        let known: Vec<SocketAddr> =
+            self.listed_voters.iter().copied().chain(self.settings_voters.get()).collect();
+        self.voter_idx = (self.voter_idx + 1) % known.len().max(1);
+        known.get(self.voter_idx).copied()
     }
 }
 
@@ -266,7 +274,7 @@
         let to = envelope.to.clone();
         if self.links.get(&to).is_none_or(|link| link.address != address || link.sender.is_closed())
         {
-            let (sender, receiver) = mpsc::channel(WAITING_MESSAGES);
+            let (sender, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
             tokio::spawn(run_link(
                 address,
                 self.key.clone(),
@@ -290,7 +298,7 @@
     mut receiver: mpsc::Receiver<ReplicaEnvelope<ControlCommand>>,
     replies: ReplySender,
 ) {
-    let calls = Arc::new(tokio::sync::Semaphore::new(CALLS_AT_ONCE));
+    let calls = Arc::new(tokio::sync::Semaphore::new(MAX_PEER_CALLS));
     let (broken_sender, mut broken) = mpsc::channel::<()>(1);
     let mut client: Option<Arc<WsClient>> = None;
     while let Some(envelope) = receiver.recv().await {
@@ -329,8 +337,8 @@
 
 fn call_timeout(envelope: &ReplicaEnvelope<ControlCommand>) -> Duration {
     match &envelope.message {
-        ReplicaMessage::Snapshot { .. } => LONG_TIMEOUT,
-        ReplicaMessage::Append { entries, .. } if entries.len() > 64 => LONG_TIMEOUT,
-        _ => SHORT_TIMEOUT,
+        ReplicaMessage::Snapshot { .. } => BULK_CALL_TIMEOUT,
+        ReplicaMessage::Append { entries, .. } if entries.len() > 64 => BULK_CALL_TIMEOUT,
+        _ => CALL_TIMEOUT,
     }
 }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{DaemonReport, ReportAnswer};
 use super::ledger::{ControlCommand, TableEdit};
-use super::links::{FleetKey, LeaderHint, MESSAGE_LIMIT, connect};
+use super::links::{FleetKey, LeaderHint, MAX_MESSAGE_BYTES, connect};
 use super::quarantine_log::QuarantineRow;
 use super::requests::{ControlHandle, ControlRequest};
 use super::rpc::{
@@ -40,8 +40,8 @@
 ) -> std::io::Result<ServerHandle> {
     let service_key = key.clone();
     let config = ServerConfig::builder()
-        .max_request_body_size(MESSAGE_LIMIT)
-        .max_response_body_size(MESSAGE_LIMIT)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .max_connections(CONNECTION_LIMIT)
         .set_tcp_no_delay(true)
         .build();
