--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -27,9 +27,9 @@
 use tokio::sync::oneshot;
 
 /// JSON-RPC error code returned after the control loop has ended.
-const ENDED_CODE: i32 = -32_000;
+const LOOP_ENDED_CODE: i32 = -32_000;
 /// Maximum number of connections, from the daemons of the fleet and some operators.
-const CONNECTION_LIMIT: u32 = 4_096;
+const MAX_CONNECTIONS: u32 = 4_096;
 
 /// Starts the control interface server on a bound listener.
 pub async fn start_server(
@@ -42,7 +42,7 @@
     let config = ServerConfig::builder()
         .max_request_body_size(MAX_MESSAGE_BYTES)
         .max_response_body_size(MAX_MESSAGE_BYTES)
-        .max_connections(CONNECTION_LIMIT)
+        .max_connections(MAX_CONNECTIONS)
         .set_tcp_no_delay(true)
         .build();
     let middleware = tower::ServiceBuilder::new()
@@ -100,13 +100,13 @@
     ) -> RpcResult<T> {
         let answer = self.control.ask(request).await;
         answer.ok_or_else(|| {
-            ErrorObjectOwned::owned(ENDED_CODE, "the control loop has ended", None::<()>)
+            ErrorObjectOwned::owned(LOOP_ENDED_CODE, "the control loop has ended", None::<()>)
         })
     }
 
     /// Forwards an operator's call to the leader, so that operators can call any daemon. Returns
     /// the leader's answer, or `Elsewhere` if the leader cannot be reached.
-    async fn pass_on<T, F>(
+    async fn forward_to_leader<T, F>(
         &self,
         answer: LeaderAnswer<T>,
         call: impl FnOnce(WsClient) -> F,
@@ -165,14 +165,14 @@
     }
 
     async fn apply(&self, edit: TableEdit, wait: bool) -> RpcResult<LeaderAnswer<ApplyAnswer>> {
-        let kept = Box::new(edit.clone());
-        let answer = self.ask(|reply| ControlRequest::Apply { edit: kept, wait, reply }).await?;
-        self.pass_on(answer, |client| async move { client.apply(edit, wait).await }).await
+        let copy = Box::new(edit.clone());
+        let answer = self.ask(|reply| ControlRequest::Apply { edit: copy, wait, reply }).await?;
+        self.forward_to_leader(answer, |client| async move { client.apply(edit, wait).await }).await
     }
 
     async fn table(&self, version: Option<u64>) -> RpcResult<LeaderAnswer<Option<VersionedTable>>> {
         let answer = self.ask(|reply| ControlRequest::Table { version, reply }).await?;
-        self.pass_on(answer, |client| async move { client.table(version).await }).await
+        self.forward_to_leader(answer, |client| async move { client.table(version).await }).await
     }
 
     async fn diff(
@@ -181,17 +181,18 @@
         after: u64,
     ) -> RpcResult<LeaderAnswer<Option<Vec<CellChange>>>> {
         let answer = self.ask(|reply| ControlRequest::Diff { before, after, reply }).await?;
-        self.pass_on(answer, |client| async move { client.diff(before, after).await }).await
+        self.forward_to_leader(answer, |client| async move { client.diff(before, after).await })
+            .await
     }
 
     async fn history(&self, most: usize) -> RpcResult<LeaderAnswer<Vec<HistoryRow>>> {
         let answer = self.ask(|reply| ControlRequest::History { most, reply }).await?;
-        self.pass_on(answer, |client| async move { client.history(most).await }).await
+        self.forward_to_leader(answer, |client| async move { client.history(most).await }).await
     }
 
     async fn voters(&self) -> RpcResult<LeaderAnswer<Vec<VoterRow>>> {
         let answer = self.ask(|reply| ControlRequest::Voters { reply }).await?;
-        self.pass_on(answer, |client| async move { client.voters().await }).await
+        self.forward_to_leader(answer, |client| async move { client.voters().await }).await
     }
 
     async fn voter_rule(
@@ -202,12 +203,16 @@
         let name = daemon.clone();
         let answer =
             self.ask(|reply| ControlRequest::VoterRule { daemon: name, allowed, reply }).await?;
-        self.pass_on(answer, |client| async move { client.voter_rule(daemon, allowed).await }).await
+        self.forward_to_leader(
+            answer,
+            |client| async move { client.voter_rule(daemon, allowed).await },
+        )
+        .await
     }
 
     async fn quarantine(&self) -> RpcResult<LeaderAnswer<Vec<QuarantineRow>>> {
         let answer = self.ask(|reply| ControlRequest::Quarantine { reply }).await?;
-        self.pass_on(answer, |client| async move { client.quarantine().await }).await
+        self.forward_to_leader(answer, |client| async move { client.quarantine().await }).await
     }
 
     async fn release(
@@ -215,18 +220,18 @@
         request: RequestFingerprint,
     ) -> RpcResult<LeaderAnswer<Vec<QuarantineRow>>> {
         let answer = self.ask(|reply| ControlRequest::Release { request, reply }).await?;
-        self.pass_on(answer, |client| async move { client.release(request).await }).await
+        self.forward_to_leader(answer, |client| async move { client.release(request).await }).await
     }
 
     async fn rollout(&self, order: RolloutOrder) -> RpcResult<LeaderAnswer<RolloutReply>> {
-        let kept = order.clone();
-        let answer = self.ask(|reply| ControlRequest::Rollout { order: kept, reply }).await?;
-        self.pass_on(answer, |client| async move { client.rollout(order).await }).await
+        let copy = order.clone();
+        let answer = self.ask(|reply| ControlRequest::Rollout { order: copy, reply }).await?;
+        self.forward_to_leader(answer, |client| async move { client.rollout(order).await }).await
     }
 
     async fn rollouts(&self) -> RpcResult<LeaderAnswer<Vec<RolloutRecord>>> {
         let answer = self.ask(|reply| ControlRequest::Rollouts { reply }).await?;
-        self.pass_on(answer, |client| async move { client.rollouts().await }).await
+        self.forward_to_leader(answer, |client| async move { client.rollouts().await }).await
     }
 
     async fn status(&self) -> RpcResult<DaemonStatus> {
