--- a/src/control/table_versions.rs
+++ b/src/control/table_versions.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 /// Maximum number of daemons named per version; a longer list would tell an operator no more.
-const MOST_NAMED: usize = 5;
+const MAX_NAMED_DAEMONS: usize = 5;
 
 /// The daemons on which one version is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -33,14 +33,17 @@
     let age = members.iter().filter(|member| member.version == newest);
     let age = age.filter_map(|member| member.version_ms).max();
     let row = |version: u64| {
-        let at = || members.iter().filter(|member| member.version == version);
-        let live = at().filter(|member| member.is_live).count();
+        let members_at = || members.iter().filter(|member| member.version == version);
+        let live = members_at().filter(|member| member.is_live).count();
         TableVersionRow {
             version,
             live,
-            lapsed: at().count() - live,
+            lapsed: members_at().count() - live,
             lags_ms: age.filter(|_| version != newest),
-            named: at().map(|member| member.daemon.clone()).take(MOST_NAMED).collect(),
+            named: members_at()
+                .map(|member| member.daemon.clone())
+                .take(MAX_NAMED_DAEMONS)
+                .collect(),
         }
     };
     versions.into_iter().map(row).collect()
