--- a/src/control/packed_table.rs
+++ b/src/control/packed_table.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// Maximum size of an unpacked table, in bytes; a route takes about 300.
-const UNPACKED_LIMIT: u64 = 256 << 20;
+const MAX_UNPACKED_BYTES: u64 = 256 << 20;
 
 /// Encodes a table as JSON, compressed with DEFLATE (RFC 1951), in base64 (RFC 4648).
 pub fn pack(table: &VersionedTable) -> Option<Arc<str>> {
@@ -30,27 +30,27 @@
 pub fn unpack(packed: &str) -> Option<VersionedTable> {
     let bytes = STANDARD.decode(packed).ok()?;
     let mut text = Vec::new();
-    DeflateDecoder::new(bytes.as_slice()).take(UNPACKED_LIMIT).read_to_end(&mut text).ok()?;
+    DeflateDecoder::new(bytes.as_slice()).take(MAX_UNPACKED_BYTES).read_to_end(&mut text).ok()?;
     serde_json::from_slice(&text).ok()
 }
 
 /// Caches the packed form of the table in force.
 #[derive(Debug, Default)]
 pub struct PackedTable {
-    kept: Option<(u64, String, Arc<str>)>,
+    cached: Option<(u64, String, Arc<str>)>,
 }
 
 impl PackedTable {
     /// Returns the packed form of `table`, packing it only if it differs from the cached one.
     pub fn of(&mut self, table: &VersionedTable) -> Option<Arc<str>> {
-        if let Some((version, hash, packed)) = &self.kept
+        if let Some((version, hash, packed)) = &self.cached
             && *version == table.version
             && *hash == table.hash
         {
             return Some(Arc::clone(packed));
         }
         let packed = pack(table)?;
-        self.kept = Some((table.version, table.hash.clone(), Arc::clone(&packed)));
+        self.cached = Some((table.version, table.hash.clone(), Arc::clone(&packed)));
         Some(packed)
     }
 }
