--- a/src/control/quarantine_log.rs
+++ b/src/control/quarantine_log.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Maximum number of records, which take about 200 KB in a snapshot.
-const MOST_RECORDS: usize = 1_024;
+const MAX_RECORDS: usize = 1_024;
 
 /// A quarantined request content, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 }
 
 /// Converts a wall-clock time in milliseconds to microseconds since the Unix epoch.
-fn wall(at_ms: u64) -> Moment {
+fn wall_moment(at_ms: u64) -> Moment {
     Moment(at_ms.saturating_mul(1_000))
 }
 
@@ -57,11 +57,11 @@
 
     /// Merges rows that a daemon reported at the wall-clock time `at_ms`.
     pub fn take(&mut self, rows: &[SuspectRow], at_ms: u64) {
-        let now = wall(at_ms);
+        let now = wall_moment(at_ms);
         for row in rows {
             self.records.entry(row.request).or_default().take(row, now);
         }
-        if self.records.len() > MOST_RECORDS {
+        if self.records.len() > MAX_RECORDS {
             self.drop_excess(now);
         }
     }
@@ -71,7 +71,7 @@
         let mut ranked: Vec<(usize, RequestFingerprint)> =
             self.records.iter().map(|(request, record)| (record.crashes(), *request)).collect();
         ranked.sort_unstable();
-        let excess = ranked.len().saturating_sub(MOST_RECORDS);
+        let excess = ranked.len().saturating_sub(MAX_RECORDS);
         for (_, request) in ranked.into_iter().take(excess) {
             self.records.remove(&request);
         }
@@ -79,13 +79,13 @@
 
     /// Releases a content from quarantine by an operator's order.
     pub fn release(&mut self, request: RequestFingerprint, at_ms: u64) {
-        self.records.entry(request).or_default().void(wall(at_ms).into());
+        self.records.entry(request).or_default().void(wall_moment(at_ms).into());
     }
 
     /// Returns the rows to send to daemons: all unexpired records, or only the one of `request`.
     pub fn rows(&self, request: Option<RequestFingerprint>, now_ms: u64) -> Vec<SuspectRow> {
-        let now = wall(now_ms);
-        let is_chosen = |known: &RequestFingerprint| request.is_none_or(|one| one == *known);
+        let now = wall_moment(now_ms);
+        let is_chosen = |known: &RequestFingerprint| request.is_none_or(|wanted| wanted == *known);
         let chosen = self.records.iter().filter(|(known, _)| is_chosen(known));
         let current = chosen.filter(|(_, record)| !record.is_over(now));
         current.map(|(request, record)| record.row(*request, now)).collect()
@@ -94,8 +94,9 @@
     /// Returns the quarantined contents, those with the longest remaining time first.
     pub fn held(&self, now_ms: u64) -> Vec<QuarantineRow> {
         let records = self.records.iter();
-        let mut held: Vec<HeldRequest> =
-            records.filter_map(|(request, record)| record.held(*request, wall(now_ms))).collect();
+        let mut held: Vec<HeldRequest> = records
+            .filter_map(|(request, record)| record.held(*request, wall_moment(now_ms)))
+            .collect();
         held.sort_by_key(|held| std::cmp::Reverse(held.held_for));
         held.into_iter().map(QuarantineRow::from).collect()
     }
