--- a/src/control/operator_door.rs
+++ b/src/control/operator_door.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Timeout for the answer of the control loop; operators try another daemon after one second.
-const ANSWER_TIME: Duration = Duration::from_millis(900);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The answer to an operator's call.
 #[derive(Clone, Debug, PartialEq)]
@@ -120,7 +120,7 @@
         &self,
         request: impl FnOnce(tokio::sync::oneshot::Sender<LeaderAnswer<T>>) -> ControlRequest,
     ) -> DoorAnswer<T> {
-        match tokio::time::timeout(ANSWER_TIME, self.control.ask(request)).await {
+        match tokio::time::timeout(ANSWER_TIMEOUT, self.control.ask(request)).await {
             Ok(Some(LeaderAnswer::Done(value))) => DoorAnswer::Done(value),
             Ok(Some(LeaderAnswer::Elsewhere(Some(leader)))) => DoorAnswer::Elsewhere(leader),
             _ => DoorAnswer::Unsure,
