--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -2,7 +2,7 @@
 
 use super::CommandError;
 use super::operator::ControlTarget;
-use crate::control::{CallFault, ControlApiClient};
+use crate::control::{CallError, ControlApiClient};
 
 const HELP: &str = "\
 Begins the drain of one daemon, as SIGTERM does: it turns unready at once, keeps accepting until the
@@ -21,7 +21,7 @@
 pub fn run(args: &Args) -> Result<(), CommandError> {
     super::block_on(async {
         let (address, client) = args.target.any().await?;
-        let failed = |error: jsonrpsee::core::ClientError| CallFault::Failed {
+        let failed = |error: jsonrpsee::core::ClientError| CallError::Failed {
             address,
             detail: error.to_string(),
         };
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -15,7 +15,7 @@
 pub mod table;
 pub mod voter;
 
-use crate::control::CallFault;
+use crate::control::CallError;
 use crate::daemon::StartError;
 use crate::table::FaultList;
 use snafu::Snafu;
@@ -62,7 +62,7 @@
     #[snafu(display("{source}"))]
     Call {
         /// Why.
-        source: CallFault,
+        source: CallError,
     },
     /// A daemon could not start.
     #[snafu(display("{source}"))]
--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -1,7 +1,7 @@
 //! What operators' commands share: where the daemons are, and finding the leader.
 
 use super::CommandError;
-use crate::control::{CallFault, FleetKey, LeaderAnswer, connect};
+use crate::control::{CallError, FleetKey, LeaderAnswer, connect};
 use jsonrpsee::core::ClientError;
 use jsonrpsee::ws_client::WsClient;
 use std::collections::VecDeque;
@@ -43,7 +43,7 @@
     /// Opens a connection to the first daemon that answers.
     pub async fn any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
         let key = self.key()?;
-        let mut last = CallFault::NoLeader;
+        let mut last = CallError::NoLeader;
         for address in &self.addresses {
             match connect(*address, &key).await {
                 Ok(client) => return Ok((*address, Arc::new(client))),
@@ -63,7 +63,7 @@
     {
         let key = self.key()?;
         let until = Instant::now() + Duration::from_secs(self.patience);
-        let mut last = CallFault::NoLeader;
+        let mut last = CallError::NoLeader;
         loop {
             let mut addresses: VecDeque<SocketAddr> = self.addresses.iter().copied().collect();
             let mut asked = Vec::new();
@@ -75,7 +75,7 @@
                 match ask_one(address, &key, &call).await {
                     Ok(LeaderAnswer::Done(done)) => return Ok(done),
                     Ok(LeaderAnswer::Elsewhere(leader)) => addresses.extend(leader),
-                    Err(fault @ CallFault::KeyRefused { .. }) => {
+                    Err(fault @ CallError::KeyRefused { .. }) => {
                         return Err(CommandError::Call { source: fault });
                     }
                     Err(fault) => last = fault,
@@ -93,10 +93,10 @@
     address: SocketAddr,
     key: &FleetKey,
     call: &impl Fn(Arc<WsClient>) -> F,
-) -> Result<LeaderAnswer<T>, CallFault>
+) -> Result<LeaderAnswer<T>, CallError>
 where
     F: Future<Output = Result<LeaderAnswer<T>, ClientError>>,
 {
     let client = Arc::new(connect(address, key).await?);
-    call(client).await.map_err(|error| CallFault::Failed { address, detail: error.to_string() })
+    call(client).await.map_err(|error| CallError::Failed { address, detail: error.to_string() })
 }
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -114,7 +114,7 @@
 
 /// An error of a call to a control interface.
 #[derive(Debug, Snafu)]
-pub enum CallFault {
+pub enum CallError {
     /// The connection could not be opened.
     #[snafu(display("{address}: cannot connect: {detail}"))]
     Unreachable {
@@ -143,10 +143,10 @@
 }
 
 /// Opens a WebSocket connection to a control interface.
-pub async fn connect(address: SocketAddr, key: &FleetKey) -> Result<WsClient, CallFault> {
+pub async fn connect(address: SocketAddr, key: &FleetKey) -> Result<WsClient, CallError> {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_str(&key.bearer());
-    let value = value.map_err(|_| CallFault::Failed {
+    let value = value.map_err(|_| CallError::Failed {
         address,
         detail: "the fleet key is not visible ASCII".to_owned(),
     })?;
@@ -165,10 +165,10 @@
     match connecting.await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(error)) if error.to_string().contains("401") => {
-            Err(CallFault::KeyRefused { address })
+            Err(CallError::KeyRefused { address })
         }
-        Ok(Err(error)) => Err(CallFault::Unreachable { address, detail: error.to_string() }),
-        Err(_) => Err(CallFault::Unreachable {
+        Ok(Err(error)) => Err(CallError::Unreachable { address, detail: error.to_string() }),
+        Err(_) => Err(CallError::Unreachable {
             address,
             detail: format!("no answer within {CONNECT_TIMEOUT:?}"),
         }),
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -33,7 +33,7 @@
     ControlCommand, ControlLedger, ControlReply, EditConflict, EditOutcome, EditRecord,
     NumberedOutcome, NumberedTable, TableEdit,
 };
-pub use links::{CallFault, FleetKey, KnownVoters, LeaderHint, connect};
+pub use links::{CallError, FleetKey, KnownVoters, LeaderHint, connect};
 pub use operator_door::{DoorAnswer, OperatorDoor};
 pub use packed_table::{PackedTable, pack, unpack};
 pub use quarantine_log::{QuarantineLog, QuarantineRow};
