--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,7 +9,7 @@
 mod joining;
 mod ledger;
 mod links;
-mod operator_door;
+mod operator_client;
 mod packed_table;
 mod quarantine_log;
 mod requests;
@@ -34,7 +34,7 @@
     NumberedOutcome, NumberedTable, TableEdit,
 };
 pub use links::{CallError, FleetKey, KnownVoters, LeaderHint, connect};
-pub use operator_door::{DoorAnswer, OperatorDoor};
+pub use operator_client::{OperatorAnswer, OperatorClient};
 pub use packed_table::{PackedTable, pack, unpack};
 pub use quarantine_log::{QuarantineLog, QuarantineRow};
 pub use requests::{ControlHandle, ControlRequest};
--- a/src/control/operator_door.rs
+++ b/src/control/operator_client.rs
@@ -15,45 +15,45 @@
 
 /// The answer to an operator's call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum DoorAnswer<T> {
+pub enum OperatorAnswer<T> {
     /// The leader's answer.
     Done(T),
     /// The control address of the leader, to which the call must be sent instead.
     Elsewhere(SocketAddr),
     /// No answer is available, and the call may or may not have taken effect.
-    Unsure,
+    Unknown,
     /// The request is invalid and was not applied.
-    Bad(FaultList),
+    Invalid(FaultList),
 }
 
 /// Performs operators' calls on the control loop.
-pub struct OperatorDoor {
+pub struct OperatorClient {
     control: ControlHandle,
     reader: Arc<dyn TableReader>,
     log: Logger,
 }
 
-impl OperatorDoor {
+impl OperatorClient {
     /// Creates a client of `control` that parses tables with `reader`.
     pub fn new(control: ControlHandle, reader: Arc<dyn TableReader>, log: Logger) -> Self {
-        OperatorDoor { control, reader, log }
+        OperatorClient { control, reader, log }
     }
 
     /// Replaces the table. Acknowledged once a quorum has stored it, and also if a higher version
     /// is already stored.
-    pub async fn replace(&self, document: String) -> DoorAnswer<NumberedOutcome> {
+    pub async fn replace_table(&self, document: String) -> OperatorAnswer<NumberedOutcome> {
         let version = match self.reader.read(&document) {
             Ok((version, _)) => version,
             Err(faults) => {
                 warn!(self.log, "rejected an invalid table from an operator"; "faults" => faults.to_string());
-                return DoorAnswer::Bad(faults);
+                return OperatorAnswer::Invalid(faults);
             }
         };
         let numbered = Box::new(NumberedTable { version, document: Arc::from(document) });
         let answer = self.ask(|reply| ControlRequest::Replace { numbered, reply }).await;
         let outcome = match &answer {
-            DoorAnswer::Done(outcome) => format!("{outcome:?}"),
-            DoorAnswer::Elsewhere(leader) => format!("redirected to {leader}"),
+            OperatorAnswer::Done(outcome) => format!("{outcome:?}"),
+            OperatorAnswer::Elsewhere(leader) => format!("redirected to {leader}"),
             _ => "unknown".to_owned(),
         };
         info!(self.log, "operator request to replace the table"; "version" => version, "outcome" => outcome);
@@ -61,25 +61,25 @@
     }
 
     /// Returns the document of the newest table.
-    pub async fn read(&self) -> DoorAnswer<Arc<str>> {
+    pub async fn read_table(&self) -> OperatorAnswer<Arc<str>> {
         let answer = self.ask(|reply| ControlRequest::Table { version: None, reply }).await;
         match answer {
-            DoorAnswer::Done(Some(table)) => {
-                table.document.map_or(DoorAnswer::Unsure, DoorAnswer::Done)
+            OperatorAnswer::Done(Some(table)) => {
+                table.document.map_or(OperatorAnswer::Unknown, OperatorAnswer::Done)
             }
-            DoorAnswer::Done(None) | DoorAnswer::Unsure => DoorAnswer::Unsure,
-            DoorAnswer::Elsewhere(leader) => DoorAnswer::Elsewhere(leader),
-            DoorAnswer::Bad(faults) => DoorAnswer::Bad(faults),
+            OperatorAnswer::Done(None) | OperatorAnswer::Unknown => OperatorAnswer::Unknown,
+            OperatorAnswer::Elsewhere(leader) => OperatorAnswer::Elsewhere(leader),
+            OperatorAnswer::Invalid(faults) => OperatorAnswer::Invalid(faults),
         }
     }
 
     /// Begins a rollout. Acknowledged once a quorum has stored the order. The newest table must
     /// contain the service.
-    pub async fn begin_rollout(&self, order: RolloutOrder) -> DoorAnswer<RolloutReply> {
-        let document = match self.read().await {
-            DoorAnswer::Done(document) => document,
-            DoorAnswer::Elsewhere(leader) => return DoorAnswer::Elsewhere(leader),
-            _ => return DoorAnswer::Unsure,
+    pub async fn begin_rollout(&self, order: RolloutOrder) -> OperatorAnswer<RolloutReply> {
+        let document = match self.read_table().await {
+            OperatorAnswer::Done(document) => document,
+            OperatorAnswer::Elsewhere(leader) => return OperatorAnswer::Elsewhere(leader),
+            _ => return OperatorAnswer::Unknown,
         };
         let is_known = self
             .reader
@@ -88,16 +88,16 @@
         if !is_known {
             let mut faults = FaultList::default();
             faults.add("/service", &order.service, "a service of the table in force");
-            return DoorAnswer::Bad(faults);
+            return OperatorAnswer::Invalid(faults);
         }
         let (service, to) = (order.service.clone(), order.to.clone());
         let answer = self.ask(|reply| ControlRequest::Rollout { order, reply }).await;
         let outcome = match &answer {
-            DoorAnswer::Done(RolloutReply::Accepted(record)) => format!("{:?}", record.stage),
-            DoorAnswer::Done(RolloutReply::Busy(record)) => {
+            OperatorAnswer::Done(RolloutReply::Accepted(record)) => format!("{:?}", record.stage),
+            OperatorAnswer::Done(RolloutReply::Busy(record)) => {
                 format!("another rollout is in progress, to {}", record.order.to)
             }
-            DoorAnswer::Elsewhere(leader) => format!("redirected to {leader}"),
+            OperatorAnswer::Elsewhere(leader) => format!("redirected to {leader}"),
             _ => "unknown".to_owned(),
         };
         info!(self.log, "operator request to begin a rollout"; "service" => service.as_str(), "to" => to.as_str(), "outcome" => outcome);
@@ -105,25 +105,28 @@
     }
 
     /// Returns the newest rollout of a service, if there has been one.
-    pub async fn rollout(&self, service: &ServiceName) -> DoorAnswer<Option<RolloutRecord>> {
+    pub async fn newest_rollout(
+        &self,
+        service: &ServiceName,
+    ) -> OperatorAnswer<Option<RolloutRecord>> {
         match self.ask(|reply| ControlRequest::Rollouts { reply }).await {
-            DoorAnswer::Done(records) => DoorAnswer::Done(
+            OperatorAnswer::Done(records) => OperatorAnswer::Done(
                 records.into_iter().find(|record| record.order.service == *service),
             ),
-            DoorAnswer::Elsewhere(leader) => DoorAnswer::Elsewhere(leader),
-            DoorAnswer::Unsure => DoorAnswer::Unsure,
-            DoorAnswer::Bad(faults) => DoorAnswer::Bad(faults),
+            OperatorAnswer::Elsewhere(leader) => OperatorAnswer::Elsewhere(leader),
+            OperatorAnswer::Unknown => OperatorAnswer::Unknown,
+            OperatorAnswer::Invalid(faults) => OperatorAnswer::Invalid(faults),
         }
     }
 
     async fn ask<T>(
         &self,
         request: impl FnOnce(tokio::sync::oneshot::Sender<LeaderAnswer<T>>) -> ControlRequest,
-    ) -> DoorAnswer<T> {
+    ) -> OperatorAnswer<T> {
         match tokio::time::timeout(ANSWER_TIMEOUT, self.control.ask(request)).await {
-            Ok(Some(LeaderAnswer::Done(value))) => DoorAnswer::Done(value),
-            Ok(Some(LeaderAnswer::Elsewhere(Some(leader)))) => DoorAnswer::Elsewhere(leader),
-            _ => DoorAnswer::Unsure,
+            Ok(Some(LeaderAnswer::Done(value))) => OperatorAnswer::Done(value),
+            Ok(Some(LeaderAnswer::Elsewhere(Some(leader)))) => OperatorAnswer::Elsewhere(leader),
+            _ => OperatorAnswer::Unknown,
         }
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::control::{
     AgentSettings, ClaimKeeper, ClaimSettings, ControlHandle, ControlSetup, FleetKey, KnownVoters,
-    LeaderHint, OperatorDoor, start_agent, start_control, start_server,
+    LeaderHint, OperatorClient, start_agent, start_control, start_server,
 };
 use crate::platform;
 use crate::policy::{LimitTolerance, MechanismSet, RetryBound, request_chart, upstream_chart};
@@ -296,7 +296,7 @@
 ) -> Result<(), StartError> {
     let Some(manner) = state.manner() else { return Ok(()) };
     let listener = listen(address).await?;
-    let door = OperatorDoor::new(control, Arc::clone(&manner.reader), state.log.clone());
+    let door = OperatorClient::new(control, Arc::clone(&manner.reader), state.log.clone());
     let router = platform::operators_router(Arc::new(door), address.port());
     tokio::spawn(async move { axum::serve(listener, router).await });
     Ok(())
--- a/src/platform/operators.rs
+++ b/src/platform/operators.rs
@@ -1,6 +1,6 @@
 //! The operator's calls.
 
-use crate::control::{DoorAnswer, OperatorDoor};
+use crate::control::{OperatorAnswer, OperatorClient};
 use crate::rollout::{RolloutOrder, RolloutRecord, RolloutReply, RolloutStage};
 use crate::table::FaultList;
 use axum::Router;
@@ -23,7 +23,7 @@
 const CONFIG_LIMIT: usize = 64 << 20;
 
 /// The operator's interface; other voters serve theirs on the same port.
-pub fn operators_router(door: Arc<OperatorDoor>, port: u16) -> Router {
+pub fn operators_router(door: Arc<OperatorClient>, port: u16) -> Router {
     let state = DoorState { door, port };
     Router::new()
         .route("/-/config/replace", post(replace))
@@ -36,27 +36,27 @@
 
 #[derive(Clone)]
 struct DoorState {
-    door: Arc<OperatorDoor>,
+    door: Arc<OperatorClient>,
     port: u16,
 }
 
 async fn replace(State(state): State<DoorState>, uri: Uri, body: String) -> Response {
-    let answer = state.door.replace(body).await;
+    let answer = state.door.replace_table(body).await;
     state.respond(answer, &uri, |_| "{}".to_owned())
 }
 
 async fn read(State(state): State<DoorState>, uri: Uri) -> Response {
-    let answer = state.door.read().await;
+    let answer = state.door.read_table().await;
     state.respond(answer, &uri, |document| document.to_string())
 }
 
 async fn begin_rollout(State(state): State<DoorState>, uri: Uri, body: String) -> Response {
     let answer = match read_order(&body) {
         Ok(order) => state.door.begin_rollout(order).await,
-        Err(faults) => DoorAnswer::Bad(faults),
+        Err(faults) => OperatorAnswer::Invalid(faults),
     };
     match answer {
-        DoorAnswer::Done(RolloutReply::Busy(record)) => {
+        OperatorAnswer::Done(RolloutReply::Busy(record)) => {
             let error = format!("a roll-out to {} is under way", record.order.to);
             json(StatusCode::CONFLICT, serde_json::json!({ "error": error }).to_string())
         }
@@ -69,8 +69,8 @@
     Path(service): Path<String>,
     uri: Uri,
 ) -> Response {
-    match state.door.rollout(&service.as_str().into()).await {
-        DoorAnswer::Done(None) => {
+    match state.door.newest_rollout(&service.as_str().into()).await {
+        OperatorAnswer::Done(None) => {
             let error = format!("no roll-out of {service} was ordered");
             json(StatusCode::NOT_FOUND, serde_json::json!({ "error": error }).to_string())
         }
@@ -125,14 +125,19 @@
 }
 
 impl DoorState {
-    fn respond<T>(&self, answer: DoorAnswer<T>, uri: &Uri, text: impl Fn(T) -> String) -> Response {
+    fn respond<T>(
+        &self,
+        answer: OperatorAnswer<T>,
+        uri: &Uri,
+        text: impl Fn(T) -> String,
+    ) -> Response {
         match answer {
-            DoorAnswer::Done(value) => json(StatusCode::OK, text(value)),
-            DoorAnswer::Bad(faults) => {
+            OperatorAnswer::Done(value) => json(StatusCode::OK, text(value)),
+            OperatorAnswer::Invalid(faults) => {
                 let body = serde_json::json!({ "error": faults.to_string(), "faults": faults });
                 json(StatusCode::BAD_REQUEST, body.to_string())
             }
-            DoorAnswer::Elsewhere(leader) => {
+            OperatorAnswer::Elsewhere(leader) => {
                 let place = SocketAddr::new(leader.ip(), self.port);
                 let place = HeaderValue::from_str(&format!("http://{place}{}", uri.path()));
                 let mut response = StatusCode::TEMPORARY_REDIRECT.into_response();
@@ -141,7 +146,7 @@
                 });
                 response
             }
-            DoorAnswer::Unsure => {
+            OperatorAnswer::Unknown => {
                 let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
                 response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
                 response
