--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -16,7 +16,7 @@
 use super::joining::join_or_found;
 use super::ledger::{ControlCommand, ControlLedger, ControlReply};
 use super::links::PeerLinks;
-use super::packed_table::PackedTable;
+use super::packed_table::PackedTableCache;
 use super::quarantine_log::RecentRequests;
 use super::requests::{ControlHandle, ControlRequest};
 use super::rpc::{DaemonStatus, LeaderAnswer};
@@ -73,7 +73,7 @@
         dead_since: BTreeMap::new(),
         broken_since: None,
         sent: BTreeMap::new(),
-        packed: PackedTable::default(),
+        packed: PackedTableCache::default(),
         proposed_suspects: RecentRequests::default(),
         released: RecentRequests::default(),
         rollouts: RolloutDesk::default(),
@@ -108,7 +108,7 @@
     /// The orders last sent to each daemon: a report is held only while they stay the same.
     sent: BTreeMap<DaemonName, Vec<PoolOrder>>,
     /// The table in force as it is sent to daemons.
-    packed: PackedTable,
+    packed: PackedTableCache,
     /// Contents that were proposed to be held back a moment ago.
     proposed_suspects: RecentRequests,
     /// Contents that operators let through a moment ago.
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -118,7 +118,7 @@
                 registry.sent(&held.daemon, &orders.pools);
                 self.sent.insert(held.daemon, orders.pools.clone());
                 if let Some(newer) = &orders.table {
-                    orders.packed = self.packed.of(newer);
+                    orders.packed = self.packed.get(newer);
                 }
                 if orders.packed.is_some() {
                     orders.table = None;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -35,7 +35,7 @@
 };
 pub use links::{CallError, FleetKey, KnownVoters, LeaderHint, connect};
 pub use operator_client::{OperatorAnswer, OperatorClient};
-pub use packed_table::{PackedTable, pack, unpack};
+pub use packed_table::{PackedTableCache, pack, unpack};
 pub use quarantine_log::{QuarantineLog, QuarantineRow};
 pub use requests::{ControlHandle, ControlRequest};
 pub use rpc::{
--- a/src/control/packed_table.rs
+++ b/src/control/packed_table.rs
@@ -36,13 +36,13 @@
 
 /// Caches the packed form of the table in force.
 #[derive(Debug, Default)]
-pub struct PackedTable {
+pub struct PackedTableCache {
     cached: Option<(u64, String, Arc<str>)>,
 }
 
-impl PackedTable {
+impl PackedTableCache {
     /// Returns the packed form of `table`, packing it only if it differs from the cached one.
-    pub fn of(&mut self, table: &VersionedTable) -> Option<Arc<str>> {
+    pub fn get(&mut self, table: &VersionedTable) -> Option<Arc<str>> {
         if let Some((version, hash, packed)) = &self.cached
             && *version == table.version
             && *hash == table.hash
--- a/tests/test_packed_table.rs
+++ b/tests/test_packed_table.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 use std::sync::Arc;
-use tarragonknot::control::{PackedTable, pack, unpack};
+use tarragonknot::control::{PackedTableCache, pack, unpack};
 use tarragonknot::table::VersionedTable;
 
 /// A document with this many routes, alike but for their names and paths, as operators write it.
@@ -37,11 +37,11 @@
 
 #[test]
 fn a_table_is_packed_once_for_all_daemons() {
-    let mut packed = PackedTable::default();
+    let mut packed = PackedTableCache::default();
     let table = large_table(3);
-    let first = packed.of(&table).expect("packed");
-    let again = packed.of(&table).expect("packed");
-    let other = packed.of(&large_table(4)).expect("packed");
+    let first = packed.get(&table).expect("packed");
+    let again = packed.get(&table).expect("packed");
+    let other = packed.get(&large_table(4)).expect("packed");
 
     assert!(Arc::ptr_eq(&first, &again));
     assert_ne!(first, other);
