--- a/src/control/control_loop/quarantine.rs
+++ b/src/control/control_loop/quarantine.rs
@@ -19,11 +19,11 @@
     /// Proposes what a report says beyond what is kept.
     pub(super) fn take_suspects(&mut self, rows: Vec<SuspectRow>) {
         let now = self.now();
-        self.proposed_suspects.forget(PROPOSED_FOR, now);
+        self.proposed_suspects.expire(PROPOSED_FOR, now);
         let news: Vec<SuspectRow> = rows
             .into_iter()
-            .filter(|row| self.ledger.quarantine().lacks(row))
-            .filter(|row| self.proposed_suspects.note(row.request, row.crashes.len(), now))
+            .filter(|row| self.ledger.quarantine().is_news(row))
+            .filter(|row| self.proposed_suspects.insert(row.request, row.crashes.len(), now))
             .collect();
         if !news.is_empty() {
             let command = ControlCommand::Quarantine { rows: news, at: unix_millis() };
@@ -40,7 +40,7 @@
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
         }
         info!(self.setup.log, "request released by an operator"; "fingerprint" => request.to_string());
-        self.released.note(request, 0, self.now());
+        self.released.insert(request, 0, self.now());
         let command = ControlCommand::Release { request, at: unix_millis() };
         self.proposals.push((vec![command], EntryWaiter::Quarantine { reply }));
     }
@@ -51,7 +51,7 @@
 
     /// What was released a moment ago, for all daemons.
     pub(super) fn released_rows(&mut self) -> Vec<SuspectRow> {
-        self.released.forget(RELEASED_FOR, self.setup.clock.now());
+        self.released.expire(RELEASED_FOR, self.setup.clock.now());
         let log = self.ledger.quarantine();
         let now = unix_millis();
         self.released.iter().flat_map(|request| log.rows(Some(request), now)).collect()
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -247,7 +247,7 @@
                     self.members.remove(daemon);
                 }
             }
-            ControlCommand::Quarantine { rows, at } => self.quarantine.take(rows, *at),
+            ControlCommand::Quarantine { rows, at } => self.quarantine.merge(rows, *at),
             ControlCommand::Release { request, at } => self.quarantine.release(*request, *at),
             ControlCommand::VoterRule { daemon, allowed: true } => {
                 self.barred.remove(daemon);
--- a/src/control/quarantine_log.rs
+++ b/src/control/quarantine_log.rs
@@ -49,14 +49,14 @@
 impl QuarantineLog {
     /// Returns true if a row is news: it has more crashes than the stored record, or says that the
     /// content was cleared.
-    pub fn lacks(&self, row: &SuspectRow) -> bool {
+    pub fn is_news(&self, row: &SuspectRow) -> bool {
         let known = self.records.get(&row.request).map_or(0, SuspectRecord::crashes);
         let is_cleared = row.void_age_ms.is_some() && row.crashes.len() < known;
         is_cleared || row.crashes.len() > known
     }
 
     /// Merges rows that a daemon reported at the wall-clock time `at_ms`.
-    pub fn take(&mut self, rows: &[SuspectRow], at_ms: u64) {
+    pub fn merge(&mut self, rows: &[SuspectRow], at_ms: u64) {
         let now = wall_moment(at_ms);
         for row in rows {
             self.records.entry(row.request).or_default().take(row, now);
@@ -109,7 +109,7 @@
 impl RecentRequests {
     /// Records a content with its number of crashes; returns false if at least as many are already
     /// recorded.
-    pub fn note(&mut self, request: RequestFingerprint, crashes: usize, now: Moment) -> bool {
+    pub fn insert(&mut self, request: RequestFingerprint, crashes: usize, now: Moment) -> bool {
         let is_new = self.0.get(&request).is_none_or(|(known, _)| *known < crashes);
         if is_new {
             self.0.insert(request, (crashes, now));
@@ -118,7 +118,7 @@
     }
 
     /// Removes entries older than `life`.
-    pub fn forget(&mut self, life: Duration, now: Moment) {
+    pub fn expire(&mut self, life: Duration, now: Moment) {
         self.0.retain(|_, (_, at)| now.since(*at) < life);
     }
 
--- a/tests/test_quarantine_log.rs
+++ b/tests/test_quarantine_log.rs
@@ -86,10 +86,10 @@
 ) {
     let mut log = QuarantineLog::default();
     if known > 0 {
-        log.take(&[row(CONTENT, known)], NOON);
+        log.merge(&[row(CONTENT, known)], NOON);
     }
 
-    assert_eq!(log.lacks(&row(CONTENT, reported)), is_news);
+    assert_eq!(log.is_news(&row(CONTENT, reported)), is_news);
 }
 
 /// Symptom: content that was cleared is held back again after a restart. Sequence: it is held back and logged; a run that
@@ -105,7 +105,7 @@
     daemon.note_answer(CONTENT, now);
     let rows = daemon.reports(now);
 
-    assert!(ledger.quarantine().lacks(&rows[0]));
+    assert!(ledger.quarantine().is_news(&rows[0]));
     ledger.apply(&ControlCommand::Quarantine { rows, at: NOON + 1_000 });
     assert_eq!(ledger.quarantine().held(NOON + 1_000), []);
 }
@@ -113,9 +113,9 @@
 #[test]
 fn the_log_is_bounded_and_keeps_what_ended_most_upstreams() {
     let mut log = QuarantineLog::default();
-    log.take(&[row(CONTENT, 5)], NOON);
+    log.merge(&[row(CONTENT, 5)], NOON);
     for number in 0..5_000 {
-        log.take(&[row(RequestFingerprint(number), 3)], NOON);
+        log.merge(&[row(RequestFingerprint(number), 3)], NOON);
     }
 
     let held = log.held(NOON);
