--- a/src/control/control_loop/edits.rs
+++ b/src/control/control_loop/edits.rs
@@ -7,7 +7,7 @@
 };
 use crate::control::rpc::{ApplyAnswer, EditProgress, LeaderAnswer};
 use crate::control::setup::unix_millis;
-use crate::control::waiters::{EntryWaiter, ForceWait, ReplyTo};
+use crate::control::waiters::{EntryWaiter, InForceWaiter, LeaderReplySender};
 use crate::policy::Moment;
 use crate::replica::LogPosition;
 use slog::info;
@@ -21,7 +21,7 @@
         &mut self,
         edit: Box<TableEdit>,
         wait: bool,
-        reply: ReplyTo<ApplyAnswer>,
+        reply: LeaderReplySender<ApplyAnswer>,
     ) {
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
@@ -35,7 +35,7 @@
     pub(super) fn take_numbered(
         &mut self,
         numbered: Box<NumberedTable>,
-        reply: ReplyTo<NumberedOutcome>,
+        reply: LeaderReplySender<NumberedOutcome>,
     ) {
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
@@ -49,7 +49,7 @@
     pub(super) fn take_claims(
         &mut self,
         commands: Vec<ClaimCommand>,
-        reply: ReplyTo<Vec<ClaimReply>>,
+        reply: LeaderReplySender<Vec<ClaimReply>>,
     ) {
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
@@ -61,16 +61,17 @@
                 *timestamp_ms = stamp;
             }
         }
-        let left = commands.len();
-        if left == 0 {
+        let entries_left = commands.len();
+        if entries_left == 0 {
             return drop(reply.send(LeaderAnswer::Done(Vec::new())));
         }
         let commands = commands.into_iter().map(ControlCommand::Claim).collect();
-        self.proposals.push((commands, EntryWaiter::Claims { replies: Vec::new(), left, reply }));
+        self.proposals
+            .push((commands, EntryWaiter::Claims { replies: Vec::new(), entries_left, reply }));
     }
 
     /// A read is answered only under the lease, so that it is never older than an answer given before.
-    pub(super) fn answer_read<T>(&self, value: T, reply: ReplyTo<T>) {
+    pub(super) fn answer_read<T>(&self, value: T, reply: LeaderReplySender<T>) {
         let answer = if self.holds_lease() {
             LeaderAnswer::Done(value)
         } else {
@@ -85,19 +86,19 @@
         while let Some((index, term, _)) = self.waiting.entries.front() {
             if *index < at.index || (*index == at.index && *term != at.term) {
                 if let Some((_, _, waiter)) = self.waiting.entries.pop_front() {
-                    waiter.elsewhere(None);
+                    waiter.redirect(None);
                 }
                 continue;
             }
             break;
         }
-        if let Some((index, _, EntryWaiter::Claims { replies, left, .. })) =
+        if let Some((index, _, EntryWaiter::Claims { replies, entries_left, .. })) =
             self.waiting.entries.front_mut()
-            && *index - (*left as u64) < at.index
+            && *index - (*entries_left as u64) < at.index
             && let ControlReply::Claim(claim) = &reply
         {
             replies.push(claim.clone());
-            *left -= 1;
+            *entries_left -= 1;
         }
         if self.waiting.entries.front().is_some_and(|(index, _, _)| *index == at.index)
             && let Some((_, _, waiter)) = self.waiting.entries.pop_front()
@@ -148,14 +149,14 @@
         &mut self,
         outcome: EditOutcome,
         wait: bool,
-        reply: ReplyTo<ApplyAnswer>,
+        reply: LeaderReplySender<ApplyAnswer>,
     ) {
         let progress = EditProgress { is_in_force: false, lagging: Vec::new() };
         let answer = ApplyAnswer { outcome, progress };
         match &answer.outcome {
             EditOutcome::Accepted(record) => {
                 let until = if wait { self.now() + FORCE_WAIT } else { Moment(0) };
-                self.waiting.force.push(ForceWait {
+                self.waiting.in_force.push(InForceWaiter {
                     version: record.version,
                     until,
                     answer,
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -8,7 +8,7 @@
 use crate::control::rpc::{JoinAnswer, LeaderAnswer, VoterRow};
 use crate::control::voter_folder::blank_snapshot;
 use crate::control::voting::{lost_voters, may_join, next_step};
-use crate::control::waiters::{EntryWaiter, ReplyTo};
+use crate::control::waiters::{EntryWaiter, LeaderReplySender};
 use crate::policy::Moment;
 use crate::replica::{FleetId, FleetMembership, HardState, SnapshotRecord, VoterId};
 use crate::store::FolderState;
@@ -118,7 +118,7 @@
             }
         }
         gone.into_iter()
-            .for_each(|command| self.proposals.push((vec![command], EntryWaiter::Nobody)));
+            .for_each(|command| self.proposals.push((vec![command], EntryWaiter::NoReply)));
         self.propose_taken();
     }
 
@@ -126,7 +126,7 @@
         &mut self,
         voter: VoterId,
         control: SocketAddr,
-        reply: ReplyTo<JoinAnswer>,
+        reply: LeaderReplySender<JoinAnswer>,
     ) {
         let now = self.now();
         let (true, Some(fleet)) = (self.holds_lease(), self.fleet) else {
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -22,7 +22,7 @@
 use super::rpc::{DaemonStatus, LeaderAnswer};
 use super::setup::ControlSetup;
 use super::voter_folder::open_voter;
-use super::waiters::{EntryWaiter, Waiting};
+use super::waiters::{EntryWaiter, WaiterTable};
 use crate::policy::Moment;
 use crate::replica::{
     EntryPayload, FleetId, HardState, LogEntry, ReplicaCore, ReplicaEnvelope, ReplicaOutput,
@@ -67,7 +67,7 @@
         links,
         rng,
         drain,
-        waiting: Waiting::default(),
+        waiting: WaiterTable::default(),
         proposals: Vec::new(),
         alone_since: Moment(0),
         dead_since: BTreeMap::new(),
@@ -98,7 +98,7 @@
     links: PeerLinks,
     rng: ChaCha8Rng,
     drain: watch::Sender<bool>,
-    waiting: Waiting,
+    waiting: WaiterTable,
     proposals: Vec<(Vec<ControlCommand>, EntryWaiter)>,
     /// Since when this voter has heard no leader, or asked to join.
     alone_since: Moment,
@@ -243,7 +243,7 @@
         let now = self.now();
         let mut taken = std::mem::take(&mut self.proposals);
         let Some(core) = &mut self.core else {
-            return taken.into_iter().for_each(|(_, waiter)| waiter.elsewhere(None));
+            return taken.into_iter().for_each(|(_, waiter)| waiter.redirect(None));
         };
         let commands: Vec<ControlCommand> =
             taken.iter_mut().flat_map(|(commands, _)| std::mem::take(commands)).collect();
@@ -263,7 +263,7 @@
             }
             Err(_) => {
                 let leader = self.leader_address();
-                taken.into_iter().for_each(|(_, waiter)| waiter.elsewhere(leader));
+                taken.into_iter().for_each(|(_, waiter)| waiter.redirect(leader));
             }
         }
     }
@@ -299,12 +299,12 @@
                 self.registry = None;
                 let leader = self.leader_address();
                 let waiting = std::mem::take(&mut self.waiting);
-                waiting.entries.into_iter().for_each(|(_, _, waiter)| waiter.elsewhere(leader));
+                waiting.entries.into_iter().for_each(|(_, _, waiter)| waiter.redirect(leader));
                 waiting.reports.into_iter().for_each(|held| {
                     let _ = held.reply.send(LeaderAnswer::Elsewhere(leader));
                 });
                 // Accepted edits are committed whatever comes: their outcome stands.
-                waiting.force.into_iter().for_each(|force| {
+                waiting.in_force.into_iter().for_each(|force| {
                     let _ = force.reply.send(LeaderAnswer::Done(force.answer));
                 });
             }
--- a/src/control/control_loop/quarantine.rs
+++ b/src/control/control_loop/quarantine.rs
@@ -5,7 +5,7 @@
 use crate::control::quarantine_log::QuarantineRow;
 use crate::control::rpc::LeaderAnswer;
 use crate::control::setup::unix_millis;
-use crate::control::waiters::{EntryWaiter, ReplyTo};
+use crate::control::waiters::{EntryWaiter, LeaderReplySender};
 use crate::quarantine::{RequestFingerprint, SuspectRow};
 use slog::info;
 use std::time::Duration;
@@ -27,14 +27,14 @@
             .collect();
         if !news.is_empty() {
             let command = ControlCommand::Quarantine { rows: news, at: unix_millis() };
-            self.proposals.push((vec![command], EntryWaiter::Nobody));
+            self.proposals.push((vec![command], EntryWaiter::NoReply));
         }
     }
 
     pub(super) fn take_release(
         &mut self,
         request: RequestFingerprint,
-        reply: ReplyTo<Vec<QuarantineRow>>,
+        reply: LeaderReplySender<Vec<QuarantineRow>>,
     ) {
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -5,7 +5,7 @@
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{EditProgress, LeaderAnswer};
 use crate::control::setup::unix_millis;
-use crate::control::waiters::{EntryWaiter, HeldReport, ReplyTo};
+use crate::control::waiters::{EntryWaiter, HeldReport, LeaderReplySender};
 use crate::replica::ReplicaCore;
 use crate::rollout::RolloutRows;
 use std::cell::OnceCell;
@@ -18,7 +18,11 @@
 impl ControlLoop {
     /// A report of a daemon that is not on the member list is held until its `Join` is committed: from
     /// then on every leader knows that it may hold a lease.
-    pub(super) fn take_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
+    pub(super) fn take_report(
+        &mut self,
+        report: DaemonReport,
+        reply: LeaderReplySender<ReportAnswer>,
+    ) {
         let now = self.now();
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
@@ -36,7 +40,7 @@
             ReportVerdict::Taken => {}
             ReportVerdict::Unknown => {
                 let command = ControlCommand::Join { daemon: daemon.clone(), boot };
-                self.proposals.push((vec![command], EntryWaiter::Nobody));
+                self.proposals.push((vec![command], EntryWaiter::NoReply));
                 self.sent.remove(&daemon);
                 return drop(reply.send(LeaderAnswer::Elsewhere(None)));
             }
@@ -65,7 +69,7 @@
 
     /// Answers held reports whose orders changed or whose time is over, and edits now in force.
     pub(super) fn answer_waiting(&mut self) {
-        if self.waiting.reports.is_empty() && self.waiting.force.is_empty() {
+        if self.waiting.reports.is_empty() && self.waiting.in_force.is_empty() {
             return;
         }
         if !self.holds_lease() {
@@ -128,10 +132,10 @@
                 self.waiting.reports.push(held);
             }
         }
-        for mut force in std::mem::take(&mut self.waiting.force) {
+        for mut force in std::mem::take(&mut self.waiting.in_force) {
             let lagging = registry.lagging(force.version, now);
             if !lagging.is_empty() && now < force.until {
-                self.waiting.force.push(force);
+                self.waiting.in_force.push(force);
                 continue;
             }
             force.answer.progress = EditProgress { is_in_force: lagging.is_empty(), lagging };
--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -4,7 +4,7 @@
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::LeaderAnswer;
 use crate::control::setup::unix_millis;
-use crate::control::waiters::{EntryWaiter, ReplyTo};
+use crate::control::waiters::{EntryWaiter, LeaderReplySender};
 use crate::policy::Moment;
 use crate::rollout::{
     RolloutDirector, RolloutOrder, RolloutRecord, RolloutReply, RolloutReport, RolloutStage,
@@ -54,7 +54,11 @@
 }
 
 impl ControlLoop {
-    pub(super) fn take_rollout(&mut self, order: RolloutOrder, reply: ReplyTo<RolloutReply>) {
+    pub(super) fn take_rollout(
+        &mut self,
+        order: RolloutOrder,
+        reply: LeaderReplySender<RolloutReply>,
+    ) {
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.other_leader())));
         }
@@ -124,7 +128,7 @@
         if !steps.is_empty() {
             steps
                 .into_iter()
-                .for_each(|step| self.proposals.push((vec![step], EntryWaiter::Nobody)));
+                .for_each(|step| self.proposals.push((vec![step], EntryWaiter::NoReply)));
             self.propose_taken();
         }
     }
--- a/src/control/waiters.rs
+++ b/src/control/waiters.rs
@@ -13,17 +13,32 @@
 use tokio::sync::oneshot;
 
 /// Channel for an answer that only the leader can give.
-pub type ReplyTo<T> = oneshot::Sender<LeaderAnswer<T>>;
+pub type LeaderReplySender<T> = oneshot::Sender<LeaderAnswer<T>>;
 
 /// A caller that waits until its log entries are applied.
 pub enum EntryWaiter {
-    Edit { wait: bool, reply: ReplyTo<ApplyAnswer> },
-    Replace { reply: ReplyTo<NumberedOutcome> },
-    Claims { replies: Vec<ClaimReply>, left: usize, reply: ReplyTo<Vec<ClaimReply>> },
-    Voters { reply: ReplyTo<Vec<VoterRow>> },
-    Quarantine { reply: ReplyTo<Vec<QuarantineRow>> },
-    Rollout { reply: ReplyTo<RolloutReply> },
-    Nobody,
+    Edit {
+        wait: bool,
+        reply: LeaderReplySender<ApplyAnswer>,
+    },
+    Replace {
+        reply: LeaderReplySender<NumberedOutcome>,
+    },
+    Claims {
+        replies: Vec<ClaimReply>,
+        entries_left: usize,
+        reply: LeaderReplySender<Vec<ClaimReply>>,
+    },
+    Voters {
+        reply: LeaderReplySender<Vec<VoterRow>>,
+    },
+    Quarantine {
+        reply: LeaderReplySender<Vec<QuarantineRow>>,
+    },
+    Rollout {
+        reply: LeaderReplySender<RolloutReply>,
+    },
+    NoReply,
 }
 
 /// A daemon's report whose answer is held until its orders change.
@@ -39,30 +54,30 @@
     pub knows_rollouts: u64,
     pub version: u64,
     pub since: Moment,
-    pub reply: ReplyTo<ReportAnswer>,
+    pub reply: LeaderReplySender<ReportAnswer>,
 }
 
 /// A caller that waits until its accepted edit is in force.
-pub struct ForceWait {
+pub struct InForceWaiter {
     pub answer: ApplyAnswer,
     pub version: u64,
     pub until: Moment,
-    pub reply: ReplyTo<ApplyAnswer>,
+    pub reply: LeaderReplySender<ApplyAnswer>,
 }
 
 /// All waiting callers.
 #[derive(Default)]
-pub struct Waiting {
+pub struct WaiterTable {
     /// Index of the last entry, the term in which it was proposed, and the waiting caller; ordered
     /// by index.
     pub entries: VecDeque<(u64, u64, EntryWaiter)>,
     pub reports: Vec<HeldReport>,
-    pub force: Vec<ForceWait>,
+    pub in_force: Vec<InForceWaiter>,
 }
 
 impl EntryWaiter {
     /// Redirects the caller to `leader`.
-    pub fn elsewhere(self, leader: Option<SocketAddr>) {
+    pub fn redirect(self, leader: Option<SocketAddr>) {
         match self {
             EntryWaiter::Edit { reply, .. } => drop(reply.send(LeaderAnswer::Elsewhere(leader))),
             EntryWaiter::Replace { reply } => drop(reply.send(LeaderAnswer::Elsewhere(leader))),
@@ -70,12 +85,12 @@
             EntryWaiter::Voters { reply } => drop(reply.send(LeaderAnswer::Elsewhere(leader))),
             EntryWaiter::Quarantine { reply } => drop(reply.send(LeaderAnswer::Elsewhere(leader))),
             EntryWaiter::Rollout { reply } => drop(reply.send(LeaderAnswer::Elsewhere(leader))),
-            EntryWaiter::Nobody => {}
+            EntryWaiter::NoReply => {}
         }
     }
 
     /// Number of entries for which the caller waits.
     pub fn entry_count(&self) -> usize {
-        if let EntryWaiter::Claims { left, .. } = self { *left } else { 1 }
+        if let EntryWaiter::Claims { entries_left, .. } = self { *entries_left } else { 1 }
     }
 }
