--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -2,7 +2,7 @@
 
 use super::ControlLoop;
 use crate::control::ledger::{ControlCommand, ControlLedger};
-use crate::control::voter_folder::{OpenVoter, blank_snapshot, open_voter};
+use crate::control::voter_folder::{VoterFolder, empty_snapshot, open_voter_folder};
 use crate::policy::Moment;
 use crate::replica::{ReplicaCore, ReplicaStart, SnapshotRecord};
 use crate::store::{FolderIdentity, FolderState, StoreError};
@@ -16,13 +16,13 @@
 const REOPEN_PAUSE: Duration = Duration::from_millis(500);
 
 impl ControlLoop {
-    pub(super) fn adopt(&mut self, voter: OpenVoter) {
-        let OpenVoter { store, identity, state } = voter;
+    pub(super) fn adopt(&mut self, voter: VoterFolder) {
+        let VoterFolder { store, identity, state } = voter;
         self.store = Some(store);
         self.hard = state.hard_state.clone();
         if let Some(fleet) = identity.fleet {
             self.fleet = Some(fleet);
-            let snapshot = state.snapshot.clone().unwrap_or_else(|| blank_snapshot(fleet));
+            let snapshot = state.snapshot.clone().unwrap_or_else(|| empty_snapshot(fleet));
             self.load_ledger(&snapshot.state);
             self.start_core(&identity, snapshot, state);
         }
@@ -75,7 +75,7 @@
         self.broken_since = Some(now);
         // The folder's lock goes before it is taken again.
         self.store = None;
-        match open_voter(&self.setup, &folder, &mut self.rng) {
+        match open_voter_folder(&self.setup, &folder, &mut self.rng) {
             Ok(voter) => {
                 info!(self.setup.log, "folder works again"; "after_ms" => now.since(since).as_millis() as u64);
                 self.broken_since = None;
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -6,7 +6,7 @@
 };
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{JoinAnswer, LeaderAnswer, VoterRow};
-use crate::control::voter_folder::blank_snapshot;
+use crate::control::voter_folder::empty_snapshot;
 use crate::control::voting::{lost_voters, may_join, next_step};
 use crate::control::waiters::{EntryWaiter, LeaderReplySender};
 use crate::policy::Moment;
@@ -39,18 +39,18 @@
     pub(super) fn joined(&mut self, joined: JoinedFleet) {
         let Some(mut identity) = self.identity.take() else { return };
         let (fleet, snapshot) = match joined {
-            JoinedFleet::Joined(fleet) => (fleet, blank_snapshot(fleet)),
+            JoinedFleet::Joined(fleet) => (fleet, empty_snapshot(fleet)),
             JoinedFleet::Founded => {
                 let fleet = FleetId(self.rng.random());
                 let membership =
                     FleetMembership::founded(fleet, identity.voter.clone(), self.setup.control);
-                (fleet, SnapshotRecord { membership, ..blank_snapshot(fleet) })
+                (fleet, SnapshotRecord { membership, ..empty_snapshot(fleet) })
             }
             JoinedFleet::FoundedTogether => {
                 let membership = founding_membership(&self.setup.founders);
                 identity.voter = founding_voter(&self.setup.daemon);
                 let fleet = membership.fleet;
-                (fleet, SnapshotRecord { membership, ..blank_snapshot(fleet) })
+                (fleet, SnapshotRecord { membership, ..empty_snapshot(fleet) })
             }
         };
         let Some(store) = &mut self.store else { return };
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -21,7 +21,7 @@
 use super::requests::{ControlHandle, ControlRequest};
 use super::rpc::{DaemonStatus, LeaderAnswer};
 use super::setup::ControlSetup;
-use super::voter_folder::open_voter;
+use super::voter_folder::open_voter_folder;
 use super::waiters::{EntryWaiter, WaiterTable};
 use crate::policy::Moment;
 use crate::replica::{
@@ -53,7 +53,7 @@
     let links = PeerLinks::new(setup.key.clone(), setup.log.clone(), reply_sender);
     let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
     let voter = match &setup.data_folder {
-        Some(folder) => Some(open_voter(&setup, folder, &mut rng)?),
+        Some(folder) => Some(open_voter_folder(&setup, folder, &mut rng)?),
         None => None,
     };
     let mut control = ControlLoop {
--- a/src/control/voter_folder.rs
+++ b/src/control/voter_folder.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// The opened data folder of a voter, with its contents.
-pub struct OpenVoter {
+pub struct VoterFolder {
     /// The open folder.
     pub store: StoreFolder,
     /// The identity of the voter that owns it.
@@ -22,12 +22,12 @@
 /// Opens the folder. A damaged or copied folder is set aside, and the voter rejoins under a new
 /// identity and receives its state from the others. It must not vote from a state that may have
 /// lost entries.
-pub fn open_voter(
+pub fn open_voter_folder(
     setup: &ControlSetup,
     folder: &Path,
     rng: &mut ChaCha8Rng,
-) -> Result<OpenVoter, StoreError> {
-    match read_voter(setup, folder, rng) {
+) -> Result<VoterFolder, StoreError> {
+    match load_voter_folder(setup, folder, rng) {
         Err(fault @ (StoreError::Damaged { .. } | StoreError::Foreign { .. })) => {
             let is_other_daemon = matches!(&fault, StoreError::Foreign { detail, .. } if detail.starts_with("belongs"));
             if is_other_daemon {
@@ -36,28 +36,28 @@
             let aside = StoreFolder::set_aside(folder, unix_millis())?;
             error!(setup.log, "data folder set aside; joining again under a new identity";
                 "fault" => fault.to_string(), "aside" => aside.display().to_string());
-            read_voter(setup, folder, rng)
+            load_voter_folder(setup, folder, rng)
         }
         read => read,
     }
 }
 
-fn read_voter(
+fn load_voter_folder(
     setup: &ControlSetup,
     folder: &Path,
     rng: &mut ChaCha8Rng,
-) -> Result<OpenVoter, StoreError> {
+) -> Result<VoterFolder, StoreError> {
     let mut store = StoreFolder::open(folder)?;
     let identity = match FolderIdentity::load(folder, &setup.daemon)? {
         Some(identity) => identity,
         None => FolderIdentity::create(folder, &setup.daemon, rng)?,
     };
     let state = store.load(&setup.log)?;
-    Ok(OpenVoter { store, identity, state })
+    Ok(VoterFolder { store, identity, state })
 }
 
 /// Returns the snapshot of a voter without any state.
-pub fn blank_snapshot(fleet: FleetId) -> SnapshotRecord {
+pub fn empty_snapshot(fleet: FleetId) -> SnapshotRecord {
     let membership = FleetMembership { fleet, ..FleetMembership::default() };
     SnapshotRecord { at: LogPosition::default(), membership, state: Arc::from("") }
 }
