--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -51,7 +51,7 @@
     let key = match &settings.fleet_key_file {
         Some(path) => FleetKey::read(path)
             .map_err(|source| CommandError::File { path: path.clone(), source })?,
-        None => FleetKey::open(),
+        None => FleetKey::unprotected(),
     };
     let log = json_logger(std::io::stdout(), args.log_level.into(), settings.daemon.as_str());
     install_metrics();
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -29,7 +29,7 @@
             voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder: 0 }),
             control: self.setup.control,
             peers: self.setup.peers.iter().map(|peer| peer.control).collect(),
-            may_found: self.setup.found_fleet,
+            may_found: self.setup.may_found_fleet,
             key: self.setup.key.clone(),
             log: self.setup.log.clone(),
         }
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -53,7 +53,7 @@
 
     /// The well-known key of a fleet without a secret one: anyone who can reach the control
     /// interface may call it.
-    pub fn open() -> Self {
+    pub fn unprotected() -> Self {
         FleetKey::from_text("open")
     }
 
--- a/src/control/setup.rs
+++ b/src/control/setup.rs
@@ -27,7 +27,7 @@
     /// True if lost voters are replaced by new ones automatically.
     pub replaces_voters: bool,
     /// True if this daemon may found a fleet once every peer answers that it belongs to none.
-    pub found_fleet: bool,
+    pub may_found_fleet: bool,
     /// The key shared by the fleet.
     pub key: FleetKey,
     /// How long a table counts as current after the leader confirmed it.
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -207,7 +207,7 @@
         data_folder: settings.data_folder.clone(),
         peers: settings.known_voters(),
         founders: settings.founders(),
-        found_fleet: settings.found_fleet && settings.seeds.is_empty(),
+        may_found_fleet: settings.found_fleet && settings.seeds.is_empty(),
         replaces_voters: !settings.seeds.is_empty(),
         key: key.clone(),
         lease: settings.currency_lease_ms,
