--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -133,7 +133,7 @@
         let Some(client) = self.leader.connection() else { return };
         let known = tokio::time::timeout(REPORT_TIMEOUT, client.known_table()).await;
         if let Ok(Ok(Some(table))) = known {
-            info!(self.state.log, "applied a voter's table without confirmation by a leader"; "version" => table.version);
+            info!(self.state.log, "applying a voter's table without confirmation by a leader"; "version" => table.version);
             self.state.apply_table(&table);
         }
     }
