--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -190,9 +190,9 @@
 
 impl LeaderClient {
     /// Creates a client that is not connected yet.
-    pub fn new(voters: KnownVoters, key: FleetKey, hint: LeaderHint) -> Self {
+    pub fn new(settings_voters: KnownVoters, key: FleetKey, hint: LeaderHint) -> Self {
         LeaderClient {
-            settings_voters: voters,
+            settings_voters,
             listed_voters: Vec::new(),
             key,
             hint,
