--- a/src/control/quarantine_log.rs
+++ b/src/control/quarantine_log.rs
@@ -117,9 +117,9 @@
         is_new
     }
 
-    /// Removes entries older than `life`.
-    pub fn expire(&mut self, life: Duration, now: Moment) {
-        self.0.retain(|_, (_, at)| now.since(*at) < life);
+    /// Removes entries older than `max_age`.
+    pub fn expire(&mut self, max_age: Duration, now: Moment) {
+        self.0.retain(|_, (_, at)| now.since(*at) < max_age);
     }
 
     /// Iterates over the contents.
