--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control plane of a daemon: the control loop, which runs the replica, and the JSON-RPC
-//! interface to the fleet.
+//! The control plane of a daemon: the control thread runs the replica, the claims and the
+//! coordination of the fleet, and talks to other daemons over JSON-RPC (jsonrpsee).
 
 mod agent;
 mod claims;
