--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -3,7 +3,7 @@
 
 use super::ControlLoop;
 use crate::control::ledger::{ControlCommand, ControlLedger};
-use crate::control::voter_folder::{OpenVoter, blank_snapshot, open_voter};
+use crate::control::voter_folder::{VoterFolder, empty_snapshot, open_voter_folder};
 use crate::policy::Moment;
 use crate::replica::{ReplicaCore, ReplicaStart, SnapshotRecord};
 use crate::store::{FolderIdentity, FolderState, StoreError};
@@ -17,13 +17,13 @@
 const REOPEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl ControlLoop {
-    pub(super) fn install_voter(&mut self, voter: OpenVoter) {
-        let OpenVoter { store, identity, state } = voter;
+    pub(super) fn install_voter(&mut self, voter: VoterFolder) {
+        let VoterFolder { store, identity, state } = voter;
         self.store = Some(store);
         self.hard_state = state.hard_state.clone();
         if let Some(fleet) = identity.fleet {
             self.fleet = Some(fleet);
-            let snapshot = state.snapshot.clone().unwrap_or_else(|| blank_snapshot(fleet));
+            let snapshot = state.snapshot.clone().unwrap_or_else(|| empty_snapshot(fleet));
             self.load_ledger(&snapshot.state);
             self.start_core(&identity, snapshot, state);
         }
@@ -78,7 +78,7 @@
         self.folder_failed_at = Some(now);
         // The lock on the folder must be released before it is taken again.
         self.store = None;
-        match open_voter(&self.setup, &folder, &mut self.rng) {
+        match open_voter_folder(&self.setup, &folder, &mut self.rng) {
             Ok(voter) => {
                 info!(self.setup.log, "data folder can be used again"; "after_ms" => now.since(since).as_millis() as u64);
                 self.folder_failed_at = None;
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -6,9 +6,9 @@
 };
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{JoinAnswer, LeaderAnswer, VoterRow};
-use crate::control::voter_folder::blank_snapshot;
+use crate::control::voter_folder::empty_snapshot;
 use crate::control::voting::{lost_voters, may_join, next_membership};
-use crate::control::waiters::{EntryWaiter, ReplyTo};
+use crate::control::waiters::{EntryWaiter, LeaderReplySender};
 use crate::policy::Moment;
 use crate::replica::{FleetId, FleetMembership, HardState, SnapshotRecord, VoterId};
 use crate::store::FolderState;
@@ -29,7 +29,7 @@
             voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder: 0 }),
             control: self.setup.control,
             peers: self.setup.peers.iter().map(|peer| peer.control).collect(),
-            may_found: self.setup.found_fleet,
+            may_found: self.setup.may_found_fleet,
             key: self.setup.key.clone(),
             log: self.setup.log.clone(),
         }
@@ -40,18 +40,18 @@
     pub(super) fn enter_fleet(&mut self, joined: JoinedFleet) {
         let Some(mut identity) = self.identity.take() else { return };
         let (fleet, snapshot) = match joined {
-            JoinedFleet::Joined(fleet) => (fleet, blank_snapshot(fleet)),
+            JoinedFleet::Joined(fleet) => (fleet, empty_snapshot(fleet)),
             JoinedFleet::Founded => {
                 let fleet = FleetId(self.rng.random());
                 let membership =
                     FleetMembership::founded(fleet, identity.voter.clone(), self.setup.control);
-                (fleet, SnapshotRecord { membership, ..blank_snapshot(fleet) })
+                (fleet, SnapshotRecord { membership, ..empty_snapshot(fleet) })
             }
             JoinedFleet::FoundedTogether => {
                 let membership = founding_membership(&self.setup.founders);
                 identity.voter = founding_voter(&self.setup.daemon);
                 let fleet = membership.fleet;
-                (fleet, SnapshotRecord { membership, ..blank_snapshot(fleet) })
+                (fleet, SnapshotRecord { membership, ..empty_snapshot(fleet) })
             }
         };
         let Some(store) = &mut self.store else { return };
@@ -125,7 +125,7 @@
         }
         leave_commands
             .into_iter()
-            .for_each(|command| self.proposals.push((vec![command], EntryWaiter::Nobody)));
+            .for_each(|command| self.proposals.push((vec![command], EntryWaiter::NoReply)));
         self.propose_pending();
     }
 
@@ -133,7 +133,7 @@
         &mut self,
         voter: VoterId,
         control: SocketAddr,
-        reply: ReplyTo<JoinAnswer>,
+        reply: LeaderReplySender<JoinAnswer>,
     ) {
         let now = self.now();
         let (true, Some(fleet)) = (self.holds_lease(), self.fleet) else {
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -17,13 +17,13 @@
 use super::joining::join_or_found;
 use super::ledger::{ControlCommand, ControlLedger, ControlReply};
 use super::links::PeerLinks;
-use super::packed_table::PackedTable;
+use super::packed_table::PackedTableCache;
 use super::quarantine_log::RecentRequests;
 use super::requests::{ControlHandle, ControlRequest};
 use super::rpc::{DaemonStatus, LeaderAnswer};
 use super::setup::ControlSetup;
-use super::voter_folder::open_voter;
-use super::waiters::{EntryWaiter, Waiting};
+use super::voter_folder::open_voter_folder;
+use super::waiters::{EntryWaiter, WaiterTable};
 use crate::policy::Moment;
 use crate::replica::{
     EntryPayload, FleetId, HardState, LogEntry, ReplicaCore, ReplicaEnvelope, ReplicaOutput,
@@ -55,7 +55,7 @@
     let links = PeerLinks::new(setup.key.clone(), setup.log.clone(), reply_sender);
     let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
     let voter = match &setup.data_folder {
-        Some(folder) => Some(open_voter(&setup, folder, &mut rng)?),
+        Some(folder) => Some(open_voter_folder(&setup, folder, &mut rng)?),
         None => None,
     };
     let mut control = ControlLoop {
@@ -69,13 +69,13 @@
         links,
         rng,
         drain,
-        waiting: Waiting::default(),
+        waiting: WaiterTable::default(),
         proposals: Vec::new(),
         leaderless_since: Moment(0),
         dead_since: BTreeMap::new(),
         folder_failed_at: None,
         sent_orders: BTreeMap::new(),
-        packed_table: PackedTable::default(),
+        packed_table: PackedTableCache::default(),
         recent_suspects: RecentRequests::default(),
         recent_releases: RecentRequests::default(),
         rollout_tracker: RolloutTracker::default(),
@@ -100,7 +100,7 @@
     links: PeerLinks,
     rng: ChaCha8Rng,
     drain: watch::Sender<bool>,
-    waiting: Waiting,
+    waiting: WaiterTable,
     proposals: Vec<(Vec<ControlCommand>, EntryWaiter)>,
     /// Time since which no leader has been heard, or at which the voter last asked to join.
     leaderless_since: Moment,
@@ -110,7 +110,7 @@
     /// Orders last sent to each daemon. A report is held only while they are unchanged.
     sent_orders: BTreeMap<DaemonName, Vec<PoolOrder>>,
     /// The table in force as sent to the daemons.
-    packed_table: PackedTable,
+    packed_table: PackedTableCache,
     /// Contents recently proposed for quarantine.
     recent_suspects: RecentRequests,
     /// Contents recently released by operators.
@@ -245,7 +245,7 @@
         let now = self.now();
         let mut pending = std::mem::take(&mut self.proposals);
         let Some(core) = &mut self.core else {
-            return pending.into_iter().for_each(|(_, waiter)| waiter.elsewhere(None));
+            return pending.into_iter().for_each(|(_, waiter)| waiter.redirect(None));
         };
         let commands: Vec<ControlCommand> =
             pending.iter_mut().flat_map(|(commands, _)| std::mem::take(commands)).collect();
@@ -265,7 +265,7 @@
             }
             Err(_) => {
                 let leader = self.leader_address();
-                pending.into_iter().for_each(|(_, waiter)| waiter.elsewhere(leader));
+                pending.into_iter().for_each(|(_, waiter)| waiter.redirect(leader));
             }
         }
     }
@@ -301,12 +301,12 @@
                 self.registry = None;
                 let leader = self.leader_address();
                 let waiting = std::mem::take(&mut self.waiting);
-                waiting.entries.into_iter().for_each(|(_, _, waiter)| waiter.elsewhere(leader));
+                waiting.entries.into_iter().for_each(|(_, _, waiter)| waiter.redirect(leader));
                 waiting.reports.into_iter().for_each(|held| {
                     let _ = held.reply.send(LeaderAnswer::Elsewhere(leader));
                 });
                 // Accepted edits are already committed, so their outcome is final.
-                waiting.force.into_iter().for_each(|force| {
+                waiting.in_force.into_iter().for_each(|force| {
                     let _ = force.reply.send(LeaderAnswer::Done(force.answer));
                 });
             }
--- a/src/control/control_loop/reports.rs
+++ b/src/control/control_loop/reports.rs
@@ -5,7 +5,7 @@
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::{EditProgress, LeaderAnswer};
 use crate::control::setup::unix_millis;
-use crate::control::waiters::{EntryWaiter, HeldReport, ReplyTo};
+use crate::control::waiters::{EntryWaiter, HeldReport, LeaderReplySender};
 use crate::replica::ReplicaCore;
 use crate::rollout::RolloutRows;
 use std::cell::OnceCell;
@@ -19,7 +19,11 @@
     /// Records a report and holds it until there are orders to answer it with. A daemon that is not
     /// on the member list receives no orders until its `Join` is committed, since from then on
     /// every leader knows that it may hold a lease.
-    pub(super) fn on_report(&mut self, report: DaemonReport, reply: ReplyTo<ReportAnswer>) {
+    pub(super) fn on_report(
+        &mut self,
+        report: DaemonReport,
+        reply: LeaderReplySender<ReportAnswer>,
+    ) {
         let now = self.now();
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
@@ -37,7 +41,7 @@
             ReportOutcome::Recorded => {}
             ReportOutcome::UnknownBoot => {
                 let command = ControlCommand::Join { daemon: daemon.clone(), boot };
-                self.proposals.push((vec![command], EntryWaiter::Nobody));
+                self.proposals.push((vec![command], EntryWaiter::NoReply));
                 self.sent_orders.remove(&daemon);
                 return drop(reply.send(LeaderAnswer::Elsewhere(None)));
             }
@@ -67,7 +71,7 @@
     /// Answers held reports whose orders have changed or whose hold time is over, and edits that
     /// are now in force.
     pub(super) fn answer_waiting(&mut self) {
-        if self.waiting.reports.is_empty() && self.waiting.force.is_empty() {
+        if self.waiting.reports.is_empty() && self.waiting.in_force.is_empty() {
             return;
         }
         if !self.holds_lease() {
@@ -123,7 +127,7 @@
                 registry.record_sent_orders(&held.daemon, &orders.pools);
                 self.sent_orders.insert(held.daemon, orders.pools.clone());
                 if let Some(newer) = &orders.table {
-                    orders.packed = self.packed_table.of(newer);
+                    orders.packed = self.packed_table.get(newer);
                 }
                 if orders.packed.is_some() {
                     orders.table = None;
@@ -133,10 +137,10 @@
                 self.waiting.reports.push(held);
             }
         }
-        for mut force in std::mem::take(&mut self.waiting.force) {
+        for mut force in std::mem::take(&mut self.waiting.in_force) {
             let lagging = registry.lagging_daemons(force.version, now);
             if !lagging.is_empty() && now < force.until {
-                self.waiting.force.push(force);
+                self.waiting.in_force.push(force);
                 continue;
             }
             force.answer.progress = EditProgress { is_in_force: lagging.is_empty(), lagging };
--- a/src/control/control_loop/rollouts.rs
+++ b/src/control/control_loop/rollouts.rs
@@ -4,7 +4,7 @@
 use crate::control::ledger::ControlCommand;
 use crate::control::rpc::LeaderAnswer;
 use crate::control::setup::unix_millis;
-use crate::control::waiters::{EntryWaiter, ReplyTo};
+use crate::control::waiters::{EntryWaiter, LeaderReplySender};
 use crate::policy::Moment;
 use crate::rollout::{
     RolloutController, RolloutOrder, RolloutRecord, RolloutReply, RolloutReport, RolloutStage,
@@ -57,7 +57,11 @@
 }
 
 impl ControlLoop {
-    pub(super) fn on_rollout(&mut self, order: RolloutOrder, reply: ReplyTo<RolloutReply>) {
+    pub(super) fn on_rollout(
+        &mut self,
+        order: RolloutOrder,
+        reply: LeaderReplySender<RolloutReply>,
+    ) {
         if !self.holds_lease() {
             return drop(reply.send(LeaderAnswer::Elsewhere(self.remote_leader())));
         }
@@ -128,7 +132,7 @@
         if !steps.is_empty() {
             steps
                 .into_iter()
-                .for_each(|step| self.proposals.push((vec![step], EntryWaiter::Nobody)));
+                .for_each(|step| self.proposals.push((vec![step], EntryWaiter::NoReply)));
             self.propose_pending();
         }
     }
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -16,30 +16,31 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Opening a connection takes at most this long.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A short message is answered within this time, or its connection counts as silent: the next message
-/// goes over a new one. It is below the least election time, so that one silent connection elects nobody.
-const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A snapshot or a large batch may take this long.
-const LONG_TIMEOUT: Duration = Duration::from_secs(10);
-/// Messages waiting for one peer; more are dropped, as on a lossy network.
-const WAITING_MESSAGES: usize = 256;
-/// Messages under way to one peer.
-const CALLS_AT_ONCE: usize = 32;
-/// Largest message, in bytes.
-pub const MESSAGE_LIMIT: u32 = 256 << 20;
-/// Calls under way on one connection.
-const PENDING_CALLS: usize = 4_096;
-/// An idle connection is pinged this often, so that one that went silent is noticed.
+/// Timeout for the answer to a short message, after which the connection is considered dead and the
+/// next message opens a new one. It is below the minimum election timeout, so that a single dead
+/// connection does not cause an election.
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for a snapshot or a large batch of entries.
+const BULK_CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of messages queued for one peer; further ones are dropped, as by a lossy network.
+const PEER_QUEUE_CAPACITY: usize = 256;
+/// Maximum number of concurrent calls to one peer.
+const MAX_PEER_CALLS: usize = 32;
+/// Maximum size of a message, in bytes.
+pub const MAX_MESSAGE_BYTES: u32 = 256 << 20;
+/// Maximum number of unanswered calls on one connection.
+const MAX_PENDING_CALLS: usize = 4_096;
+/// Interval between WebSocket pings, which detect dead connections.
 const PING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The fleet's shared key. It is never logged: its debug form hides it.
+/// The key shared by the fleet. Its `Debug` output hides the value, so it is never logged.
 #[derive(Clone)]
 pub struct FleetKey(Arc<str>);
 
 impl FleetKey {
-    /// Reads the key from a file, without the white space around it.
+    /// Reads the key from a file, without surrounding white space.
     pub fn read(path: &Path) -> std::io::Result<Self> {
         let text = std::fs::read_to_string(path)?;
         match text.trim() {
@@ -50,17 +51,18 @@
         }
     }
 
-    /// The key of a fleet without one: whoever reaches the control interface may speak there.
-    pub fn open() -> Self {
+    /// The well-known key of a fleet without a secret one: anyone who can reach the control
+    /// interface may call it.
+    pub fn unprotected() -> Self {
         FleetKey::from_text("open")
     }
 
-    /// A key from text.
+    /// Creates a key from its text.
     pub fn from_text(text: &str) -> Self {
         FleetKey(Arc::from(text))
     }
 
-    /// The value of the `Authorization` header.
+    /// Returns the value of the `Authorization` header.
     pub fn bearer(&self) -> String {
         format!("Bearer {}", self.0)
     }
@@ -72,47 +74,48 @@
     }
 }
 
-/// Where this process believes the leader to be; a hint only, every answer is checked by the leader.
+/// The presumed control address of the leader, shared within the process. It may be outdated: a
+/// daemon that is not the leader redirects the caller.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderHint(Arc<Mutex<Option<SocketAddr>>>);
 
 impl LeaderHint {
-    /// The address, if one is known.
+    /// Returns the presumed address of the leader, if one is known.
     pub fn get(&self) -> Option<SocketAddr> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a new hint.
+    /// Replaces the presumed address.
     pub fn set(&self, leader: Option<SocketAddr>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = leader;
     }
 }
 
-/// The voters that settings name; replaced when settings are read again.
+/// The voters named in the settings; replaced when the settings are reloaded.
 #[derive(Clone, Debug, Default)]
 pub struct KnownVoters(Arc<Mutex<Vec<SocketAddr>>>);
 
 impl KnownVoters {
-    /// These voters.
+    /// Creates the list from `voters`.
     pub fn new(voters: Vec<SocketAddr>) -> Self {
         KnownVoters(Arc::new(Mutex::new(voters)))
     }
 
-    /// Replaces them.
+    /// Replaces the list.
     pub fn set(&self, voters: Vec<SocketAddr>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = voters;
     }
 
-    /// The voters now.
+    /// Returns the current list.
     pub fn get(&self) -> Vec<SocketAddr> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Why a call failed.
+/// An error of a call to a control interface.
 #[derive(Debug, Snafu)]
-pub enum CallFault {
-    /// No connection.
+pub enum CallError {
+    /// The connection could not be opened.
     #[snafu(display("{address}: cannot connect: {detail}"))]
     Unreachable {
         /// Whom.
@@ -120,13 +123,13 @@
         /// What happened.
         detail: String,
     },
-    /// The other end refused the key.
+    /// The daemon rejected the fleet key.
     #[snafu(display("{address}: the fleet key is not accepted"))]
     KeyRefused {
         /// Whom.
         address: SocketAddr,
     },
-    /// No answer in time, or an error.
+    /// The call failed or was not answered in time.
     #[snafu(display("{address}: {detail}"))]
     Failed {
         /// Whom.
@@ -139,11 +142,11 @@
     NoLeader,
 }
 
-/// Opens a persistent connection to a control interface.
-pub async fn connect(address: SocketAddr, key: &FleetKey) -> Result<WsClient, CallFault> {
+/// Opens a WebSocket connection to a control interface.
+pub async fn connect(address: SocketAddr, key: &FleetKey) -> Result<WsClient, CallError> {
     let mut headers = HeaderMap::new();
     let value = HeaderValue::from_str(&key.bearer());
-    let value = value.map_err(|_| CallFault::Failed {
+    let value = value.map_err(|_| CallError::Failed {
         address,
         detail: "the fleet key is not visible ASCII".to_owned(),
     })?;
@@ -151,10 +154,10 @@
     let builder = WsClientBuilder::default()
         .set_headers(headers)
         .connection_timeout(CONNECT_TIMEOUT)
-        .request_timeout(LONG_TIMEOUT)
-        .max_request_size(MESSAGE_LIMIT)
-        .max_response_size(MESSAGE_LIMIT)
-        .max_concurrent_requests(PENDING_CALLS)
+        .request_timeout(BULK_CALL_TIMEOUT)
+        .max_request_size(MAX_MESSAGE_BYTES)
+        .max_response_size(MAX_MESSAGE_BYTES)
+        .max_concurrent_requests(MAX_PENDING_CALLS)
         .enable_ws_ping(PingConfig::new().ping_interval(PING_INTERVAL))
         .set_tcp_no_delay(true);
     let connecting =
@@ -162,83 +165,92 @@
     match connecting.await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(error)) if error.to_string().contains("401") => {
-            Err(CallFault::KeyRefused { address })
+            Err(CallError::KeyRefused { address })
         }
-        Ok(Err(error)) => Err(CallFault::Unreachable { address, detail: error.to_string() }),
-        Err(_) => Err(CallFault::Unreachable {
+        Ok(Err(error)) => Err(CallError::Unreachable { address, detail: error.to_string() }),
+        Err(_) => Err(CallError::Unreachable {
             address,
             detail: format!("no answer within {CONNECT_TIMEOUT:?}"),
         }),
     }
 }
 
-/// One connection to the leader, as far as the hint tells, else to one voter after the other.
+/// A client with one connection: to the presumed leader or, if none is known, to each known voter
+/// in turn.
 pub struct LeaderClient {
-    /// The voters that settings name.
-    voters: KnownVoters,
-    /// The voters that a leader named last.
-    told: Vec<SocketAddr>,
+    /// The voters named in the settings.
+    settings_voters: KnownVoters,
+    /// The voters most recently listed by a leader.
+    listed_voters: Vec<SocketAddr>,
     key: FleetKey,
     hint: LeaderHint,
-    next_voter: usize,
-    open: Option<(SocketAddr, Arc<WsClient>)>,
+    voter_idx: usize,
+    connection: Option<(SocketAddr, Arc<WsClient>)>,
 }
 
 impl LeaderClient {
-    /// A client that is not connected yet.
-    pub fn new(voters: KnownVoters, key: FleetKey, hint: LeaderHint) -> Self {
-        LeaderClient { voters, told: Vec::new(), key, hint, next_voter: 0, open: None }
+    /// Creates a client that is not connected yet.
+    pub fn new(settings_voters: KnownVoters, key: FleetKey, hint: LeaderHint) -> Self {
+        LeaderClient {
+            settings_voters,
+            listed_voters: Vec::new(),
+            key,
+            hint,
+            voter_idx: 0,
+            connection: None,
+        }
     }
 
-    /// Where the leader is believed to be.
+    /// Returns the presumed address of the leader.
     pub fn hint(&self) -> &LeaderHint {
         &self.hint
     }
 
-    /// The connection, opened anew if need be, and whom it leads to.
+    /// Returns the connection and its address, connecting first if necessary.
     pub async fn get(&mut self) -> Option<(SocketAddr, Arc<WsClient>)> {
-        let address = self.hint.get().or_else(|| self.some_voter())?;
+        let address = self.hint.get().or_else(|| self.next_voter())?;
         let is_open = |(known, client): &(SocketAddr, Arc<WsClient>)| {
             *known == address && client.is_connected()
         };
-        if !self.open.as_ref().is_some_and(is_open) {
+        if !self.connection.as_ref().is_some_and(is_open) {
             let client = connect(address, &self.key).await.ok();
-            self.open = client.map(|client| (address, Arc::new(client)));
+            self.connection = client.map(|client| (address, Arc::new(client)));
         }
-        self.open.clone()
+        self.connection.clone()
     }
 
-    /// The open connection, if there is one.
-    pub fn open(&self) -> Option<Arc<WsClient>> {
-        self.open.as_ref().map(|(_, client)| Arc::clone(client))
+    /// Returns the existing connection, if any.
+    pub fn connection(&self) -> Option<Arc<WsClient>> {
+        self.connection.as_ref().map(|(_, client)| Arc::clone(client))
     }
 
-    /// Gives the connection up unless the hint still names its other end: one that gave no answer may
-    /// have gone silent for good while new ones work.
+    /// Drops the connection unless it leads to the presumed leader. A connection that gave no
+    /// answer may be dead for good although new ones work.
     pub fn drop_unless_hinted(&mut self) {
         let hint = self.hint.get();
-        self.open.take_if(|(known, _)| Some(*known) != hint);
+        self.connection.take_if(|(known, _)| Some(*known) != hint);
     }
 
-    /// Takes the leader's list of voters; those of the settings stay, for the case that all of the others
-    /// are replaced while this daemon hears nothing.
+    /// Replaces the list of voters received from a leader. The voters from the settings remain in
+    /// use, in case all of the listed ones are replaced while this daemon is cut off.
     pub fn set_voters(&mut self, voters: Vec<SocketAddr>) {
         if !voters.is_empty() {
-            self.told = voters;
+            self.listed_voters = voters;
         }
     }
 
-    fn some_voter(&mut self) -> Option<SocketAddr> {
-        let known: Vec<SocketAddr> = self.told.iter().copied().chain(self.voters.get()).collect();
-        self.next_voter = (self.next_voter + 1) % known.len().max(1);
-        known.get(self.next_voter).copied()
+    fn next_voter(&mut self) -> Option<SocketAddr> {
+        let known: Vec<SocketAddr> =
+            self.listed_voters.iter().copied().chain(self.settings_voters.get()).collect();
+        self.voter_idx = (self.voter_idx + 1) % known.len().max(1);
+        known.get(self.voter_idx).copied()
     }
 }
 
-/// Where replies go.
+/// Channel for the replies of peers.
 pub type ReplySender = mpsc::UnboundedSender<ReplicaEnvelope<ControlCommand>>;
 
-/// Links to the other members.
+/// Connections to the other replicas.
 pub struct PeerLinks {
     key: FleetKey,
     log: Logger,
@@ -252,17 +264,17 @@
 }
 
 impl PeerLinks {
-    /// No links yet; replies will go to `replies`.
+    /// Creates an empty set of links that sends replies to `replies`.
     pub fn new(key: FleetKey, log: Logger, replies: ReplySender) -> Self {
         PeerLinks { key, log, replies, links: BTreeMap::new() }
     }
 
-    /// Sends a message to the member at `address`; drops it if too many wait.
+    /// Queues a message for the replica at `address`; drops it if the queue is full.
     pub fn send(&mut self, address: SocketAddr, envelope: ReplicaEnvelope<ControlCommand>) {
         let to = envelope.to.clone();
         if self.links.get(&to).is_none_or(|link| link.address != address || link.sender.is_closed())
         {
-            let (sender, receiver) = mpsc::channel(WAITING_MESSAGES);
+            let (sender, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
             tokio::spawn(run_link(
                 address,
                 self.key.clone(),
@@ -278,7 +290,7 @@
     }
 }
 
-/// Carries one peer's messages over one connection, and opens another when a call gets no answer.
+/// Sends the messages for one peer over one connection, reconnecting when a call is not answered.
 async fn run_link(
     address: SocketAddr,
     key: FleetKey,
@@ -286,7 +298,7 @@
     mut receiver: mpsc::Receiver<ReplicaEnvelope<ControlCommand>>,
     replies: ReplySender,
 ) {
-    let calls = Arc::new(tokio::sync::Semaphore::new(CALLS_AT_ONCE));
+    let calls = Arc::new(tokio::sync::Semaphore::new(MAX_PEER_CALLS));
     let (broken_sender, mut broken) = mpsc::channel::<()>(1);
     let mut client: Option<Arc<WsClient>> = None;
     while let Some(envelope) = receiver.recv().await {
@@ -298,7 +310,7 @@
             _ => match connect(address, &key).await {
                 Ok(open) => Arc::clone(client.insert(Arc::new(open))),
                 Err(error) => {
-                    debug!(log, "peer not reached"; "error" => error.to_string());
+                    debug!(log, "could not connect to peer"; "error" => error.to_string());
                     client = None;
                     continue;
                 }
@@ -325,8 +337,8 @@
 
 fn call_timeout(envelope: &ReplicaEnvelope<ControlCommand>) -> Duration {
     match &envelope.message {
-        ReplicaMessage::Snapshot { .. } => LONG_TIMEOUT,
-        ReplicaMessage::Append { entries, .. } if entries.len() > 64 => LONG_TIMEOUT,
-        _ => SHORT_TIMEOUT,
+        ReplicaMessage::Snapshot { .. } => BULK_CALL_TIMEOUT,
+        ReplicaMessage::Append { entries, .. } if entries.len() > 64 => BULK_CALL_TIMEOUT,
+        _ => CALL_TIMEOUT,
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control thread: drives the replica, the claims and the fleet's agreement, over jsonrpsee.
+//! The control plane of a daemon: the control thread runs the replica, the claims and the
+//! coordination of the fleet, and talks to other daemons over JSON-RPC (jsonrpsee).
 
 mod agent;
 mod claims;
@@ -8,7 +9,7 @@
 mod joining;
 mod ledger;
 mod links;
-mod operator_door;
+mod operator_client;
 mod packed_table;
 mod quarantine_log;
 mod requests;
@@ -32,9 +33,9 @@
     ControlCommand, ControlLedger, ControlReply, EditConflict, EditOutcome, EditRecord,
     NumberedOutcome, NumberedTable, TableEdit,
 };
-pub use links::{CallFault, FleetKey, KnownVoters, LeaderHint, connect};
-pub use operator_door::{DoorAnswer, OperatorDoor};
-pub use packed_table::{PackedTable, pack, unpack};
+pub use links::{CallError, FleetKey, KnownVoters, LeaderHint, connect};
+pub use operator_client::{OperatorAnswer, OperatorClient};
+pub use packed_table::{PackedTableCache, pack, unpack};
 pub use quarantine_log::{QuarantineLog, QuarantineRow};
 pub use requests::{ControlHandle, ControlRequest};
 pub use rpc::{
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -1,8 +1,8 @@
-//! The server side of the control interface: checks the fleet key, hands calls to the control loop.
+//! Server of the control interface: checks the fleet key and passes calls to the control loop.
 
 use super::fleet::{DaemonReport, ReportAnswer};
 use super::ledger::{ControlCommand, TableEdit};
-use super::links::{FleetKey, LeaderHint, MESSAGE_LIMIT, connect};
+use super::links::{FleetKey, LeaderHint, MAX_MESSAGE_BYTES, connect};
 use super::quarantine_log::QuarantineRow;
 use super::requests::{ControlHandle, ControlRequest};
 use super::rpc::{
@@ -26,12 +26,12 @@
 use subtle::ConstantTimeEq;
 use tokio::sync::oneshot;
 
-/// JSON-RPC code for a control loop that has ended.
-const ENDED_CODE: i32 = -32_000;
-/// Connections at once: the fleet's daemons and some operators.
-const CONNECTION_LIMIT: u32 = 4_096;
+/// JSON-RPC error code returned after the control loop has ended.
+const LOOP_ENDED_CODE: i32 = -32_000;
+/// Maximum number of connections, from the daemons of the fleet and some operators.
+const MAX_CONNECTIONS: u32 = 4_096;
 
-/// Starts the control interface on a bound listener.
+/// Starts the control interface server on a bound listener.
 pub async fn start_server(
     listener: std::net::TcpListener,
     key: FleetKey,
@@ -40,9 +40,9 @@
 ) -> std::io::Result<ServerHandle> {
     let service_key = key.clone();
     let config = ServerConfig::builder()
-        .max_request_body_size(MESSAGE_LIMIT)
-        .max_response_body_size(MESSAGE_LIMIT)
-        .max_connections(CONNECTION_LIMIT)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
+        .max_connections(MAX_CONNECTIONS)
         .set_tcp_no_delay(true)
         .build();
     let middleware = tower::ServiceBuilder::new()
@@ -54,7 +54,7 @@
     Ok(server.start(ControlService { control, key: service_key, hint }.into_rpc()))
 }
 
-/// Lets only requests with the fleet's key through.
+/// HTTP middleware that rejects requests without the fleet key.
 #[derive(Clone)]
 struct KeyCheck<S> {
     inner: S,
@@ -100,13 +100,13 @@
     ) -> RpcResult<T> {
         let answer = self.control.ask(request).await;
         answer.ok_or_else(|| {
-            ErrorObjectOwned::owned(ENDED_CODE, "the control loop has ended", None::<()>)
+            ErrorObjectOwned::owned(LOOP_ENDED_CODE, "the control loop has ended", None::<()>)
         })
     }
 
-    /// Passes an operator's call on to the leader, so that any daemon can be asked. The answer is the
-    /// leader's own; if it cannot be reached the caller is told to ask elsewhere.
-    async fn pass_on<T, F>(
+    /// Forwards an operator's call to the leader, so that operators can call any daemon. Returns
+    /// the leader's answer, or `Elsewhere` if the leader cannot be reached.
+    async fn forward_to_leader<T, F>(
         &self,
         answer: LeaderAnswer<T>,
         call: impl FnOnce(WsClient) -> F,
@@ -165,14 +165,14 @@
     }
 
     async fn apply(&self, edit: TableEdit, wait: bool) -> RpcResult<LeaderAnswer<ApplyAnswer>> {
-        let kept = Box::new(edit.clone());
-        let answer = self.ask(|reply| ControlRequest::Apply { edit: kept, wait, reply }).await?;
-        self.pass_on(answer, |client| async move { client.apply(edit, wait).await }).await
+        let copy = Box::new(edit.clone());
+        let answer = self.ask(|reply| ControlRequest::Apply { edit: copy, wait, reply }).await?;
+        self.forward_to_leader(answer, |client| async move { client.apply(edit, wait).await }).await
     }
 
     async fn table(&self, version: Option<u64>) -> RpcResult<LeaderAnswer<Option<VersionedTable>>> {
         let answer = self.ask(|reply| ControlRequest::Table { version, reply }).await?;
-        self.pass_on(answer, |client| async move { client.table(version).await }).await
+        self.forward_to_leader(answer, |client| async move { client.table(version).await }).await
     }
 
     async fn diff(
@@ -181,17 +181,18 @@
         after: u64,
     ) -> RpcResult<LeaderAnswer<Option<Vec<CellChange>>>> {
         let answer = self.ask(|reply| ControlRequest::Diff { before, after, reply }).await?;
-        self.pass_on(answer, |client| async move { client.diff(before, after).await }).await
+        self.forward_to_leader(answer, |client| async move { client.diff(before, after).await })
+            .await
     }
 
     async fn history(&self, most: usize) -> RpcResult<LeaderAnswer<Vec<HistoryRow>>> {
         let answer = self.ask(|reply| ControlRequest::History { most, reply }).await?;
-        self.pass_on(answer, |client| async move { client.history(most).await }).await
+        self.forward_to_leader(answer, |client| async move { client.history(most).await }).await
     }
 
     async fn voters(&self) -> RpcResult<LeaderAnswer<Vec<VoterRow>>> {
         let answer = self.ask(|reply| ControlRequest::Voters { reply }).await?;
-        self.pass_on(answer, |client| async move { client.voters().await }).await
+        self.forward_to_leader(answer, |client| async move { client.voters().await }).await
     }
 
     async fn voter_rule(
@@ -202,12 +203,16 @@
         let name = daemon.clone();
         let answer =
             self.ask(|reply| ControlRequest::VoterRule { daemon: name, allowed, reply }).await?;
-        self.pass_on(answer, |client| async move { client.voter_rule(daemon, allowed).await }).await
+        self.forward_to_leader(
+            answer,
+            |client| async move { client.voter_rule(daemon, allowed).await },
+        )
+        .await
     }
 
     async fn quarantine(&self) -> RpcResult<LeaderAnswer<Vec<QuarantineRow>>> {
         let answer = self.ask(|reply| ControlRequest::Quarantine { reply }).await?;
-        self.pass_on(answer, |client| async move { client.quarantine().await }).await
+        self.forward_to_leader(answer, |client| async move { client.quarantine().await }).await
     }
 
     async fn release(
@@ -215,18 +220,18 @@
         request: RequestFingerprint,
     ) -> RpcResult<LeaderAnswer<Vec<QuarantineRow>>> {
         let answer = self.ask(|reply| ControlRequest::Release { request, reply }).await?;
-        self.pass_on(answer, |client| async move { client.release(request).await }).await
+        self.forward_to_leader(answer, |client| async move { client.release(request).await }).await
     }
 
     async fn rollout(&self, order: RolloutOrder) -> RpcResult<LeaderAnswer<RolloutReply>> {
-        let kept = order.clone();
-        let answer = self.ask(|reply| ControlRequest::Rollout { order: kept, reply }).await?;
-        self.pass_on(answer, |client| async move { client.rollout(order).await }).await
+        let copy = order.clone();
+        let answer = self.ask(|reply| ControlRequest::Rollout { order: copy, reply }).await?;
+        self.forward_to_leader(answer, |client| async move { client.rollout(order).await }).await
     }
 
     async fn rollouts(&self) -> RpcResult<LeaderAnswer<Vec<RolloutRecord>>> {
         let answer = self.ask(|reply| ControlRequest::Rollouts { reply }).await?;
-        self.pass_on(answer, |client| async move { client.rollouts().await }).await
+        self.forward_to_leader(answer, |client| async move { client.rollouts().await }).await
     }
 
     async fn status(&self) -> RpcResult<DaemonStatus> {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::control::{
     AgentSettings, ClaimClient, ClaimClientSettings, ControlHandle, ControlSetup, FleetKey,
-    KnownVoters, LeaderHint, OperatorDoor, start_agent, start_control, start_server,
+    KnownVoters, LeaderHint, OperatorClient, start_agent, start_control, start_server,
 };
 use crate::platform;
 use crate::policy::{LimitTolerance, MechanismSet, RetryBound, request_chart, upstream_chart};
@@ -205,7 +205,7 @@
         data_folder: settings.data_folder.clone(),
         peers: settings.known_voters(),
         founders: settings.founders(),
-        found_fleet: settings.found_fleet && settings.seeds.is_empty(),
+        may_found_fleet: settings.found_fleet && settings.seeds.is_empty(),
         replaces_voters: !settings.seeds.is_empty(),
         key: key.clone(),
         lease: settings.currency_lease_ms,
@@ -294,7 +294,7 @@
 ) -> Result<(), StartError> {
     let Some(manner) = state.interface() else { return Ok(()) };
     let listener = listen(address).await?;
-    let door = OperatorDoor::new(control, Arc::clone(&manner.reader), state.log.clone());
+    let door = OperatorClient::new(control, Arc::clone(&manner.reader), state.log.clone());
     let router = platform::operators_router(Arc::new(door), address.port());
     tokio::spawn(async move { axum::serve(listener, router).await });
     Ok(())
