--- a/src/replica/core.rs
+++ b/src/replica/core.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, its inputs, its outputs.
+//! The replica state machine: its state, inputs and outputs.
 
 use super::ProposalFault;
 use super::log::{EntryPayload, LogEntry, LogPosition, MemoryLog};
@@ -9,21 +9,23 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Replicas wait between one and one and this times the least election time, so that they seldom stand against each
-/// other. Small, since pre-votes cost nothing when they do, and every wait is time without a leader.
+/// Random addition to the election timeout, as a share of its minimum, which makes split votes
+/// rare. It is small because pre-votes make split votes cheap, and the timeout is time without a
+/// leader.
 pub const ELECTION_SPREAD: f64 = 0.5;
 
-/// Times of a replica.
+/// Timing and batching parameters of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaConfig {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Least time without a leader before an election; the greatest is [`ELECTION_SPREAD`] more of it.
+    /// Minimum time without a leader before an election; the maximum is longer by the share
+    /// [`ELECTION_SPREAD`].
     pub election: Duration,
-    /// Share of the election time that a leader's lease lasts; the rest allows for clocks that run at
-    /// different speeds.
+    /// Duration of a leader's lease as a share of the minimum election timeout; the remainder
+    /// allows for clock drift between replicas.
     pub lease_share: f64,
-    /// Entries in one message at most.
+    /// Maximum number of entries in one message.
     pub batch: usize,
 }
 
@@ -38,40 +40,42 @@
     }
 }
 
-/// What a replica does now.
+/// Current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// Takes entries from a leader, or waits for one.
+    /// Accepts entries from a leader, or waits for one.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// What the leader knows of another member.
+/// The leader's view of another member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerProgress {
     pub(super) matched: u64,
     pub(super) next: u64,
     pub(super) acked_round: u64,
     pub(super) heard: Moment,
-    /// A snapshot was sent in this round and is not yet acknowledged.
+    /// The heartbeat round in which an unacknowledged snapshot was sent.
     pub(super) snapshot_round: Option<u64>,
 }
 
-/// What the driver must do, in this order: keep (synced), then send, then apply.
+/// Work for the driver, in this order: write and sync the records, send the messages, apply the
+/// committed entries.
 #[derive(Clone, Debug)]
 pub struct ReplicaOutput<C> {
-    /// Term and vote to keep.
+    /// Term and vote to store.
     pub hard_state: Option<HardState>,
-    /// Drop kept entries from this index on, before keeping the new ones.
+    /// Delete stored entries from this index on before storing the new ones.
     pub truncate_from: Option<u64>,
-    /// Entries to keep.
+    /// Entries to store.
     pub entries: Vec<LogEntry<C>>,
-    /// A snapshot to keep in place of everything before, and to load into the state machine.
+    /// A received snapshot, to store in place of all earlier records and to load into the state
+    /// machine.
     pub install: Option<SnapshotRecord>,
     /// Messages to send.
     pub messages: Vec<ReplicaEnvelope<C>>,
@@ -93,7 +97,7 @@
 }
 
 impl<C> ReplicaOutput<C> {
-    /// True if something must be synced.
+    /// True if the output contains records to sync.
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some()
             || self.truncate_from.is_some()
@@ -102,22 +106,22 @@
     }
 }
 
-/// What a replica starts from: what its folder holds.
+/// The stored state that a replica starts from.
 #[derive(Clone, Debug)]
 pub struct ReplicaStart<C> {
-    /// Its identity.
+    /// The replica's own identity.
     pub me: VoterId,
     /// Term and vote.
     pub hard_state: HardState,
-    /// The snapshot; its state is already loaded into the state machine.
+    /// The latest snapshot; its state is already loaded into the state machine.
     pub snapshot: SnapshotRecord,
-    /// Entries behind the snapshot.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry<C>>,
-    /// The last index known to be committed; 0 if none is known.
+    /// The highest index known to be committed; 0 if none.
     pub commit: u64,
 }
 
-/// One replica.
+/// A member of the replicated log, as voter or learner.
 #[derive(Debug)]
 pub struct ReplicaCore<C> {
     pub(super) config: ReplicaConfig,
@@ -126,7 +130,7 @@
     pub(super) hard: HardState,
     pub(super) log: MemoryLog<C>,
     pub(super) snapshot: SnapshotRecord,
-    /// The membership in force, and the index of its entry; kept beside the log, which is long.
+    /// The membership in force and the index of its entry, cached to avoid a search of the log.
     membership: FleetMembership,
     membership_index: u64,
     pub(super) commit: u64,
@@ -144,8 +148,9 @@
 }
 
 impl<C: Clone + std::fmt::Debug> ReplicaCore<C> {
-    /// A replica that has just started. It waits a whole election time before anything else, so that
-    /// a restart cannot break the lease of a leader it has forgotten.
+    /// Creates a replica after a start. It waits for a full election timeout before an election,
+    /// and refuses votes for the minimum timeout: after a restart it no longer knows its leader,
+    /// whose lease may still be valid.
     pub fn new(
         config: ReplicaConfig,
         start: ReplicaStart<C>,
@@ -180,13 +185,13 @@
         core.refresh_membership();
         core.reset_election(now, rng);
         if core.membership.voters.len() == 1 && core.is_voter() {
-            // Nobody else can hold a lease.
+            // No other replica can hold a lease.
             core.election_at = now;
         }
         core
     }
 
-    /// Lets time pass.
+    /// Processes timeouts up to `now`.
     pub fn tick(&mut self, now: Moment, rng: &mut dyn RngCore) -> ReplicaOutput<C> {
         match self.role {
             ReplicaRole::Leader => self.tick_leader(now, rng),
@@ -196,7 +201,7 @@
         self.take_output()
     }
 
-    /// Takes a message.
+    /// Processes a received message; messages of other fleets or for other replicas are ignored.
     pub fn receive(
         &mut self,
         envelope: ReplicaEnvelope<C>,
@@ -251,8 +256,8 @@
         }
     }
 
-    /// Proposes commands; they are in the log when this returns, and committed some time later.
-    /// Returns the index of the first.
+    /// Appends commands to the log as leader and returns the index of the first. They are committed
+    /// later.
     pub fn propose(
         &mut self,
         commands: Vec<C>,
@@ -268,8 +273,9 @@
         Ok((first, self.take_output()))
     }
 
-    /// Proposes a change of voters. One at a time, and only once this leader has committed an entry of
-    /// its own term (otherwise two leaders' changes can give disjoint quorums; Ongaro, 2015).
+    /// Proposes a membership change. Rejected while another change is uncommitted, or before this
+    /// leader has committed an entry of its own term; otherwise changes by two leaders can lead to
+    /// disjoint quorums (Ongaro, 2015).
     pub fn change_membership(
         &mut self,
         membership: FleetMembership,
@@ -289,8 +295,8 @@
         Ok(self.take_output())
     }
 
-    /// Replaces entries up to `at` by a snapshot of the applied state. The driver must have kept the
-    /// returned record, synced, before it drops the entries from its files.
+    /// Replaces the applied entries by a snapshot of the applied state. The driver must store and
+    /// sync the returned record before it deletes the entries from its files.
     pub fn compact(&mut self, state: std::sync::Arc<str>) -> SnapshotRecord {
         let index = self.applied;
         let at =
@@ -307,7 +313,7 @@
         self.keep_entry(entry);
     }
 
-    /// Adds an entry to the log and to what must be synced.
+    /// Appends an entry to the log and to the records to sync.
     pub(super) fn keep_entry(&mut self, entry: LogEntry<C>) {
         if let EntryPayload::Membership(membership) = &entry.payload {
             self.membership = membership.clone();
@@ -317,7 +323,7 @@
         self.out.entries.push(entry);
     }
 
-    /// Finds the membership in force again, after the log lost entries or was replaced.
+    /// Recomputes the membership in force after the log was truncated or replaced.
     pub(super) fn refresh_membership(&mut self) {
         self.membership = self.membership_at(u64::MAX).clone();
         let is_change = |entry: &&LogEntry<C>| matches!(entry.payload, EntryPayload::Membership(_));
@@ -350,7 +356,7 @@
         self.applied = index;
     }
 
-    /// The membership in force: the last one in the log, committed or not.
+    /// The membership in force: the latest one in the log, committed or not.
     pub fn membership(&self) -> &FleetMembership {
         &self.membership
     }
@@ -380,65 +386,66 @@
         self.election_at = now + Duration::from_micros(rng.random_range(least..=most));
     }
 
-    /// This replica's identity.
+    /// This replica's own identity.
     pub fn me(&self) -> &VoterId {
         &self.me
     }
 
-    /// What it does.
+    /// The current role.
     pub fn role(&self) -> ReplicaRole {
         self.role
     }
 
-    /// The term.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<&VoterId> {
         self.leader.as_ref()
     }
 
-    /// The last committed index.
+    /// The highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit
     }
 
-    /// The last applied index.
+    /// The highest index handed out for application to the state machine.
     pub fn applied_index(&self) -> u64 {
         self.applied
     }
 
-    /// Entries behind the snapshot.
+    /// Number of entries after the snapshot.
     pub fn log_length(&self) -> usize {
         self.log.entries().len()
     }
 
-    /// The log, for checks.
+    /// The log in memory.
     pub fn log(&self) -> &MemoryLog<C> {
         &self.log
     }
 
-    /// True while nobody else can have been elected, and everything committed before this term is
-    /// applied: a read at this moment is the newest.
+    /// True while no other leader can have been elected and every entry committed in an earlier
+    /// term has been applied, so that a local read is linearisable.
     pub fn holds_lease(&self, now: Moment) -> bool {
         self.role == ReplicaRole::Leader
             && now < self.lease_until
             && self.log.term_at(self.commit) == Some(self.hard.term)
     }
 
-    /// When the present lease ends.
+    /// Expiry of the leader lease.
     pub fn lease_until(&self) -> Moment {
         self.lease_until
     }
 
-    /// How far a member's log is known to match.
+    /// Highest index at which a member's log is known to match the leader's.
     pub fn matched(&self, id: &VoterId) -> Option<u64> {
         self.progress.get(id).map(|progress| progress.matched)
     }
 
-    /// When a member was last heard, on the leader.
+    /// Time of the last reply from a member, or of this replica's election if it has not replied
+    /// since; known to a leader only.
     pub fn heard(&self, id: &VoterId) -> Option<Moment> {
         self.progress.get(id).map(|progress| progress.heard)
     }
