--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and stepping down.
+//! Leader election: pre-vote, vote and step-down.
 
 use super::core::{PeerProgress, ReplicaCore, ReplicaRole};
 use super::log::{EntryPayload, LogPosition};
@@ -8,9 +8,9 @@
 use rand::RngCore;
 
 impl<C: Clone + std::fmt::Debug> ReplicaCore<C> {
-    /// Asks first whether an election would succeed. What goes wrong without it: a replica that was cut
-    /// off comes back with a high term and deposes a working leader. One would notice by elections
-    /// after each partition heals.
+    /// Starts a pre-vote, which checks whether an election would succeed. Without it, a replica
+    /// that was partitioned returns with a higher term and deposes a working leader. The symptom is
+    /// an election after each partition heals.
     pub(super) fn begin_pre_vote(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.role = ReplicaRole::PreCandidate;
         self.leader = None;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Begins to count votes, with its own.
+    /// Starts a new vote count with its own vote and restarts the election timeout.
     fn count_own_vote(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.votes.clear();
         self.votes.insert(self.me.clone());
@@ -36,8 +36,8 @@
         self.membership().voters.keys().filter(|id| **id != self.me).cloned().collect()
     }
 
-    /// True while this replica believes in a leader that it has heard within the least election time.
-    /// Such a replica refuses votes; the leader's lease rests on this.
+    /// True if a leader was in contact within the minimum election timeout, or if this replica
+    /// holds the lease itself. The leader's lease relies on such replicas refusing votes.
     fn hears_leader(&self, now: Moment) -> bool {
         let has_recent =
             self.leader_heard.is_some_and(|heard| now.since(heard) < self.config.election);
@@ -151,7 +151,7 @@
         self.advance_commit();
     }
 
-    /// Gives every member a progress, and forgets who is no longer one.
+    /// Adds progress records for new members and removes those of former members.
     pub(super) fn refresh_progress(&mut self, now: Moment) {
         let next = self.log.last().index + 1;
         let members: Vec<VoterId> = self.membership().members().map(|(id, _)| id.clone()).collect();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Takes over a newer term; true if it was newer.
+    /// Adopts `term` and becomes a follower if it is newer than the current term; true if it is.
     pub(super) fn adopt_term(&mut self, term: u64, now: Moment, rng: &mut dyn RngCore) -> bool {
         if term <= self.hard.term {
             return false;
@@ -186,7 +186,7 @@
         self.reset_election(now, rng);
     }
 
-    /// Follows the sender of an append or snapshot; false if its term is past.
+    /// Accepts the sender of an append or snapshot as leader; false if its term is outdated.
     pub(super) fn follow(
         &mut self,
         from: &VoterId,
