--- a/src/replica/log.rs
+++ b/src/replica/log.rs
@@ -1,39 +1,39 @@
-//! The log in memory: entries since the last snapshot.
+//! The log in memory: the entries after the last snapshot.
 
 use super::membership::FleetMembership;
 use serde::{Deserialize, Serialize};
 
-/// A place in the log.
+/// Position of an entry in the log; the term is compared first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term, compared first.
+    /// Term in which the entry was proposed.
     pub term: u64,
-    /// The index, counted from 1.
+    /// Index, counted from 1.
     pub index: u64,
 }
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EntryPayload<C> {
-    /// Nothing: a new leader's first entry.
+    /// No content: the first entry of a new leader.
     Empty,
     /// A command for the state machine.
     Command(C),
-    /// A change of voters; in force as soon as it is in the log.
+    /// A membership change; in force as soon as it is appended to the log.
     Membership(FleetMembership),
 }
 
-/// One entry.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry<C> {
-    /// Where.
+    /// Position in the log.
     pub at: LogPosition,
-    /// What.
+    /// Content.
     pub payload: EntryPayload<C>,
 }
 
-/// Entries behind a snapshot.
+/// The entries after a snapshot.
 #[derive(Clone, Debug)]
 pub struct MemoryLog<C> {
     base: LogPosition,
@@ -41,22 +41,22 @@
 }
 
 impl<C: Clone> MemoryLog<C> {
-    /// An empty log behind a snapshot that ends at `base`.
+    /// Creates an empty log after a snapshot whose last entry is at `base`.
     pub fn new(base: LogPosition) -> Self {
         MemoryLog { base, entries: Vec::new() }
     }
 
-    /// The end of the snapshot.
+    /// Position of the last entry covered by the snapshot.
     pub fn base(&self) -> LogPosition {
         self.base
     }
 
-    /// The last position.
+    /// Position of the last entry.
     pub fn last(&self) -> LogPosition {
         self.entries.last().map_or(self.base, |entry| entry.at)
     }
 
-    /// The term at `index`, if it is still known.
+    /// The term of the entry at `index`, unless it was compacted or does not exist.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -70,7 +70,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `index` on, at most `most`.
+    /// At most `most` entries, starting at `index`.
     pub fn from(&self, index: u64, most: usize) -> &[LogEntry<C>] {
         let offset = (index.saturating_sub(self.base.index + 1) as usize).min(self.entries.len());
         let end = (offset + most).min(self.entries.len());
@@ -82,19 +82,19 @@
         &self.entries
     }
 
-    /// Adds an entry; its index must follow the last.
+    /// Appends an entry, whose index must be the successor of the last one.
     pub fn push(&mut self, entry: LogEntry<C>) {
         debug_assert_eq!(entry.at.index, self.last().index + 1);
         self.entries.push(entry);
     }
 
-    /// Drops entries from `index` on.
+    /// Removes the entries from `index` on.
     pub fn truncate(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base.index + 1) as usize;
         self.entries.truncate(keep);
     }
 
-    /// Drops entries up to `at`, which a snapshot now covers.
+    /// Removes the entries up to `at`, which are covered by a snapshot.
     pub fn compact(&mut self, at: LogPosition) {
         let covered = (at.index.saturating_sub(self.base.index) as usize).min(self.entries.len());
         self.entries.drain(..covered);
