--- a/src/replica/membership.rs
+++ b/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes.
+//! Identities and membership of voters.
 
 use crate::table::DaemonName;
 use serde::{Deserialize, Serialize};
@@ -6,24 +6,24 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A fleet's identity: voters of different fleets never talk.
+/// Identifies a fleet; messages between replicas of different fleets are ignored.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct FleetId(pub u64);
 
-/// A voter's identity: its daemon's name, and a number drawn when its data folder was made.
+/// Identifies a voter by its daemon's name and a random number chosen when its data folder is
+/// created.
 ///
-/// What goes wrong without the number: a voter whose disk was wiped has forgotten its votes and
-/// entries; voting under its old identity it can elect a leader that lacks committed entries. One
-/// would notice by an accepted edit that is gone. A new folder draws a new number, so the old identity
-/// can never vote again.
+/// A voter whose disk was wiped has lost its votes and entries. If it voted under its old identity,
+/// it could elect a leader that lacks committed entries; the symptom is a lost accepted edit. A new
+/// folder gets a new number, so the old identity never votes again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct VoterId {
-    /// The daemon.
+    /// Name of the daemon.
     pub daemon: DaemonName,
-    /// The number of its data folder.
+    /// Random number of its data folder.
     pub folder: u32,
 }
 
@@ -52,19 +52,20 @@
     }
 }
 
-/// The voters, and the learners that are catching up to become voters, with control addresses.
+/// The voters, and the learners that are catching up to become voters, with their control
+/// addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetMembership {
     /// The fleet.
     pub fleet: FleetId,
-    /// Who votes.
+    /// Members that vote.
     pub voters: BTreeMap<VoterId, SocketAddr>,
-    /// Who is sent the log but does not vote.
+    /// Members that receive the log but do not vote.
     pub learners: BTreeMap<VoterId, SocketAddr>,
 }
 
 impl FleetMembership {
-    /// A fleet of one.
+    /// Creates a membership with a single voter.
     pub fn founded(fleet: FleetId, founder: VoterId, address: SocketAddr) -> Self {
         FleetMembership {
             fleet,
@@ -73,29 +74,29 @@
         }
     }
 
-    /// Voters needed to decide.
+    /// Number of voters in a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Everyone the leader sends the log to.
+    /// Voters and learners: all members that receive the log.
     pub fn members(&self) -> impl Iterator<Item = (&VoterId, &SocketAddr)> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// The address of a member.
+    /// The control address of a member.
     pub fn address(&self, id: &VoterId) -> Option<SocketAddr> {
         self.voters.get(id).or_else(|| self.learners.get(id)).copied()
     }
 
-    /// With `id` as a learner.
+    /// Returns the membership with `id` added as a learner.
     pub fn with_learner(&self, id: VoterId, address: SocketAddr) -> Self {
         let mut membership = self.clone();
         membership.learners.insert(id, address);
         membership
     }
 
-    /// With the learner `id` as a voter.
+    /// Returns the membership with the learner `id` promoted to voter.
     pub fn with_voter(&self, id: &VoterId) -> Self {
         let mut membership = self.clone();
         if let Some(address) = membership.learners.remove(id) {
@@ -104,7 +105,7 @@
         membership
     }
 
-    /// Without `id`.
+    /// Returns the membership without `id`.
     pub fn without(&self, id: &VoterId) -> Self {
         let mut membership = self.clone();
         membership.learners.remove(id);
