--- a/src/replica/messages.rs
+++ b/src/replica/messages.rs
@@ -1,84 +1,86 @@
-//! Messages between replicas, and the records they keep.
+//! Messages between replicas, and the records that they store.
 
 use super::log::{LogEntry, LogPosition};
 use super::membership::{FleetId, FleetMembership, VoterId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a replica must remember over a restart beside its log.
+/// State that a replica must persist in addition to its log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The newest term seen.
+    /// The highest term seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The candidate that received its vote in that term.
     pub vote: Option<VoterId>,
 }
 
-/// A snapshot of the state machine.
+/// A stored snapshot of the state machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotRecord {
-    /// The last entry it covers.
+    /// Position of the last entry covered.
     pub at: LogPosition,
-    /// The membership then.
+    /// The membership at that position.
     pub membership: FleetMembership,
-    /// The state machine as text.
+    /// The serialised state machine.
     pub state: Arc<str>,
 }
 
-/// A message.
+/// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplicaMessage<C> {
-    /// Would you vote for me in the next term? Changes nothing at either end.
+    /// Asks whether the receiver would vote for the sender in the next term; changes no state at
+    /// the receiver.
     PreVote {
-        /// The sender's last entry.
+        /// Position of the sender's last entry.
         last: LogPosition,
     },
-    /// The answer.
+    /// Reply to [`ReplicaMessage::PreVote`].
     PreVoteReply {
-        /// Yes or no.
+        /// True if the receiver would vote for the candidate.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote.
     Vote {
-        /// The sender's last entry.
+        /// Position of the sender's last entry.
         last: LogPosition,
     },
-    /// The answer.
+    /// Reply to [`ReplicaMessage::Vote`].
     VoteReply {
-        /// Yes or no.
+        /// True if the vote was granted.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Entries to append; a heartbeat if there are none.
     Append {
-        /// The entry before the first one sent.
+        /// Position of the entry before the first one sent.
         previous: LogPosition,
-        /// Entries.
+        /// The entries to append.
         entries: Vec<LogEntry<C>>,
         /// The leader's commit index.
         commit: u64,
-        /// The heartbeat's number, echoed in the answer; the lease counts from when it was sent.
+        /// Number of the heartbeat round, echoed in the reply; the lease starts when the round was
+        /// sent.
         round: u64,
     },
-    /// The answer.
+    /// Reply to [`ReplicaMessage::Append`] and [`ReplicaMessage::Snapshot`].
     AppendReply {
-        /// True if the entries fit.
+        /// True if the log matches at the preceding entry.
         accepted: bool,
-        /// The last index that matches, or a hint where to try next.
+        /// The last matching index if accepted, otherwise the index after which to retry.
         index: u64,
-        /// The heartbeat's number.
+        /// Number of the heartbeat round.
         round: u64,
     },
-    /// A snapshot, for a follower whose next entry is no longer in the log.
+    /// A snapshot for a member whose next entry has been compacted.
     Snapshot {
         /// The snapshot.
         snapshot: SnapshotRecord,
-        /// The heartbeat's number.
+        /// Number of the heartbeat round.
         round: u64,
     },
 }
 
-/// A message with its way.
+/// A message with its sender, receiver and term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaEnvelope<C> {
     /// The fleet.
@@ -87,7 +89,7 @@
     pub from: VoterId,
     /// The receiver.
     pub to: VoterId,
-    /// The sender's term; for a pre-vote, the term it would begin.
+    /// The sender's term; for a pre-vote, the term of the election it would start.
     pub term: u64,
     /// The message.
     pub message: ReplicaMessage<C>,
