--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -1,8 +1,10 @@
-//! The replicated log, pure: messages and time in, records to sync and messages out.
+//! The replicated log, without I/O: its inputs are messages and the time, its outputs are records
+//! to sync and messages to send.
 //!
-//! Raft (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, a leader lease on monotonic time
-//! and changes of one voter at a time (Ongaro's thesis, chapters 4, 6 and 9). The driver must sync
-//! what [`ReplicaOutput`] asks to keep before it sends the messages or acts on the commits beside it.
+//! Implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, a leader lease on
+//! monotonic time and single-server membership changes (Ongaro's thesis, chapters 4, 6 and 9). The
+//! driver must sync the records in a [`ReplicaOutput`] before it sends the messages or applies the
+//! committed entries of the same output.
 
 mod core;
 mod election;
@@ -18,16 +20,17 @@
 
 use snafu::Snafu;
 
-/// Why a proposal was not taken.
+/// Error returned for a rejected proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ProposalFault {
-    /// This replica does not lead; the leader, if known, does.
+    /// This replica is not the leader.
     #[snafu(display("not the leader"))]
     NotLeader {
-        /// Who leads, as far as this replica knows.
+        /// The current leader, if known.
         leader: Option<VoterId>,
     },
-    /// A change of voters is under way, or the leader has not yet committed in its term.
+    /// A membership change is uncommitted, or the leader has not yet committed an entry of its
+    /// term.
     #[snafu(display("a change of voters is under way"))]
     ChangePending,
 }
