--- a/src/replica/replication.rs
+++ b/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: heartbeats, entries, snapshots, commits and the leader's lease.
+//! Log replication: heartbeats, entries, snapshots, commits and the leader lease.
 
 use super::core::{ReplicaCore, ReplicaRole};
 use super::log::{LogEntry, LogPosition, MemoryLog};
@@ -7,9 +7,9 @@
 use crate::policy::Moment;
 use rand::RngCore;
 
-/// Heartbeats remembered while their answers are out.
+/// Maximum number of heartbeat rounds whose send time is remembered.
 const ROUNDS_KEPT: usize = 256;
-/// A snapshot not acknowledged within this many heartbeats is sent again.
+/// Number of heartbeat rounds after which an unacknowledged snapshot is sent again.
 const SNAPSHOT_ROUNDS: u64 = 40;
 
 impl<C: Clone + std::fmt::Debug> ReplicaCore<C> {
@@ -23,8 +23,9 @@
         }
     }
 
-    /// Check-quorum. What goes wrong without it: a leader on the far side of a silent partition believes
-    /// in itself for ever. One would notice by operators' calls that hang there instead of failing.
+    /// Check-quorum: true if a majority of voters replied within the minimum election timeout.
+    /// Without it, a leader that is partitioned from the majority never steps down. The symptom is
+    /// operators' calls that hang there instead of failing.
     fn hears_quorum(&self, now: Moment) -> bool {
         let is_heard = |id: &&VoterId| {
             **id == self.me
@@ -36,7 +37,7 @@
         self.membership().voters.keys().filter(is_heard).count() >= self.membership().quorum()
     }
 
-    /// Begins a heartbeat round and sends every member what it lacks.
+    /// Starts a heartbeat round and sends every other member the entries it lacks.
     pub(super) fn broadcast(&mut self, now: Moment) {
         self.round += 1;
         self.rounds.push_back((self.round, now));
@@ -61,7 +62,8 @@
                 let snapshot = self.snapshot.clone();
                 return self.send(to, ReplicaMessage::Snapshot { snapshot, round });
             }
-            // A bare heartbeat keeps the follower from an election while the snapshot travels.
+            // An empty heartbeat prevents an election by the follower while the snapshot is in
+            // transit.
             let message = ReplicaMessage::Append {
                 previous: self.snapshot.at,
                 entries: Vec::new(),
@@ -117,9 +119,10 @@
     pub(super) fn on_snapshot(&mut self, from: VoterId, snapshot: SnapshotRecord, round: u64) {
         let is_in_log = self.log.term_at(snapshot.at.index) == Some(snapshot.at.term);
         if snapshot.at.index > self.commit && is_in_log {
-            // Entries behind the snapshot may have been acknowledged already, by a message that overtook
-            // it. Dropping them would take back a promise: the leader may have committed them. The log
-            // holds all that the snapshot does, so only the commit moves.
+            // Entries after the snapshot may already have been acknowledged, if their message
+            // overtook the snapshot, and the leader may have committed them, so they must not be
+            // dropped. The log contains everything that the snapshot does, so only the commit index
+            // advances.
             self.commit = snapshot.at.index;
         } else if snapshot.at.index > self.commit {
             self.log = MemoryLog::new(snapshot.at);
@@ -156,7 +159,8 @@
         } else {
             progress.next = (index + 1).max(progress.matched + 1);
         }
-        // While a snapshot travels, refused heartbeats must not answer each other without end.
+        // While a snapshot is in transit, replying to a rejected heartbeat with another one would
+        // loop without end.
         let must_send = progress.snapshot_round.is_none()
             && progress.next <= self.log.last().index
             && (!accepted || progress.next == progress.matched + 1);
@@ -167,8 +171,8 @@
         }
     }
 
-    /// The lease runs from the sending of the newest round that a quorum has answered: each of them
-    /// refuses votes for the least election time after that moment or later.
+    /// Extends the lease, which starts when the latest round acknowledged by a quorum was sent:
+    /// each voter of the quorum refuses votes for the minimum election timeout from then or later.
     fn extend_lease(&mut self) {
         let mut acked: Vec<u64> =
             self.membership().voters.keys().map(|id| self.acked_round(id)).collect();
@@ -190,7 +194,8 @@
         }
     }
 
-    /// Commits what a quorum has kept, if it is of this term (Raft, section 5.4.2).
+    /// Commits the entries stored by a quorum, if the last of them is of the current term (Raft,
+    /// section 5.4.2).
     pub(super) fn advance_commit(&mut self) {
         let last = self.log.last().index;
         let mut matched: Vec<u64> = self
@@ -208,7 +213,7 @@
         self.leave_if_removed();
     }
 
-    /// A leader that is no longer a voter steps down once that is committed.
+    /// Steps down as leader once a membership without this replica is committed.
     fn leave_if_removed(&mut self) {
         if self.membership_index() <= self.commit && !self.is_voter() {
             self.role = ReplicaRole::Follower;
