--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What one process is told: its name, addresses, data centre, peers and data folder.
+//! Settings of one daemon, such as its name, addresses, data centre, peers and data folder.
 
 use crate::policy::{Mechanism, RetryBound};
 use crate::table::{DaemonName, DataCentreName, FaultList, WholeNumber, read_checked};
@@ -18,114 +18,119 @@
     pub daemon: DaemonName,
     /// The data centre it runs in.
     pub data_centre: DataCentreName,
-    /// Where callers connect; absent for a voter that serves none.
+    /// Address for callers; absent for a voter that serves none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub callers: Option<SocketAddr>,
-    /// Where the balancer asks for readiness, and metrics are read; absent means at `callers`.
+    /// Address for the load balancer's readiness checks and for metrics; absent means `callers`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub readiness: Option<SocketAddr>,
-    /// Where operators' and the other daemons' commands connect.
+    /// Address for commands of operators and other daemons.
     #[schemars(with = "String")]
     pub control: SocketAddr,
-    /// The data folder; with one the daemon is a voter.
+    /// The data folder; a daemon with a data folder is a voter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub data_folder: Option<PathBuf>,
-    /// A file holding the fleet's shared key; absent means that whoever reaches `control` may speak there.
+    /// File that contains the fleet's shared key; absent means that `control` accepts commands
+    /// without authentication.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub fleet_key_file: Option<PathBuf>,
-    /// The other daemons that are voters, by control address.
+    /// The other voters, with their control addresses.
     #[serde(default)]
     pub peers: Vec<PeerRow>,
-    /// Some of the voters, by any address of theirs: only the IP counts, the port is that of `control` here.
-    /// For fleets whose voters are named by their IPs. With seeds, the voters among them found the fleet
-    /// together, and other voters are replaced without an operator.
+    /// Some of the voters, for fleets whose voters are named by their IPs. Only the IP of each
+    /// address is used; the port is that of `control`. With seeds, the voters among them found the
+    /// fleet together, and other voters are replaced without an operator.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[schemars(with = "Vec<String>")]
     pub seeds: Vec<SocketAddr>,
-    /// At the fleet's first start only: true on exactly one voter, which begins a new fleet; with seeds, on all.
+    /// True on the voter that founds a new fleet, at the fleet's first start only. It must be set
+    /// on exactly one voter, or on all of them if there are seeds.
     #[serde(default)]
     pub found_fleet: bool,
-    /// What a daemon does whose lease ran out: refuse, or go on under the last table it knows.
+    /// Behaviour of a daemon whose table lease has expired.
     #[serde(default)]
     pub when_cut_off: CutOffChoice,
-    /// How far organisations' limits on tokens may be exceeded, as a share of rate and burst.
+    /// Tolerance by which organisations' token limits may be exceeded, as a share of rate and
+    /// burst.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub limit_overage: f64,
-    /// The same as a number of tokens beside that; a fraction is rounded down.
+    /// Additional tolerance of these limits, in tokens; a fraction is rounded down.
     #[serde_as(as = "WholeNumber")]
     #[serde(default)]
     pub limit_slack_tokens: u64,
-    /// Requests that may be sent to a second upstream, for each request of a service, over all daemons.
+    /// Retries allowed per request of a service, over all daemons.
     #[serde(default = "default_repeat_ratio")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub repeat_ratio: f64,
-    /// The same as a number of requests beside that, in one window; a fraction is rounded down.
+    /// Additional retries allowed in one window; a fraction is rounded down.
     #[serde_as(as = "WholeNumber")]
     #[serde(default = "default_repeat_slack")]
     pub repeat_slack: u64,
-    /// The largest share of a service's requests that a new software version may get before it has proved sound.
+    /// Maximum share of a service's requests sent to a new software version before it is accepted.
     #[serde(default = "default_rollout_share")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub rollout_share: f64,
-    /// Where metrics are read beside `callers` and `readiness`, on a port that does not change.
+    /// Additional address for metrics, with a fixed port, beside `callers` and `readiness`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub metrics: Option<SocketAddr>,
-    /// Mechanisms of the policy that are switched off, to measure what each is worth.
+    /// Mechanisms of the policy that are disabled, to measure the effect of each.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub mechanisms_off: Vec<Mechanism>,
-    /// The platform whose manner of speaking is used towards callers, upstreams and operators; absent means
-    /// tarragonknot's own.
+    /// The platform whose interfaces are used towards callers, upstreams and operators; absent
+    /// means tarragonknot's own interfaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub platform: Option<PlatformSettings>,
-    /// The platform's list of VMs: the path of a JSON file, or an `http://` URL; read again twice a second.
+    /// The platform's list of VMs, as the path of a JSON file or an `http://` URL; reread twice a
+    /// second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub platform_list: Option<String>,
-    /// How long a daemon keeps accepting after it turned unready, in milliseconds.
+    /// How long a draining daemon still accepts requests after it became unready, in milliseconds.
     #[serde(default = "default_balancer_wait")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub balancer_wait_ms: Duration,
-    /// How long a daemon may admit without confirming its table, in milliseconds.
+    /// Duration of the table lease: how long a daemon may admit requests without confirming that
+    /// its table is current, in milliseconds.
     #[serde(default = "default_currency")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 100, max = 60_000))]
     pub currency_lease_ms: Duration,
-    /// Traffic threads; absent means one for each processor.
+    /// Number of traffic threads; absent means one per processor.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 1024))]
     pub traffic_threads: Option<usize>,
-    /// Time between polled load reports of one upstream, in milliseconds.
+    /// Polling interval for the load reports of an upstream, in milliseconds.
     #[serde(default = "default_poll")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 10))]
     pub report_poll_ms: Duration,
 }
 
-/// What a daemon does that cannot confirm its table.
+/// Behaviour of a daemon that cannot confirm that its table is current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutOffChoice {
-    /// It refuses new requests: an accepted edit is in force wherever requests are admitted.
+    /// Refuses new requests, so that an accepted edit is in force wherever requests are admitted.
     #[default]
     Refuse,
-    /// It goes on under the last table it knows: callers are served while the quorum is lost.
+    /// Continues with the last known table, so that callers are served while the quorum is lost.
     Serve,
 }
 
-/// Where the platform's own interfaces are.
+/// Addresses of the platform's interfaces.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where operators call in the platform's manner; on voters.
+    /// Address of the platform's interface for operators, on voters.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub operators: Option<SocketAddr>,
-    /// Where the list of upstreams is read; absent where none is needed.
+    /// Address of the platform's list of upstreams; absent if none is needed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub list: Option<SocketAddr>,
@@ -142,7 +147,7 @@
     pub control: SocketAddr,
 }
 
-/// The name of a voter that is known by its address alone.
+/// The name of a voter of which only the address is known.
 pub fn voter_name(control: SocketAddr) -> DaemonName {
     DaemonName::from(control.ip().to_string().as_str())
 }
@@ -172,14 +177,14 @@
 }
 
 impl DaemonSettings {
-    /// Reads settings, reporting every fault at once.
+    /// Parses settings, reporting all faults at once.
     pub fn read(text: &str) -> Result<Self, FaultList> {
         let settings: DaemonSettings = read_checked(text)?;
         let faults = settings.faults();
         if faults.0.is_empty() { Ok(settings) } else { Err(faults) }
     }
 
-    /// The other voters that this daemon knows of at its start.
+    /// The other voters known to this daemon at its start.
     pub fn known_voters(&self) -> Vec<PeerRow> {
         let seeds = self.seeds.iter().map(|seed| {
             let control = SocketAddr::new(seed.ip(), self.control.port());
@@ -189,8 +194,8 @@
         self.peers.iter().cloned().chain(others).collect()
     }
 
-    /// The voters that found the fleet together: those among the seeds, this daemon being one of them; none
-    /// where one daemon founds it alone, or the fleet exists.
+    /// The voters that found the fleet together: the seeds, including this daemon. Empty if one
+    /// daemon founds it alone, or if the fleet exists.
     pub fn founders(&self) -> Vec<PeerRow> {
         let is_seed = self.seeds.iter().any(|seed| seed.ip() == self.control.ip());
         if !self.found_fleet || !is_seed {
