--- a/src/store/identity.rs
+++ b/src/store/identity.rs
@@ -1,4 +1,4 @@
-//! Whose folder this is.
+//! The identity of the voter that owns a data folder.
 
 use super::{FilesSnafu, StoreError};
 use crate::replica::{FleetId, VoterId};
@@ -16,16 +16,18 @@
 /// The contents of `identity.json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderIdentity {
-    /// The voter.
+    /// Identity of the voter.
     pub voter: VoterId,
-    /// The fleet, once it has joined one.
+    /// The fleet, if the voter has joined one.
     pub fleet: Option<FleetId>,
-    /// The file's own inode. A copied folder has another one, so a copy is told from the original.
+    /// Inode of the file itself. A copy has a different inode, which distinguishes it from the
+    /// original.
     inode: u64,
 }
 
 impl FolderIdentity {
-    /// Reads the identity; none if the folder has none, or is a copy.
+    /// Reads the identity; `None` if the folder has none. Fails if the folder belongs to another
+    /// daemon or is a copy.
     pub fn load(folder: &Path, daemon: &DaemonName) -> Result<Option<Self>, StoreError> {
         let path = folder.join(FILE);
         let text = match fs::read_to_string(&path) {
@@ -51,7 +53,7 @@
         Ok(Some(identity))
     }
 
-    /// Draws a new identity and writes it, synced.
+    /// Creates a new random identity and writes it, synced.
     pub fn create(
         folder: &Path,
         daemon: &DaemonName,
@@ -63,14 +65,14 @@
         Ok(identity)
     }
 
-    /// Notes the fleet that the voter belongs to, synced.
+    /// Records the fleet that the voter belongs to, synced.
     pub fn set_fleet(&mut self, folder: &Path, fleet: FleetId) -> Result<(), StoreError> {
         self.fleet = Some(fleet);
         self.write(folder)
     }
 
-    /// The inode is known only once the file exists, so the file is written in place; a crash in
-    /// between leaves an unreadable or foreign identity, which refuses to vote.
+    /// Writes the file in place, since its inode is known only once it exists. A crash during the
+    /// write leaves an unreadable identity or one with a wrong inode, which is not used to vote.
     fn write(&mut self, folder: &Path) -> Result<(), StoreError> {
         let path = folder.join(FILE);
         let context = || FilesSnafu { path: path.clone() };
