--- a/src/store/journal.rs
+++ b/src/store/journal.rs
@@ -1,4 +1,4 @@
-//! Snapshot and log files.
+//! Snapshot and log files of a voter.
 
 use super::{FilesSnafu, StoreError};
 use crate::replica::{HardState, LogEntry, ReplicaOutput, SnapshotRecord};
@@ -14,35 +14,35 @@
 const LOG: &str = "log.bin";
 const LOCK: &str = "lock";
 const HEADER_BYTES: usize = 8;
-/// A length above this is damage, not a record.
+/// Maximum record length in bytes; a greater length field is treated as corruption.
 const RECORD_LIMIT: u32 = 256 << 20;
 
-/// One record of the log file.
+/// A record of the log file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum JournalRecord<C> {
     Hard(HardState),
     Truncate(u64),
-    /// Entries up to this index are committed. Written without a sync: it may be lost, and is then learned again
-    /// from a leader.
+    /// Entries up to this index are committed. Written without a sync; if it is lost, the index is
+    /// received from a leader again.
     Commit(u64),
     Entry(LogEntry<C>),
 }
 
-/// What a folder holds.
+/// The stored state of a voter, as read from its data folder.
 #[derive(Clone, Debug)]
 pub struct FolderState<C> {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The snapshot, if any was kept.
+    /// The latest snapshot, if any.
     pub snapshot: Option<SnapshotRecord>,
-    /// Entries behind it.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry<C>>,
-    /// The last index known to be committed; 0 if none is.
+    /// The highest index known to be committed; 0 if none.
     pub commit: u64,
 }
 
-/// An open data folder, locked for this process.
+/// An open data folder with an exclusive lock.
 #[derive(Debug)]
 pub struct StoreFolder {
     folder: PathBuf,
@@ -50,11 +50,12 @@
     _lock: FolderLock,
 }
 
-/// The lock of a data folder, given back when dropped.
+/// The lock of a data folder, released on drop.
 ///
-/// Closing the file alone is not enough: a child process that is being started holds a copy of every open
-/// file until its program is loaded, and the lock lasts as long as a copy does (flock(2)). The folder would
-/// look in use for a moment after it was closed. Unlocking takes effect for all copies.
+/// Closing the file is not enough to release it: a child process inherits every open file
+/// descriptor until exec, and the lock is held as long as any duplicate is open (flock(2)), so the
+/// folder would appear in use for a moment after it was closed. An explicit unlock applies to all
+/// duplicates.
 #[derive(Debug)]
 struct FolderLock {
     file: File,
@@ -74,13 +75,13 @@
 
 impl Drop for FolderLock {
     fn drop(&mut self) {
-        // A failure leaves what closing does.
+        // If unlocking fails, closing the file still releases the lock.
         let _ = self.file.unlock();
     }
 }
 
-/// Makes the folder, and its name durable: after a power cut a new folder may be gone with all that was synced
-/// in it, unless the folder above was synced, too.
+/// Creates the folder and syncs its parent. Without the latter, a power loss may remove a new
+/// folder together with all files synced in it.
 fn make_folder(folder: &Path) -> std::io::Result<()> {
     fs::create_dir_all(folder)?;
     match folder.parent().filter(|parent| !parent.as_os_str().is_empty()) {
@@ -90,8 +91,8 @@
 }
 
 impl StoreFolder {
-    /// Opens a folder, making it if need be, and locks it: two processes over one folder would vote
-    /// twice in one term.
+    /// Opens a folder, creating it if necessary, and locks it, since two processes on one folder
+    /// could vote twice in one term.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
         make_folder(folder).context(FilesSnafu { path: folder })?;
         let lock = FolderLock::take(folder)?;
@@ -106,7 +107,7 @@
         Ok(StoreFolder { folder: folder.to_owned(), log, _lock: lock })
     }
 
-    /// The folder.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.folder
     }
@@ -115,8 +116,8 @@
         self.folder.join(name)
     }
 
-    /// Reads everything back. A last record that is not complete was never synced: it is cut off with a
-    /// log line. Damage anywhere else is an error.
+    /// Reads the stored state. An incomplete last record was never synced; it is truncated with a
+    /// warning. Corruption anywhere else is an error.
     pub fn load<C: DeserializeOwned>(
         &mut self,
         log: &Logger,
@@ -152,7 +153,8 @@
             replay(&mut state, record, base).map_err(damaged)?;
             offset += HEADER_BYTES + text.len();
         }
-        // What was read may have been written without a sync that succeeded; from now on it is relied upon.
+        // The records read may have been written without a successful sync; they must be durable
+        // before the replica relies on them.
         self.log.sync_data().context(FilesSnafu { path: &path })?;
         Ok(state)
     }
@@ -173,7 +175,7 @@
         serde_json::from_slice(text).map(Some).map_err(|error| damaged(error.to_string()))
     }
 
-    /// Keeps what an output asks for; returns once it is synced.
+    /// Stores and syncs the records of a replica's output.
     pub fn keep<C: Serialize + Clone>(
         &mut self,
         output: &ReplicaOutput<C>,
@@ -204,9 +206,9 @@
         self.log.sync_data().context(FilesSnafu { path: &path })
     }
 
-    /// Notes what is committed, without a sync. What goes wrong without it: a fleet whose voters were all killed
-    /// cannot say which of its entries are committed before it has a leader again, so that daemons that start
-    /// meanwhile serve nobody. A note that is lost does no harm.
+    /// Writes the commit index without a sync; its loss is harmless. Without this record, a fleet
+    /// whose voters were all killed does not know which entries are committed until it has a leader
+    /// again, and daemons started in the meantime serve no callers.
     pub fn note_commit<C: Serialize>(&mut self, index: u64) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         write_record(&mut bytes, &JournalRecord::<C>::Commit(index));
@@ -214,8 +216,8 @@
         self.log.write_all(&bytes).context(FilesSnafu { path: &path })
     }
 
-    /// Keeps a snapshot and begins a new log behind it. The snapshot is in place, synced, before the old
-    /// log goes; a crash in between leaves records that the snapshot covers, which loading passes over.
+    /// Stores a snapshot and starts a new log after it. The snapshot is synced before the old log
+    /// is replaced; a crash in between leaves records covered by the snapshot, which loading skips.
     pub fn replace<C: Serialize + Clone>(
         &mut self,
         snapshot: &SnapshotRecord,
@@ -250,8 +252,8 @@
             .context(FilesSnafu { path: &self.folder })
     }
 
-    /// Moves damaged or foreign files aside, so that the voter can start again under a new identity;
-    /// nothing is deleted.
+    /// Renames a folder with corrupt or foreign files, so that the voter can start under a new
+    /// identity; nothing is deleted.
     pub fn set_aside(folder: &Path, suffix: u64) -> Result<PathBuf, StoreError> {
         let name = folder
             .file_name()
@@ -290,10 +292,10 @@
     bytes.extend_from_slice(&text);
 }
 
-/// The record at `offset`: none if the file ends inside it, an error if it is complete but damaged.
+/// Reads the record at `offset`: `None` if it is incomplete, an error if it is corrupt.
 ///
-/// A crash can leave a last record whose length was written but whose contents were not; that looks
-/// like damage of the last record, and since it was never synced it counts as incomplete too.
+/// A crash can leave a last record whose length was written but whose contents were not. It ends in
+/// zero bytes and its checksum does not match, but it was never synced and counts as incomplete.
 fn read_record(bytes: &[u8], offset: usize) -> Option<Result<&[u8], String>> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let length = u32::from_le_bytes(header[..4].try_into().ok()?);
