--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,9 @@
-//! The synced files under the data folder.
+//! Durable storage of a voter in its data folder.
 //!
-//! `identity.json` names the voter and the fleet; `snapshot.json` holds the last snapshot; `log.bin`
-//! holds records behind it. A record is its length, a CRC-32 of its JSON, and the JSON. Nothing counts
-//! as kept before the file, and for new or renamed files the folder, is synced.
+//! `identity.json` contains the identity of the voter and its fleet, `snapshot.json` the latest
+//! snapshot, and `log.bin` the records after it. A record consists of a length, a CRC-32 of its
+//! JSON, and the JSON. Data counts as stored only once the file is synced, and for new or renamed
+//! files the folder too.
 
 mod identity;
 mod journal;
@@ -13,40 +14,40 @@
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why a data folder cannot be used.
+/// Error of a data folder.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
     /// A file operation failed.
     #[snafu(display("{}: {source}", path.display()))]
     Files {
-        /// The file.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The error.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A file's contents are damaged.
+    /// The contents of a file are corrupt.
     #[snafu(display("{}: damaged at byte {offset}: {detail}", path.display()))]
     Damaged {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where.
+        /// Byte offset of the corrupt record.
         offset: u64,
-        /// What was expected.
+        /// Expected content, or the parse error.
         detail: String,
     },
-    /// The folder belongs to another daemon, or is a copy of another folder.
+    /// The folder belongs to another daemon or is a copy.
     #[snafu(display("{}: {detail}", path.display()))]
     Foreign {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Whose it is.
+        /// The actual owner.
         detail: String,
     },
-    /// Another process uses the folder.
+    /// Another process holds the lock of the folder.
     #[snafu(display("{}: in use by another process", path.display()))]
     InUse {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
     },
 }
