--- a/src/table/checks.rs
+++ b/src/table/checks.rs
@@ -1,4 +1,5 @@
-//! Checks of operators' documents: every fault at once, each with its JSON path, value and expectation.
+//! Validation of operators' documents. Reports all faults at once, each with its JSON pointer, the
+//! value found and the value expected.
 
 use super::OperatorTable;
 use schemars::JsonSchema;
@@ -8,17 +9,17 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Longest value shown in a fault, in characters.
+/// Maximum number of characters of a value shown in a fault.
 const SHOWN_VALUE: usize = 80;
 
 /// One fault in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TableFault {
-    /// JSON pointer (RFC 6901) to the place; `/` is the whole document.
+    /// JSON pointer (RFC 6901) to the value; `/` stands for the whole document.
     pub path: String,
-    /// The value found there, shortened.
+    /// The value found, truncated.
     pub value: String,
-    /// What was expected instead.
+    /// The value expected.
     pub expected: String,
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Reads a document of type `T`, reporting every departure from its JSON schema.
+/// Parses a document of type `T`, reporting every violation of its JSON schema.
 pub fn read_checked<T: DeserializeOwned + JsonSchema>(text: &str) -> Result<T, FaultList> {
     let value: Value = serde_json::from_str(text).map_err(|error| unreadable(&error))?;
     let schema =
@@ -82,8 +83,8 @@
 
 fn schema_faults(schema: &Value, value: &Value) -> FaultList {
     let mut faults = FaultList::default();
-    // Draft 7: the library keeps the meta-schema of a draft in memory for ever, and that of the newest
-    // takes 24 MB, three quarters of an idle daemon's allowance.
+    // The library keeps the meta-schema of the draft in memory permanently. That of the newest
+    // draft takes 24 MB, three quarters of an idle daemon's memory limit, so draft 7 is used.
     let Ok(validator) = jsonschema::draft7::new(schema) else {
         faults.add("/", "schema", "a usable schema; this is a fault of the program");
         return faults;
@@ -98,7 +99,7 @@
     faults
 }
 
-/// What the schema wanted, without the value, which stands beside it.
+/// Describes what the schema expects, without the value, which is reported separately.
 fn expectation(error: &jsonschema::ValidationError<'_>, schema: &Value) -> String {
     use jsonschema::error::{TypeKind, ValidationErrorKind as Kind};
     match &error.kind {
@@ -121,7 +122,7 @@
     }
 }
 
-/// The constants that a list of alternatives at `path` of the schema allows.
+/// The constants allowed by the list of alternatives at `path` in the schema.
 fn choices(schema: &Value, path: &str) -> Vec<String> {
     let mut place = schema;
     for step in path.split('/').skip(1) {
@@ -154,14 +155,14 @@
     }
 }
 
-/// Reads a table and checks what a schema cannot say: unique names and references that lead somewhere.
+/// Parses a table and checks what its schema cannot express: unique names and valid references.
 pub fn check_document(text: &str) -> Result<OperatorTable, FaultList> {
     let table: OperatorTable = read_checked(text)?;
     let faults = reference_faults(&table);
     if faults.0.is_empty() { Ok(table) } else { Err(faults) }
 }
 
-/// Faults of meaning in a table that is well-formed.
+/// Semantic faults of a table that conforms to the schema.
 pub fn reference_faults(table: &OperatorTable) -> FaultList {
     let mut faults = FaultList::default();
     unique(
