--- a/src/table/difference.rs
+++ b/src/table/difference.rs
@@ -1,14 +1,14 @@
-//! Differences between two tables, cell by cell, with rows matched by name.
+//! Cell-by-cell difference between two tables, with rows matched by name.
 
 use super::OperatorTable;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One cell that differs. `before` is absent for an added cell, `after` for a removed one.
+/// A cell that differs. `before` is absent for an added cell, `after` for a removed one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CellChange {
-    /// Where: table part, row name and column, joined by `/`.
+    /// Section of the table, row name and column, joined by `/`.
     pub cell: String,
     /// The old value as JSON text.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -18,7 +18,7 @@
     pub after: Option<String>,
 }
 
-/// All cells that differ, in order of their place.
+/// Returns all cells that differ, sorted by name.
 pub fn diff_tables(before: &OperatorTable, after: &OperatorTable) -> Vec<CellChange> {
     let old = cells(before);
     let new = cells(after);
@@ -50,7 +50,8 @@
     cells
 }
 
-/// Rows are matched by their name; assignments have none, and their order matters, so by position.
+/// The key by which rows are matched: their name, or their position for rows of sections whose
+/// rows are matched by order, such as assignments.
 fn row_name(part: &str, position: usize, row: &Value) -> String {
     let text =
         |column: &str| row.get(column).and_then(Value::as_str).unwrap_or_default().to_owned();
