--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -23,23 +23,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The whole table, as operators write it.
+/// The whole table, in the format that operators write.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorTable {
-    /// Tiers, any order; `rank` orders them.
+    /// Tiers, in any order; their importance is given by `rank`.
     pub tiers: Vec<TierRow>,
     /// Organisations and their limits.
     pub organisations: Vec<OrganisationRow>,
-    /// Services: pools of upstreams with one interface.
+    /// Services; each is a pool of upstreams with the same interface.
     pub services: Vec<ServiceRow>,
-    /// Which requests belong to which tier; the first row that matches wins.
+    /// Assignments of requests to tiers; the first matching row applies.
     #[serde(default)]
     pub assignments: Vec<AssignmentRow>,
-    /// Upstreams known by address; the platform's list may add more.
+    /// Upstreams with fixed addresses; the platform's list may add more.
     #[serde(default)]
     pub upstreams: Vec<UpstreamRow>,
-    /// Where requests go by host and path, where a platform's interface is served.
+    /// Routes by host and path, for daemons that serve a platform's interface.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<RouteRow>,
 }
@@ -53,25 +53,25 @@
     /// Order of importance: 0 is the highest and is shed last.
     #[schemars(range(min = 0, max = 15))]
     pub rank: u8,
-    /// Share of a pool's tokens while other tiers want it too.
+    /// Relative share of a pool's tokens while tiers compete for them.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub weight: u32,
 }
 
 impl TierRow {
-    /// The tier of a rank, where operators name ranks alone.
+    /// Creates the tier of a rank for operators' formats that have ranks but no tiers.
     pub fn of_rank(rank: u8) -> Self {
         let weight = TOP_WEIGHT >> (WEIGHT_STEP * u32::from(rank)).min(TOP_WEIGHT.ilog2());
         TierRow { tier: tier_of_rank(rank), rank, weight }
     }
 }
 
-/// Weight of the highest tier where operators name ranks alone.
+/// Weight of the tier of rank 0.
 const TOP_WEIGHT: u32 = 1 << 12;
-/// Each rank below has this many halvings less.
+/// The weight is halved this many times from one rank to the next.
 const WEIGHT_STEP: u32 = 2;
 
-/// The name of the tier of a rank, where operators name ranks alone.
+/// The name of the tier that [`TierRow::of_rank`] creates.
 pub fn tier_of_rank(rank: u8) -> TierName {
     TierName::from(format!("rank-{rank}").as_str())
 }
@@ -82,32 +82,33 @@
 pub struct OrganisationRow {
     /// The organisation's name.
     pub organisation: OrganisationName,
-    /// SHA-256 digests, in hexadecimal, of its bearer keys.
+    /// SHA-256 digests of its bearer keys, in hexadecimal.
     pub key_digests: Vec<KeyDigest>,
-    /// Share of a tier's tokens while other organisations want it too.
+    /// Relative share of a tier's tokens while organisations compete for them.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub weight: u32,
-    /// Limit on estimated tokens a second over all services; absent means none.
+    /// Limit on estimated tokens per second over all services; absent means no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1))]
     pub tokens_per_second: Option<u64>,
-    /// Tokens that may be used at once above the rate; defaults to ten seconds' worth.
+    /// Burst size in tokens; the default is ten seconds at the rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1))]
     pub burst_tokens: Option<u64>,
-    /// Limit on requests in progress, waiting ones included; absent means none.
+    /// Limit on requests in progress, including waiting ones; absent means no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1))]
     pub concurrent: Option<u32>,
-    /// What the limit counts.
+    /// Unit of the rate limit.
     #[serde(default, skip_serializing_if = "LimitUnit::is_default")]
     pub limit_unit: LimitUnit,
-    /// Tokens that a request counts as that names none; absent means its estimate.
+    /// Tokens charged for a request that does not state its size; absent means the daemon's
+    /// estimate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub uncounted_tokens: Option<u32>,
 }
 
-/// What an organisation's limit counts.
+/// Unit of an organisation's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitUnit {
@@ -136,83 +137,84 @@
     }
 }
 
-/// What kind of upstream a service has.
+/// Kind of a service's upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
-    /// Model engines: chat and completions JSON, streamed or whole.
+    /// Model engines: chat and completions as JSON, streamed or not.
     Model,
     /// Plain HTTP services: any method and path under the service's route.
     Plain,
 }
 
-/// How a pool orders its waiting requests.
+/// Queue discipline of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum QueueChoice {
     /// Weighted fair queueing by tier, then organisation, with shedding by tier.
     #[default]
     Weighted,
-    /// First in, first out; a baseline for measurements.
+    /// First in, first out; a baseline for comparisons.
     Fifo,
-    /// By worth, those still in time for their objective first.
+    /// By value density, with requests that can still meet their latency objective first.
     Urgency,
 }
 
-/// How a pool chooses an upstream.
+/// Placement policy of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementChoice {
-    /// Prefix affinity under a load bound, then corrected load.
+    /// Prefix affinity up to a load bound, otherwise the least corrected load.
     #[default]
     Affinity,
-    /// Each in turn; a baseline for measurements.
+    /// Round robin; a baseline for comparisons.
     RoundRobin,
-    /// The least load as last reported; a baseline for measurements.
+    /// The least reported load; a baseline for comparisons.
     LeastReported,
-    /// The earliest first event, by the prompts before it and each upstream's own speed.
+    /// The earliest expected first event, from the unread prompts and speed of each upstream.
     Earliest,
 }
 
-/// How a pool bounds the work at one upstream.
+/// Kind of concurrency limit per upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitChoice {
-    /// Learned from step times and times to first token.
+    /// Learned from step times and times to the first token.
     #[default]
     Learned,
-    /// `first_guess` requests, for ever; a baseline for measurements.
+    /// Fixed at `first_guess` requests; a baseline for comparisons.
     Fixed,
 }
 
-/// A service: one pool of upstreams and how callers reach it.
+/// A service: a pool of upstreams and how callers reach it.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRow {
-    /// The service's name; plain services answer under `/NAME/`, models by `"model": "NAME"`.
+    /// The service's name; plain services are reached under `/NAME/`, models by `"model": "NAME"`.
     pub service: ServiceName,
     /// Model or plain.
     pub kind: ServiceKind,
     /// Organisations that may use it; absent means all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisations: Option<Vec<OrganisationName>>,
-    /// Tier of requests that no assignment matches.
+    /// Tier of requests without a matching assignment.
     pub default_tier: TierName,
-    /// Deadline of requests that name none, in milliseconds.
+    /// Deadline of requests that state none, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 1))]
     pub deadline_ms: Duration,
-    /// A stream with no byte for this long is taken as silent and resumed, in milliseconds.
+    /// Time without a byte after which a stream counts as silent and is resumed, in milliseconds.
     #[serde(default = "default_silence")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 10))]
     pub silence_ms: Duration,
-    /// Requests per upstream to begin with; the learned limit moves away from it.
+    /// Initial concurrency limit per upstream, in requests; the learned limit starts from it.
     #[serde(default = "default_guess")]
     #[schemars(range(min = 1, max = 100_000))]
     pub first_guess: u32,
-    /// Objective for the time between tokens, in milliseconds; bounds the learned limit.
+    /// Objective for the time between tokens, in milliseconds; the learned limit is kept low enough
+    /// to meet it.
     #[serde(default = "default_token_gap")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 1))]
@@ -222,52 +224,54 @@
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 1))]
     pub first_token_ms: Duration,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body_limit")]
     #[schemars(range(min = 1, max = 67_108_864))]
     pub body_limit: u32,
-    /// Most requests waiting at one daemon.
+    /// Maximum number of waiting requests per daemon.
     #[serde(default = "default_waiting_limit")]
     #[schemars(range(min = 1, max = 10_000_000))]
     pub waiting_limit: u32,
-    /// Methods whose requests may be repeated; absent means all for models and GET, HEAD, OPTIONS, PUT and DELETE for plain services.
+    /// Methods whose requests may be retried; absent means all methods for models, and GET, HEAD,
+    /// OPTIONS, PUT and DELETE for plain services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idempotent_methods: Option<Vec<String>>,
-    /// How long the outcome of a request with an idempotency key is kept, in milliseconds.
+    /// Retention time of the outcome of a request with an idempotency key, in milliseconds.
     #[serde(default = "default_claim_life")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(range(min = 1_000))]
     pub claim_life_ms: Duration,
-    /// The path that tells whether an upstream is well, where there is one.
+    /// Path of the upstreams' health check; absent if they have none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub health_path: Option<String>,
-    /// Tokens in one event of a stream, where events carry no numbers of their own.
+    /// Tokens per event of a stream whose events do not state a number.
     #[serde(default = "default_event_tokens")]
     #[schemars(range(min = 1))]
     pub event_tokens: u32,
-    /// How long an upstream reserves a place for a request that is about to be sent, in milliseconds; absent where
-    /// upstreams reserve none.
+    /// How long an upstream reserves a slot for a request that is about to be sent, in
+    /// milliseconds; absent if the upstreams have no reservations.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[schemars(with = "Option<u64>")]
     pub reservation_ms: Option<Duration>,
-    /// Of each tenth by size of a kind of request at least this part of what its whole lane gets is served, in percent.
+    /// Guaranteed service by request size, in percent: each size decile of a route is served at
+    /// least this fraction as often as its lane.
     #[serde(default = "default_size_share", skip_serializing_if = "is_default_size_share")]
     #[schemars(range(max = 100))]
     pub size_share_percent: u8,
-    /// Order of waiting requests.
+    /// Queue discipline.
     #[serde(default)]
     pub queue: QueueChoice,
-    /// Choice of upstream.
+    /// Placement policy.
     #[serde(default)]
     pub placement: PlacementChoice,
-    /// Bound on the work at one upstream.
+    /// Kind of concurrency limit per upstream.
     #[serde(default)]
     pub limit: LimitChoice,
 }
 
 impl ServiceRow {
-    /// A service with the usual choices.
+    /// Creates a service with default values.
     pub fn new(service: ServiceName, kind: ServiceKind, default_tier: TierName) -> Self {
         ServiceRow {
             service,
@@ -293,7 +297,7 @@
         }
     }
 
-    /// True if a request of `method` may be repeated without harm.
+    /// True if a request with `method` may be retried.
     pub fn is_idempotent(&self, method: &str) -> bool {
         match (&self.idempotent_methods, self.kind) {
             (Some(methods), _) => methods.iter().any(|known| known == method),
@@ -310,7 +314,7 @@
     }
 }
 
-/// Deadline of requests that name none, for services whose operator gives none.
+/// Default of [`ServiceRow::deadline_ms`] for services created by [`ServiceRow::new`].
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 fn default_silence() -> Duration {
@@ -353,7 +357,7 @@
     10_000
 }
 
-/// Gives a tier to requests; absent members match everything.
+/// Assigns requests to a tier; absent members match every request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct AssignmentRow {
@@ -366,11 +370,11 @@
     /// The value of the `tarragonknot-purpose` header, or any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub purpose: Option<String>,
-    /// The tier of what matches.
+    /// The tier of matching requests.
     pub tier: TierName,
 }
 
-/// An upstream known by address.
+/// An upstream with a fixed address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamRow {
@@ -383,33 +387,33 @@
     pub address: std::net::SocketAddr,
     /// The data centre it runs in.
     pub data_centre: DataCentreName,
-    /// Grows each time another process takes over the name or address.
+    /// Increases when another process takes over the name or address.
     #[serde(default)]
     pub incarnation: u64,
 }
 
-/// A table with its place in the history.
+/// A table with its version and hash.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedTable {
-    /// Rises by one with each accepted edit; 0 is the empty table of a new fleet.
+    /// Increases by one with each accepted edit; 0 is the empty table of a new fleet.
     pub version: u64,
     /// SHA-256 of the table's canonical JSON, in hexadecimal.
     pub hash: String,
-    /// The table; empty where `document` stands for it.
+    /// The table; empty if `document` is present.
     pub table: OperatorTable,
-    /// The table as its operator wrote it, where that is another format than ours; each daemon reads it anew.
+    /// The table in another format, as the operator wrote it; each daemon parses it again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub document: Option<Arc<str>>,
 }
 
-/// Reads tables that operators write in another format than ours.
+/// Parses tables written in another format.
 pub trait TableReader: Send + Sync {
-    /// The version and the table that a document holds, or every fault in it.
+    /// Parses a document into its version and table, or returns all its faults.
     fn read(&self, document: &str) -> Result<(u64, OperatorTable), FaultList>;
 }
 
 impl VersionedTable {
-    /// A table that its operator wrote in another format.
+    /// Creates a versioned table from a document in another format.
     pub fn from_document(version: u64, document: &Arc<str>) -> Self {
         VersionedTable {
             version,
@@ -419,19 +423,19 @@
         }
     }
 
-    /// Stamps `table` with `version` and its hash.
+    /// Creates a versioned table with the hash of `table`.
     pub fn new(version: u64, table: OperatorTable) -> Self {
         VersionedTable { version, hash: table_hash(&table), table, document: None }
     }
 }
 
-/// SHA-256 of the table's canonical JSON (members in declaration order, no white space).
+/// SHA-256 of the table's canonical JSON: members in declaration order, no white space.
 pub fn table_hash(table: &OperatorTable) -> String {
     let bytes = serde_json::to_vec(table).unwrap_or_default();
     hex(&Sha256::digest(&bytes))
 }
 
-/// Bytes as lower-case hexadecimal.
+/// Formats bytes as lower-case hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
     bytes.iter().fold(String::with_capacity(bytes.len() * 2), |mut text, byte| {
@@ -451,7 +455,7 @@
         self.services.iter().find(|row| row.service.as_str() == name)
     }
 
-    /// The tier of a request, by the first matching assignment or the service's default.
+    /// The tier of a request: that of the first matching assignment, or the service's default.
     pub fn tier_of<'a>(
         &'a self,
         service: &'a ServiceRow,
