--- a/src/table/names.rs
+++ b/src/table/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things in the table. Each is a short string, cheap to clone.
+//! Names used in the table: short strings that are cheap to clone.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
         );
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -47,7 +47,7 @@
     OrganisationName
 }
 name_type! {
-    /// A service's name; a model service's name is also its model name.
+    /// A service's name; for a model service, also the name of the model.
     ServiceName
 }
 name_type! {
@@ -64,7 +64,7 @@
 }
 
 name_type! {
-    /// The version of the software that an upstream runs; the versions of the table are numbers.
+    /// The version of the software that an upstream runs, unlike the numeric version of a table.
     SoftwareVersion
 }
 
