--- a/src/table/routes.rs
+++ b/src/table/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests go to which service by host and path, and what may be done with them.
+//! Routes: the mapping of requests to services by host and path, and how they may be retried.
 
 use super::{FaultList, OperatorTable, ServiceName, TierName};
 use schemars::JsonSchema;
@@ -7,22 +7,22 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What may be repeated of a request.
+/// Retry semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// Running it twice does no harm.
+    /// May be executed more than once.
     Safe,
-    /// It runs at most once.
+    /// Executed at most once.
     Unsafe,
-    /// A stream of events that runs at most once.
+    /// A stream of events; executed at most once.
     Stream,
-    /// A stream of events that another upstream may go on with after the last event that came.
+    /// A stream of events that another upstream can continue after the last event received.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Its name, as in tables.
+    /// The name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             RouteKind::Safe => "safe",
@@ -32,62 +32,64 @@
         }
     }
 
-    /// True if a second upstream may run the request after a first one may have.
+    /// True if the request may be sent to another upstream after one may have executed it.
     pub fn may_repeat(self) -> bool {
         matches!(self, RouteKind::Safe | RouteKind::ResumableStream)
     }
 
-    /// True if the answer is a stream of events.
+    /// True if the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
-/// A service that a route goes to.
+/// A service that receives requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceName,
-    /// Share of the route's requests, relative to its other targets.
+    /// Share of the route's requests, relative to the weights of its other targets.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// A route: the targets of requests with a given host and path prefix.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRow {
     /// The route's name, for logs and metrics.
     pub route: String,
-    /// The host that requests name.
+    /// The host of its requests.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash. The longest one wins.
+    /// Prefix of the path, with a leading and a trailing slash. The longest matching prefix
+    /// applies.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Retry semantics.
     pub kind: RouteKind,
-    /// The longest time that a caller is kept waiting, in milliseconds.
+    /// Maximum time until the caller receives a response, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub timeout_ms: Duration,
-    /// The time within which an answer, or a stream's first event, is worth most, in milliseconds.
+    /// Latency objective for the response, or for the first event of a stream, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub objective_ms: Duration,
-    /// The longest good pause between a stream's events, in milliseconds.
+    /// Objective for the longest pause between events of a stream, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub gap_ms: Option<Duration>,
-    /// Callers leave a stream that says nothing for this long, also before its first event, in milliseconds.
+    /// Time without an event, including before the first one, after which callers abandon a stream,
+    /// in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub patience_ms: Option<Duration>,
-    /// The tier of its requests, unless an assignment gives their organisation another.
+    /// The tier of its requests, unless an assignment gives another tier to their organisation.
     pub tier: TierName,
-    /// Upstreams that one request may be sent to, one after the other.
+    /// Maximum number of upstreams that a request is sent to in sequence.
     pub attempts: u32,
-    /// True if no key is needed.
+    /// True if its requests need no bearer key.
     #[serde(default)]
     pub is_public: bool,
-    /// Where its requests go.
+    /// The services that receive its requests.
     pub targets: Vec<RouteTarget>,
 }
 
@@ -97,7 +99,7 @@
         self.targets.iter().any(|target| target.weight > 0 && target.service == *service)
     }
 
-    /// The target for a number in 0.0..1.0 drawn for a request.
+    /// Selects a target by weight, given a random number from 0.0..1.0.
     pub fn target(&self, draw: f64) -> Option<&ServiceName> {
         let sum: f64 = self.targets.iter().map(|target| f64::from(target.weight)).sum();
         let mut left = draw * sum;
@@ -112,7 +114,7 @@
 }
 
 impl OperatorTable {
-    /// Adds every fault of the routes that a reader of single rows cannot see.
+    /// Adds the semantic faults of the routes, which the schema cannot express.
     pub(super) fn route_faults(&self, faults: &mut FaultList) {
         let mut places = HashMap::new();
         for (i, route) in self.routes.iter().enumerate() {
