--- a/src/table/whole_number.rs
+++ b/src/table/whole_number.rs
@@ -1,4 +1,4 @@
-//! Bounds that may come as fractions and count whole things.
+//! Integer bounds that may be written as fractions.
 
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer};
@@ -6,14 +6,14 @@
 use serde_with::{DeserializeAs, SerializeAs};
 use std::borrow::Cow;
 
-/// Reads a number that is not negative as a whole one, rounded down: a bound that was worked out, say as a share of a
-/// larger fleet's, comes as a fraction, and rounding up would exceed it.
+/// Deserialises a non-negative number as an integer, rounded down. A computed bound, such as a
+/// share of a larger fleet's bound, may be a fraction, and rounding up would exceed it.
 #[derive(Clone, Copy, Debug)]
 pub struct WholeNumber;
 
 impl<'de> DeserializeAs<'de, u64> for WholeNumber {
     fn deserialize_as<D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
-        // A cast saturates: a bound beyond the largest number binds nothing.
+        // The cast saturates, which is harmless: a bound of `u64::MAX` is never reached.
         f64::deserialize(deserializer).map(|value| value as u64)
     }
 }
