--- a/src/replica/core.rs
+++ b/src/replica/core.rs
@@ -1,6 +1,6 @@
 //! The replica state machine: its state, inputs and outputs.
 
-use super::ProposalFault;
+use super::ProposalError;
 use super::log::{EntryPayload, LogEntry, LogPosition, MemoryLog};
 use super::membership::{FleetMembership, VoterId};
 use super::messages::{HardState, ReplicaEnvelope, ReplicaMessage, SnapshotRecord};
@@ -12,30 +12,30 @@
 /// Random addition to the election timeout, as a share of its minimum, which makes split votes
 /// rare. It is small because pre-votes make split votes cheap, and the timeout is time without a
 /// leader.
-pub const ELECTION_SPREAD: f64 = 0.5;
+pub const ELECTION_JITTER_SHARE: f64 = 0.5;
 
 /// Timing and batching parameters of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaConfig {
     /// Interval between heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Minimum time without a leader before an election; the maximum is longer by the share
-    /// [`ELECTION_SPREAD`].
-    pub election: Duration,
+    /// [`ELECTION_JITTER_SHARE`].
+    pub election_timeout: Duration,
     /// Duration of a leader's lease as a share of the minimum election timeout; the remainder
     /// allows for clock drift between replicas.
     pub lease_share: f64,
     /// Maximum number of entries in one message.
-    pub batch: usize,
+    pub max_batch_entries: usize,
 }
 
 impl Default for ReplicaConfig {
     fn default() -> Self {
         ReplicaConfig {
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(500),
             lease_share: 0.8,
-            batch: 1_024,
+            max_batch_entries: 1_024,
         }
     }
 }
@@ -56,10 +56,10 @@
 /// The leader's view of another member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerProgress {
-    pub(super) matched: u64,
-    pub(super) next: u64,
+    pub(super) match_index: u64,
+    pub(super) next_index: u64,
     pub(super) acked_round: u64,
-    pub(super) heard: Moment,
+    pub(super) last_contact: Moment,
     /// The heartbeat round in which an unacknowledged snapshot was sent.
     pub(super) snapshot_round: Option<u64>,
 }
@@ -127,24 +127,24 @@
     pub(super) config: ReplicaConfig,
     pub(super) me: VoterId,
     pub(super) role: ReplicaRole,
-    pub(super) hard: HardState,
+    pub(super) hard_state: HardState,
     pub(super) log: MemoryLog<C>,
     pub(super) snapshot: SnapshotRecord,
     /// The membership in force and the index of its entry, cached to avoid a search of the log.
     membership: FleetMembership,
     membership_index: u64,
-    pub(super) commit: u64,
-    applied: u64,
+    pub(super) commit_index: u64,
+    applied_index: u64,
     pub(super) leader: Option<VoterId>,
-    pub(super) leader_heard: Option<Moment>,
+    pub(super) last_leader_contact: Option<Moment>,
     pub(super) election_at: Moment,
     pub(super) heartbeat_at: Moment,
     pub(super) votes: BTreeSet<VoterId>,
     pub(super) progress: BTreeMap<VoterId, PeerProgress>,
     pub(super) round: u64,
-    pub(super) rounds: VecDeque<(u64, Moment)>,
+    pub(super) sent_rounds: VecDeque<(u64, Moment)>,
     pub(super) lease_until: Moment,
-    pub(super) out: ReplicaOutput<C>,
+    pub(super) output: ReplicaOutput<C>,
 }
 
 impl<C: Clone + std::fmt::Debug> ReplicaCore<C> {
@@ -159,31 +159,31 @@
     ) -> Self {
         let mut log = MemoryLog::new(start.snapshot.at);
         start.entries.into_iter().for_each(|entry| log.push(entry));
-        let commit = start.commit.min(log.last().index).max(start.snapshot.at.index);
+        let commit_index = start.commit.min(log.last().index).max(start.snapshot.at.index);
         let mut core = ReplicaCore {
             config,
             me: start.me,
             role: ReplicaRole::Follower,
-            hard: start.hard_state,
+            hard_state: start.hard_state,
             log,
             membership: start.snapshot.membership.clone(),
             membership_index: start.snapshot.at.index,
-            commit,
-            applied: start.snapshot.at.index,
+            commit_index,
+            applied_index: start.snapshot.at.index,
             snapshot: start.snapshot,
             leader: None,
-            leader_heard: Some(now),
+            last_leader_contact: Some(now),
             election_at: now,
             heartbeat_at: now,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             round: 0,
-            rounds: VecDeque::new(),
+            sent_rounds: VecDeque::new(),
             lease_until: Moment(0),
-            out: ReplicaOutput::default(),
+            output: ReplicaOutput::default(),
         };
         core.refresh_membership();
-        core.reset_election(now, rng);
+        core.reset_election_timer(now, rng);
         if core.membership.voters.len() == 1 && core.is_voter() {
             // No other replica can hold a lease.
             core.election_at = now;
@@ -195,7 +195,7 @@
     pub fn tick(&mut self, now: Moment, rng: &mut dyn RngCore) -> ReplicaOutput<C> {
         match self.role {
             ReplicaRole::Leader => self.tick_leader(now, rng),
-            _ if now >= self.election_at && self.is_voter() => self.begin_pre_vote(now, rng),
+            _ if now >= self.election_at && self.is_voter() => self.start_pre_vote(now, rng),
             _ => {}
         }
         self.take_output()
@@ -226,7 +226,7 @@
                 self.on_vote_reply(from, term, granted, now, rng)
             }
             ReplicaMessage::Append { previous, entries, commit, round } => {
-                if self.follow(&from, term, now, rng) {
+                if self.accept_leader(&from, term, now, rng) {
                     self.on_append(from, previous, entries, commit, round);
                 } else {
                     self.send(
@@ -236,7 +236,7 @@
                 }
             }
             ReplicaMessage::Snapshot { snapshot, round } => {
-                if self.follow(&from, term, now, rng) {
+                if self.accept_leader(&from, term, now, rng) {
                     self.on_snapshot(from, snapshot, round);
                 } else {
                     self.send(
@@ -249,7 +249,7 @@
                 if self.adopt_term(term, now, rng) {
                     return;
                 }
-                if term == self.hard.term && self.role == ReplicaRole::Leader {
+                if term == self.hard_state.term && self.role == ReplicaRole::Leader {
                     self.on_append_reply(&from, accepted, index, round, now);
                 }
             }
@@ -262,12 +262,14 @@
         &mut self,
         commands: Vec<C>,
         now: Moment,
-    ) -> Result<(u64, ReplicaOutput<C>), ProposalFault> {
+    ) -> Result<(u64, ReplicaOutput<C>), ProposalError> {
         if self.role != ReplicaRole::Leader {
-            return Err(ProposalFault::NotLeader { leader: self.leader.clone() });
+            return Err(ProposalError::NotLeader { leader: self.leader.clone() });
         }
         let first = self.log.last().index + 1;
-        commands.into_iter().for_each(|command| self.append_own(EntryPayload::Command(command)));
+        commands
+            .into_iter()
+            .for_each(|command| self.append_payload(EntryPayload::Command(command)));
         self.broadcast(now);
         self.advance_commit();
         Ok((first, self.take_output()))
@@ -280,15 +282,15 @@
         &mut self,
         membership: FleetMembership,
         now: Moment,
-    ) -> Result<ReplicaOutput<C>, ProposalFault> {
+    ) -> Result<ReplicaOutput<C>, ProposalError> {
         if self.role != ReplicaRole::Leader {
-            return Err(ProposalFault::NotLeader { leader: self.leader.clone() });
+            return Err(ProposalError::NotLeader { leader: self.leader.clone() });
         }
-        let has_committed = self.log.term_at(self.commit) == Some(self.hard.term);
-        if !has_committed || self.membership_index > self.commit {
-            return Err(ProposalFault::ChangePending);
+        let has_committed = self.log.term_at(self.commit_index) == Some(self.hard_state.term);
+        if !has_committed || self.membership_index > self.commit_index {
+            return Err(ProposalError::ChangePending);
         }
-        self.append_own(EntryPayload::Membership(membership));
+        self.append_payload(EntryPayload::Membership(membership));
         self.refresh_progress(now);
         self.broadcast(now);
         self.advance_commit();
@@ -298,7 +300,7 @@
     /// Replaces the applied entries by a snapshot of the applied state. The driver must store and
     /// sync the returned record before it deletes the entries from its files.
     pub fn compact(&mut self, state: std::sync::Arc<str>) -> SnapshotRecord {
-        let index = self.applied;
+        let index = self.applied_index;
         let at =
             LogPosition { term: self.log.term_at(index).unwrap_or(self.snapshot.at.term), index };
         let membership = self.membership_at(index).clone();
@@ -307,20 +309,20 @@
         self.snapshot.clone()
     }
 
-    pub(super) fn append_own(&mut self, payload: EntryPayload<C>) {
-        let at = LogPosition { term: self.hard.term, index: self.log.last().index + 1 };
+    pub(super) fn append_payload(&mut self, payload: EntryPayload<C>) {
+        let at = LogPosition { term: self.hard_state.term, index: self.log.last().index + 1 };
         let entry = LogEntry { at, payload };
-        self.keep_entry(entry);
+        self.append_entry(entry);
     }
 
     /// Appends an entry to the log and to the records to sync.
-    pub(super) fn keep_entry(&mut self, entry: LogEntry<C>) {
+    pub(super) fn append_entry(&mut self, entry: LogEntry<C>) {
         if let EntryPayload::Membership(membership) = &entry.payload {
             self.membership = membership.clone();
             self.membership_index = entry.at.index;
         }
         self.log.push(entry.clone());
-        self.out.entries.push(entry);
+        self.output.entries.push(entry);
     }
 
     /// Recomputes the membership in force after the log was truncated or replaced.
@@ -332,28 +334,28 @@
     }
 
     pub(super) fn send(&mut self, to: VoterId, message: ReplicaMessage<C>) {
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.send_in_term(to, term, message);
     }
 
     pub(super) fn send_in_term(&mut self, to: VoterId, term: u64, message: ReplicaMessage<C>) {
         let fleet = self.membership().fleet;
         let from = self.me.clone();
-        self.out.messages.push(ReplicaEnvelope { fleet, from, to, term, message });
+        self.output.messages.push(ReplicaEnvelope { fleet, from, to, term, message });
     }
 
     fn take_output(&mut self) -> ReplicaOutput<C> {
-        while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied + 1) else { break };
-            self.out.committed.push(entry.clone());
-            self.applied += 1;
+        while self.applied_index < self.commit_index {
+            let Some(entry) = self.log.get(self.applied_index + 1) else { break };
+            self.output.committed.push(entry.clone());
+            self.applied_index += 1;
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.output)
     }
 
-    pub(super) fn install_applied(&mut self, index: u64) {
-        self.commit = index;
-        self.applied = index;
+    pub(super) fn set_applied_index(&mut self, index: u64) {
+        self.commit_index = index;
+        self.applied_index = index;
     }
 
     /// The membership in force: the latest one in the log, committed or not.
@@ -380,10 +382,10 @@
         self.membership().voters.contains_key(&self.me)
     }
 
-    pub(super) fn reset_election(&mut self, now: Moment, rng: &mut dyn RngCore) {
-        let least = self.config.election.as_micros() as u64;
-        let most = least + (least as f64 * ELECTION_SPREAD) as u64;
-        self.election_at = now + Duration::from_micros(rng.random_range(least..=most));
+    pub(super) fn reset_election_timer(&mut self, now: Moment, rng: &mut dyn RngCore) {
+        let min_micros = self.config.election_timeout.as_micros() as u64;
+        let max_micros = min_micros + (min_micros as f64 * ELECTION_JITTER_SHARE) as u64;
+        self.election_at = now + Duration::from_micros(rng.random_range(min_micros..=max_micros));
     }
 
     /// This replica's own identity.
@@ -398,7 +400,7 @@
 
     /// The current term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// The current leader, if known.
@@ -408,12 +410,12 @@
 
     /// The highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
     /// The highest index handed out for application to the state machine.
     pub fn applied_index(&self) -> u64 {
-        self.applied
+        self.applied_index
     }
 
     /// Number of entries after the snapshot.
@@ -431,7 +433,7 @@
     pub fn holds_lease(&self, now: Moment) -> bool {
         self.role == ReplicaRole::Leader
             && now < self.lease_until
-            && self.log.term_at(self.commit) == Some(self.hard.term)
+            && self.log.term_at(self.commit_index) == Some(self.hard_state.term)
     }
 
     /// Expiry of the leader lease.
@@ -441,12 +443,12 @@
 
     /// Highest index at which a member's log is known to match the leader's.
     pub fn matched(&self, id: &VoterId) -> Option<u64> {
-        self.progress.get(id).map(|progress| progress.matched)
+        self.progress.get(id).map(|progress| progress.match_index)
     }
 
     /// Time of the last reply from a member, or of this replica's election if it has not replied
     /// since; known to a leader only.
     pub fn heard(&self, id: &VoterId) -> Option<Moment> {
-        self.progress.get(id).map(|progress| progress.heard)
+        self.progress.get(id).map(|progress| progress.last_contact)
     }
 }
--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -11,25 +11,25 @@
     /// Starts a pre-vote, which checks whether an election would succeed. Without it, a replica
     /// that was partitioned returns with a higher term and deposes a working leader. The symptom is
     /// an election after each partition heals.
-    pub(super) fn begin_pre_vote(&mut self, now: Moment, rng: &mut dyn RngCore) {
+    pub(super) fn start_pre_vote(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.role = ReplicaRole::PreCandidate;
         self.leader = None;
-        self.count_own_vote(now, rng);
+        self.start_vote_count(now, rng);
         if self.votes.len() >= self.membership().quorum() {
-            return self.begin_vote(now, rng);
+            return self.start_election(now, rng);
         }
         let last = self.log.last();
-        let term = self.hard.term + 1;
+        let term = self.hard_state.term + 1;
         for peer in self.other_voters() {
             self.send_in_term(peer, term, ReplicaMessage::PreVote { last });
         }
     }
 
     /// Starts a new vote count with its own vote and restarts the election timeout.
-    fn count_own_vote(&mut self, now: Moment, rng: &mut dyn RngCore) {
+    fn start_vote_count(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.votes.clear();
         self.votes.insert(self.me.clone());
-        self.reset_election(now, rng);
+        self.reset_election_timer(now, rng);
     }
 
     pub(super) fn other_voters(&self) -> Vec<VoterId> {
@@ -38,15 +38,17 @@
 
     /// True if a leader was in contact within the minimum election timeout, or if this replica
     /// holds the lease itself. The leader's lease relies on such replicas refusing votes.
-    fn hears_leader(&self, now: Moment) -> bool {
-        let has_recent =
-            self.leader_heard.is_some_and(|heard| now.since(heard) < self.config.election);
-        has_recent || (self.role == ReplicaRole::Leader && now < self.lease_until)
+    fn has_leader_contact(&self, now: Moment) -> bool {
+        let has_recent_contact = self
+            .last_leader_contact
+            .is_some_and(|last_contact| now.since(last_contact) < self.config.election_timeout);
+        has_recent_contact || (self.role == ReplicaRole::Leader && now < self.lease_until)
     }
 
     pub(super) fn on_pre_vote(&mut self, from: VoterId, term: u64, last: LogPosition, now: Moment) {
-        let granted = term > self.hard.term && last >= self.log.last() && !self.hears_leader(now);
-        let reply_term = if granted { term } else { self.hard.term };
+        let granted =
+            term > self.hard_state.term && last >= self.log.last() && !self.has_leader_contact(now);
+        let reply_term = if granted { term } else { self.hard_state.term };
         self.send_in_term(from, reply_term, ReplicaMessage::PreVoteReply { granted });
     }
 
@@ -63,14 +65,14 @@
             return;
         }
         if self.role != ReplicaRole::PreCandidate
-            || term != self.hard.term + 1
+            || term != self.hard_state.term + 1
             || !self.is_other_voter(&from)
         {
             return;
         }
         self.votes.insert(from);
         if self.votes.len() >= self.membership().quorum() {
-            self.begin_vote(now, rng);
+            self.start_election(now, rng);
         }
     }
 
@@ -78,12 +80,12 @@
         *id != self.me && self.membership().voters.contains_key(id)
     }
 
-    fn begin_vote(&mut self, now: Moment, rng: &mut dyn RngCore) {
+    fn start_election(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.role = ReplicaRole::Candidate;
-        self.hard.term += 1;
-        self.hard.vote = Some(self.me.clone());
-        self.keep_hard_state();
-        self.count_own_vote(now, rng);
+        self.hard_state.term += 1;
+        self.hard_state.vote = Some(self.me.clone());
+        self.store_hard_state();
+        self.start_vote_count(now, rng);
         if self.votes.len() >= self.membership().quorum() {
             return self.become_leader(now);
         }
@@ -101,16 +103,17 @@
         now: Moment,
         rng: &mut dyn RngCore,
     ) {
-        if self.hears_leader(now) {
+        if self.has_leader_contact(now) {
             return;
         }
         self.adopt_term(term, now, rng);
-        let is_free = self.hard.vote.as_ref().is_none_or(|vote| *vote == from);
-        let granted = term == self.hard.term && is_free && last >= self.log.last();
+        let may_vote_for_sender = self.hard_state.vote.as_ref().is_none_or(|vote| *vote == from);
+        let granted =
+            term == self.hard_state.term && may_vote_for_sender && last >= self.log.last();
         if granted {
-            self.hard.vote = Some(from.clone());
-            self.keep_hard_state();
-            self.reset_election(now, rng);
+            self.hard_state.vote = Some(from.clone());
+            self.store_hard_state();
+            self.reset_election_timer(now, rng);
         }
         self.send(from, ReplicaMessage::VoteReply { granted });
     }
@@ -126,11 +129,11 @@
         if self.adopt_term(term, now, rng) {
             return;
         }
-        let counts = granted
-            && term == self.hard.term
+        let is_valid_vote = granted
+            && term == self.hard_state.term
             && self.role == ReplicaRole::Candidate
             && self.is_other_voter(&from);
-        if !counts {
+        if !is_valid_vote {
             return;
         }
         self.votes.insert(from);
@@ -143,51 +146,56 @@
         self.role = ReplicaRole::Leader;
         self.leader = Some(self.me.clone());
         self.progress.clear();
-        self.rounds.clear();
+        self.sent_rounds.clear();
         self.lease_until = Moment(0);
         self.refresh_progress(now);
-        self.append_own(EntryPayload::Empty);
+        self.append_payload(EntryPayload::Empty);
         self.broadcast(now);
         self.advance_commit();
     }
 
     /// Adds progress records for new members and removes those of former members.
     pub(super) fn refresh_progress(&mut self, now: Moment) {
-        let next = self.log.last().index + 1;
+        let next_index = self.log.last().index + 1;
         let members: Vec<VoterId> = self.membership().members().map(|(id, _)| id.clone()).collect();
         self.progress.retain(|id, _| members.contains(id));
         for id in members {
-            let fresh =
-                PeerProgress { matched: 0, next, acked_round: 0, heard: now, snapshot_round: None };
+            let fresh = PeerProgress {
+                match_index: 0,
+                next_index,
+                acked_round: 0,
+                last_contact: now,
+                snapshot_round: None,
+            };
             self.progress.entry(id).or_insert(fresh);
         }
     }
 
     /// Adopts `term` and becomes a follower if it is newer than the current term; true if it is.
     pub(super) fn adopt_term(&mut self, term: u64, now: Moment, rng: &mut dyn RngCore) -> bool {
-        if term <= self.hard.term {
+        if term <= self.hard_state.term {
             return false;
         }
-        self.hard.term = term;
-        self.hard.vote = None;
-        self.keep_hard_state();
+        self.hard_state.term = term;
+        self.hard_state.vote = None;
+        self.store_hard_state();
         self.step_down(now, rng);
         true
     }
 
-    pub(super) fn keep_hard_state(&mut self) {
-        self.out.hard_state = Some(self.hard.clone());
+    pub(super) fn store_hard_state(&mut self) {
+        self.output.hard_state = Some(self.hard_state.clone());
     }
 
     pub(super) fn step_down(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.role = ReplicaRole::Follower;
         self.leader = None;
         self.lease_until = Moment(0);
-        self.reset_election(now, rng);
+        self.reset_election_timer(now, rng);
     }
 
     /// Accepts the sender of an append or snapshot as leader; false if its term is outdated.
-    pub(super) fn follow(
+    pub(super) fn accept_leader(
         &mut self,
         from: &VoterId,
         term: u64,
@@ -195,13 +203,13 @@
         rng: &mut dyn RngCore,
     ) -> bool {
         self.adopt_term(term, now, rng);
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             return false;
         }
         self.role = ReplicaRole::Follower;
         self.leader = Some(from.clone());
-        self.leader_heard = Some(now);
-        self.reset_election(now, rng);
+        self.last_leader_contact = Some(now);
+        self.reset_election_timer(now, rng);
         true
     }
 }
--- a/src/replica/log.rs
+++ b/src/replica/log.rs
@@ -70,10 +70,10 @@
         self.entries.get(offset as usize)
     }
 
-    /// At most `most` entries, starting at `index`.
-    pub fn from(&self, index: u64, most: usize) -> &[LogEntry<C>] {
+    /// At most `max_count` entries, starting at `index`.
+    pub fn entries_from(&self, index: u64, max_count: usize) -> &[LogEntry<C>] {
         let offset = (index.saturating_sub(self.base.index + 1) as usize).min(self.entries.len());
-        let end = (offset + most).min(self.entries.len());
+        let end = (offset + max_count).min(self.entries.len());
         &self.entries[offset..end]
     }
 
@@ -89,9 +89,9 @@
     }
 
     /// Removes the entries from `index` on.
-    pub fn truncate(&mut self, index: u64) {
-        let keep = index.saturating_sub(self.base.index + 1) as usize;
-        self.entries.truncate(keep);
+    pub fn truncate_from(&mut self, index: u64) {
+        let kept_len = index.saturating_sub(self.base.index + 1) as usize;
+        self.entries.truncate(kept_len);
     }
 
     /// Removes the entries up to `at`, which are covered by a snapshot.
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -22,7 +22,7 @@
 
 /// Error returned for a rejected proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum ProposalFault {
+pub enum ProposalError {
     /// This replica is not the leader.
     #[snafu(display("not the leader"))]
     NotLeader {
@@ -31,6 +31,6 @@
     },
     /// A membership change is uncommitted, or the leader has not yet committed an entry of its
     /// term.
-    #[snafu(display("a change of voters is under way"))]
+    #[snafu(display("a membership change is in progress"))]
     ChangePending,
 }
