--- a/src/store/identity.rs
+++ b/src/store/identity.rs
@@ -1,6 +1,6 @@
 //! The identity of the voter that owns a data folder.
 
-use super::{FilesSnafu, StoreError};
+use super::{IoSnafu, StoreError};
 use crate::replica::{FleetId, VoterId};
 use crate::table::DaemonName;
 use rand::{Rng, RngCore};
@@ -11,7 +11,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-const FILE: &str = "identity.json";
+const IDENTITY_FILE: &str = "identity.json";
 
 /// The contents of `identity.json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,16 +29,16 @@
     /// Reads the identity; `None` if the folder has none. Fails if the folder belongs to another
     /// daemon or is a copy.
     pub fn load(folder: &Path, daemon: &DaemonName) -> Result<Option<Self>, StoreError> {
-        let path = folder.join(FILE);
+        let path = folder.join(IDENTITY_FILE);
         let text = match fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-            Err(source) => return Err(StoreError::Files { path, source }),
+            Err(source) => return Err(StoreError::Io { path, source }),
         };
         let identity: FolderIdentity = serde_json::from_str(&text).map_err(|error| {
             StoreError::Damaged { path: path.clone(), offset: 0, detail: error.to_string() }
         })?;
-        let inode = fs::metadata(&path).context(FilesSnafu { path: &path })?.ino();
+        let inode = fs::metadata(&path).context(IoSnafu { path: &path })?.ino();
         if identity.voter.daemon != *daemon {
             let detail = format!("belongs to voter {}, not to daemon {daemon}", identity.voter);
             return Err(StoreError::Foreign { path: folder.to_owned(), detail });
@@ -74,8 +74,8 @@
     /// Writes the file in place, since its inode is known only once it exists. A crash during the
     /// write leaves an unreadable identity or one with a wrong inode, which is not used to vote.
     fn write(&mut self, folder: &Path) -> Result<(), StoreError> {
-        let path = folder.join(FILE);
-        let context = || FilesSnafu { path: path.clone() };
+        let path = folder.join(IDENTITY_FILE);
+        let context = || IoSnafu { path: path.clone() };
         let mut file = File::create(&path).with_context(|_| context())?;
         self.inode = file.metadata().with_context(|_| context())?.ino();
         let text = serde_json::to_vec(self).unwrap_or_default();
--- a/src/store/journal.rs
+++ b/src/store/journal.rs
@@ -1,6 +1,6 @@
 //! Snapshot and log files of a voter.
 
-use super::{FilesSnafu, StoreError};
+use super::{IoSnafu, StoreError};
 use crate::replica::{HardState, LogEntry, ReplicaOutput, SnapshotRecord};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,12 +10,12 @@
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-const SNAPSHOT: &str = "snapshot.json";
-const LOG: &str = "log.bin";
-const LOCK: &str = "lock";
+const SNAPSHOT_FILE: &str = "snapshot.json";
+const LOG_FILE: &str = "log.bin";
+const LOCK_FILE: &str = "lock";
 const HEADER_BYTES: usize = 8;
 /// Maximum record length in bytes; a greater length field is treated as corruption.
-const RECORD_LIMIT: u32 = 256 << 20;
+const MAX_RECORD_BYTES: u32 = 256 << 20;
 
 /// A record of the log file.
 #[derive(Debug, Serialize, Deserialize)]
@@ -62,13 +62,13 @@
 }
 
 impl FolderLock {
-    fn take(folder: &Path) -> Result<Self, StoreError> {
-        let path = folder.join(LOCK);
-        let file = File::create(&path).context(FilesSnafu { path: &path })?;
+    fn acquire(folder: &Path) -> Result<Self, StoreError> {
+        let path = folder.join(LOCK_FILE);
+        let file = File::create(&path).context(IoSnafu { path: &path })?;
         match file.try_lock() {
             Ok(()) => Ok(FolderLock { file }),
             Err(TryLockError::WouldBlock) => Err(StoreError::InUse { path: folder.to_owned() }),
-            Err(TryLockError::Error(source)) => Err(StoreError::Files { path, source }),
+            Err(TryLockError::Error(source)) => Err(StoreError::Io { path, source }),
         }
     }
 }
@@ -82,7 +82,7 @@
 
 /// Creates the folder and syncs its parent. Without the latter, a power loss may remove a new
 /// folder together with all files synced in it.
-fn make_folder(folder: &Path) -> std::io::Result<()> {
+fn create_folder(folder: &Path) -> std::io::Result<()> {
     fs::create_dir_all(folder)?;
     match folder.parent().filter(|parent| !parent.as_os_str().is_empty()) {
         Some(parent) => File::open(parent)?.sync_all(),
@@ -94,16 +94,16 @@
     /// Opens a folder, creating it if necessary, and locks it, since two processes on one folder
     /// could vote twice in one term.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
-        make_folder(folder).context(FilesSnafu { path: folder })?;
-        let lock = FolderLock::take(folder)?;
-        let path = folder.join(LOG);
+        create_folder(folder).context(IoSnafu { path: folder })?;
+        let lock = FolderLock::acquire(folder)?;
+        let path = folder.join(LOG_FILE);
         let mut options = OpenOptions::new();
         let log = options
             .read(true)
             .append(true)
             .create(true)
             .open(&path)
-            .context(FilesSnafu { path: &path })?;
+            .context(IoSnafu { path: &path })?;
         Ok(StoreFolder { folder: folder.to_owned(), log, _lock: lock })
     }
 
@@ -123,10 +123,10 @@
         log: &Logger,
     ) -> Result<FolderState<C>, StoreError> {
         let snapshot = self.load_snapshot()?;
-        let path = self.file(LOG);
+        let path = self.file(LOG_FILE);
         let mut bytes = Vec::new();
-        self.log.seek(SeekFrom::Start(0)).context(FilesSnafu { path: &path })?;
-        self.log.read_to_end(&mut bytes).context(FilesSnafu { path: &path })?;
+        self.log.seek(SeekFrom::Start(0)).context(IoSnafu { path: &path })?;
+        self.log.read_to_end(&mut bytes).context(IoSnafu { path: &path })?;
         let base = snapshot.as_ref().map_or(0, |snapshot: &SnapshotRecord| snapshot.at.index);
         let mut state = FolderState {
             hard_state: HardState::default(),
@@ -137,9 +137,9 @@
         let mut offset = 0;
         while offset < bytes.len() {
             let Some(record) = read_record(&bytes, offset) else {
-                warn!(log, "cut off an incomplete last record"; "file" => path.display().to_string(), "offset" => offset, "bytes" => bytes.len() - offset);
-                self.log.set_len(offset as u64).context(FilesSnafu { path: &path })?;
-                self.log.sync_all().context(FilesSnafu { path: &path })?;
+                warn!(log, "truncated an incomplete last record"; "file" => path.display().to_string(), "offset" => offset, "bytes" => bytes.len() - offset);
+                self.log.set_len(offset as u64).context(IoSnafu { path: &path })?;
+                self.log.sync_all().context(IoSnafu { path: &path })?;
                 break;
             };
             let damaged = |detail: String| StoreError::Damaged {
@@ -150,27 +150,27 @@
             let text = record.map_err(damaged)?;
             let record: JournalRecord<C> =
                 serde_json::from_slice(text).map_err(|error| damaged(error.to_string()))?;
-            replay(&mut state, record, base).map_err(damaged)?;
+            apply_record(&mut state, record, base).map_err(damaged)?;
             offset += HEADER_BYTES + text.len();
         }
         // The records read may have been written without a successful sync; they must be durable
         // before the replica relies on them.
-        self.log.sync_data().context(FilesSnafu { path: &path })?;
+        self.log.sync_data().context(IoSnafu { path: &path })?;
         Ok(state)
     }
 
     fn load_snapshot(&self) -> Result<Option<SnapshotRecord>, StoreError> {
-        let path = self.file(SNAPSHOT);
+        let path = self.file(SNAPSHOT_FILE);
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-            Err(source) => return Err(StoreError::Files { path, source }),
+            Err(source) => return Err(StoreError::Io { path, source }),
         };
         let damaged =
             |detail: String| StoreError::Damaged { path: path.clone(), offset: 0, detail };
         let text = match read_record(&bytes, 0) {
             Some(text) => text.map_err(damaged)?,
-            None => return Err(damaged("a complete record".to_owned())),
+            None => return Err(damaged("incomplete record".to_owned())),
         };
         serde_json::from_slice(text).map(Some).map_err(|error| damaged(error.to_string()))
     }
@@ -201,9 +201,9 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        let path = self.file(LOG);
-        self.log.write_all(&bytes).context(FilesSnafu { path: &path })?;
-        self.log.sync_data().context(FilesSnafu { path: &path })
+        let path = self.file(LOG_FILE);
+        self.log.write_all(&bytes).context(IoSnafu { path: &path })?;
+        self.log.sync_data().context(IoSnafu { path: &path })
     }
 
     /// Writes the commit index without a sync; its loss is harmless. Without this record, a fleet
@@ -212,8 +212,8 @@
     pub fn note_commit<C: Serialize>(&mut self, index: u64) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         write_record(&mut bytes, &JournalRecord::<C>::Commit(index));
-        let path = self.file(LOG);
-        self.log.write_all(&bytes).context(FilesSnafu { path: &path })
+        let path = self.file(LOG_FILE);
+        self.log.write_all(&bytes).context(IoSnafu { path: &path })
     }
 
     /// Stores a snapshot and starts a new log after it. The snapshot is synced before the old log
@@ -226,30 +226,29 @@
     ) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         write_record(&mut bytes, snapshot);
-        self.write_whole(SNAPSHOT, &bytes)?;
+        self.write_atomically(SNAPSHOT_FILE, &bytes)?;
         let mut log = Vec::new();
         write_record(&mut log, &JournalRecord::<C>::Hard(hard_state.clone()));
         entries
             .iter()
             .for_each(|entry| write_record(&mut log, &JournalRecord::Entry(entry.clone())));
-        self.write_whole(LOG, &log)?;
-        let path = self.file(LOG);
+        self.write_atomically(LOG_FILE, &log)?;
+        let path = self.file(LOG_FILE);
         let mut options = OpenOptions::new();
-        self.log =
-            options.read(true).append(true).open(&path).context(FilesSnafu { path: &path })?;
+        self.log = options.read(true).append(true).open(&path).context(IoSnafu { path: &path })?;
         Ok(())
     }
 
-    fn write_whole(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
+    fn write_atomically(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
         let path = self.file(name);
         let temporary = self.file(&format!("{name}.new"));
-        let mut file = File::create(&temporary).context(FilesSnafu { path: &temporary })?;
-        file.write_all(bytes).context(FilesSnafu { path: &temporary })?;
-        file.sync_all().context(FilesSnafu { path: &temporary })?;
-        fs::rename(&temporary, &path).context(FilesSnafu { path: &path })?;
+        let mut file = File::create(&temporary).context(IoSnafu { path: &temporary })?;
+        file.write_all(bytes).context(IoSnafu { path: &temporary })?;
+        file.sync_all().context(IoSnafu { path: &temporary })?;
+        fs::rename(&temporary, &path).context(IoSnafu { path: &path })?;
         File::open(&self.folder)
             .and_then(|folder| folder.sync_all())
-            .context(FilesSnafu { path: &self.folder })
+            .context(IoSnafu { path: &self.folder })
     }
 
     /// Renames a folder with corrupt or foreign files, so that the voter can start under a new
@@ -259,12 +258,12 @@
             .file_name()
             .map_or_else(|| "data".to_owned(), |name| name.to_string_lossy().into_owned());
         let aside = folder.with_file_name(format!("{name}.aside-{suffix}"));
-        fs::rename(folder, &aside).context(FilesSnafu { path: folder })?;
+        fs::rename(folder, &aside).context(IoSnafu { path: folder })?;
         Ok(aside)
     }
 }
 
-fn replay<C>(
+fn apply_record<C>(
     state: &mut FolderState<C>,
     record: JournalRecord<C>,
     base: u64,
@@ -277,7 +276,7 @@
         JournalRecord::Entry(entry) => {
             let expected = state.entries.last().map_or(base, |last| last.at.index) + 1;
             if entry.at.index != expected {
-                return Err(format!("entry {expected}, found entry {}", entry.at.index));
+                return Err(format!("expected entry {expected}, found entry {}", entry.at.index));
             }
             state.entries.push(entry);
         }
@@ -299,19 +298,19 @@
 fn read_record(bytes: &[u8], offset: usize) -> Option<Result<&[u8], String>> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let length = u32::from_le_bytes(header[..4].try_into().ok()?);
-    let sum = u32::from_le_bytes(header[4..].try_into().ok()?);
-    if length > RECORD_LIMIT {
-        return Some(Err(format!("a record length, found {length}")));
+    let checksum = u32::from_le_bytes(header[4..].try_into().ok()?);
+    if length > MAX_RECORD_BYTES {
+        return Some(Err(format!("record length {length} exceeds the limit")));
     }
     let start = offset + HEADER_BYTES;
     let end = start + length as usize;
     let text = bytes.get(start..end)?;
-    if crc32fast::hash(text) == sum {
+    if crc32fast::hash(text) == checksum {
         return Some(Ok(text));
     }
     let is_last = end == bytes.len();
     if is_last && text.iter().rev().take_while(|byte| **byte == 0).count() > 0 {
         return None;
     }
-    Some(Err("a record whose checksum matches".to_owned()))
+    Some(Err("record checksum does not match".to_owned()))
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -20,7 +20,7 @@
 pub enum StoreError {
     /// A file operation failed.
     #[snafu(display("{}: {source}", path.display()))]
-    Files {
+    Io {
         /// Path of the file or folder.
         path: PathBuf,
         /// Cause.
@@ -33,7 +33,7 @@
         path: PathBuf,
         /// Byte offset of the corrupt record.
         offset: u64,
-        /// Expected content, or the parse error.
+        /// Description of the damage.
         detail: String,
     },
     /// The folder belongs to another daemon or is a copy.
