--- a/src/table/checks.rs
+++ b/src/table/checks.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 
 /// Maximum number of characters of a value shown in a fault.
-const SHOWN_VALUE: usize = 80;
+const MAX_SHOWN_CHARS: usize = 80;
 
 /// One fault in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -60,7 +60,7 @@
 
 /// Parses a document of type `T`, reporting every violation of its JSON schema.
 pub fn read_checked<T: DeserializeOwned + JsonSchema>(text: &str) -> Result<T, FaultList> {
-    let value: Value = serde_json::from_str(text).map_err(|error| unreadable(&error))?;
+    let value: Value = serde_json::from_str(text).map_err(|error| syntax_fault(&error))?;
     let schema =
         schemars::generate::SchemaSettings::draft07().into_generator().into_root_schema_for::<T>();
     let faults = schema_faults(schema.as_value(), &value);
@@ -74,7 +74,7 @@
     })
 }
 
-fn unreadable(error: &serde_json::Error) -> FaultList {
+fn syntax_fault(error: &serde_json::Error) -> FaultList {
     let mut faults = FaultList::default();
     let place = format!("line {}, column {}", error.line(), error.column());
     faults.add("/", place, format!("a JSON document ({error})"));
@@ -149,7 +149,7 @@
 
 fn shorten(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_VALUE) {
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((cut, _)) => format!("{}...", &text[..cut]),
         None => text,
     }
@@ -165,7 +165,7 @@
 /// Semantic faults of a table that conforms to the schema.
 pub fn reference_faults(table: &OperatorTable) -> FaultList {
     let mut faults = FaultList::default();
-    unique(
+    add_duplicate_faults(
         &mut faults,
         table
             .tiers
@@ -173,7 +173,7 @@
             .enumerate()
             .map(|(i, row)| (format!("/tiers/{i}/tier"), row.tier.to_string())),
     );
-    unique(
+    add_duplicate_faults(
         &mut faults,
         table
             .tiers
@@ -185,13 +185,13 @@
     service_faults(table, &mut faults);
     assignment_faults(table, &mut faults);
     upstream_faults(table, &mut faults);
-    table.route_faults(&mut faults);
+    table.add_route_faults(&mut faults);
     faults
 }
 
 fn organisation_faults(table: &OperatorTable, faults: &mut FaultList) {
     let rows = || table.organisations.iter().enumerate();
-    unique(
+    add_duplicate_faults(
         faults,
         rows().map(|(i, row)| {
             (format!("/organisations/{i}/organisation"), row.organisation.to_string())
@@ -203,12 +203,12 @@
             (format!("/organisations/{i}/key_digests/{k}"), digest.0.clone())
         })
     });
-    unique(faults, digests);
+    add_duplicate_faults(faults, digests);
 }
 
 fn service_faults(table: &OperatorTable, faults: &mut FaultList) {
     let rows = || table.services.iter().enumerate();
-    unique(
+    add_duplicate_faults(
         faults,
         rows().map(|(i, row)| (format!("/services/{i}/service"), row.service.to_string())),
     );
@@ -268,8 +268,8 @@
     let names = rows().map(|(i, row)| {
         (format!("/upstreams/{i}/upstream"), format!("{}/{}", row.service, row.upstream))
     });
-    unique(faults, names);
-    unique(
+    add_duplicate_faults(faults, names);
+    add_duplicate_faults(
         faults,
         rows().map(|(i, row)| (format!("/upstreams/{i}/address"), row.address.to_string())),
     );
@@ -284,7 +284,7 @@
     }
 }
 
-fn unique(faults: &mut FaultList, places: impl Iterator<Item = (String, String)>) {
+fn add_duplicate_faults(faults: &mut FaultList, places: impl Iterator<Item = (String, String)>) {
     let mut seen = BTreeSet::new();
     for (path, value) in places {
         if !seen.insert(value.clone()) {
--- a/src/table/difference.rs
+++ b/src/table/difference.rs
@@ -22,16 +22,16 @@
 pub fn diff_tables(before: &OperatorTable, after: &OperatorTable) -> Vec<CellChange> {
     let old = cells(before);
     let new = cells(after);
-    let mut places: Vec<&String> = old.keys().chain(new.keys()).collect();
-    places.sort();
-    places.dedup();
-    places
+    let mut cell_names: Vec<&String> = old.keys().chain(new.keys()).collect();
+    cell_names.sort();
+    cell_names.dedup();
+    cell_names
         .into_iter()
-        .filter(|place| old.get(*place) != new.get(*place))
-        .map(|place| CellChange {
-            cell: place.clone(),
-            before: old.get(place).cloned(),
-            after: new.get(place).cloned(),
+        .filter(|cell| old.get(*cell) != new.get(*cell))
+        .map(|cell| CellChange {
+            cell: cell.clone(),
+            before: old.get(cell).cloned(),
+            after: new.get(cell).cloned(),
         })
         .collect()
 }
@@ -40,8 +40,8 @@
     let mut cells = BTreeMap::new();
     let Ok(Value::Object(parts)) = serde_json::to_value(table) else { return cells };
     for (part, rows) in &parts {
-        for (position, row) in rows.as_array().into_iter().flatten().enumerate() {
-            let name = row_name(part, position, row);
+        for (idx, row) in rows.as_array().into_iter().flatten().enumerate() {
+            let name = row_name(part, idx, row);
             for (column, value) in row.as_object().into_iter().flatten() {
                 cells.insert(format!("{part}/{name}/{column}"), value.to_string());
             }
@@ -52,7 +52,7 @@
 
 /// The key by which rows are matched: their name, or their position for rows of sections whose
 /// rows are matched by order, such as assignments.
-fn row_name(part: &str, position: usize, row: &Value) -> String {
+fn row_name(part: &str, idx: usize, row: &Value) -> String {
     let text =
         |column: &str| row.get(column).and_then(Value::as_str).unwrap_or_default().to_owned();
     match part {
@@ -60,6 +60,6 @@
         "organisations" => text("organisation"),
         "services" => text("service"),
         "upstreams" => format!("{}.{}", text("service"), text("upstream")),
-        _ => position.to_string(),
+        _ => idx.to_string(),
     }
 }
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -61,15 +61,16 @@
 impl TierRow {
     /// Creates the tier of a rank for operators' formats that have ranks but no tiers.
     pub fn of_rank(rank: u8) -> Self {
-        let weight = TOP_WEIGHT >> (WEIGHT_STEP * u32::from(rank)).min(TOP_WEIGHT.ilog2());
+        let weight =
+            RANK_0_WEIGHT >> (HALVINGS_PER_RANK * u32::from(rank)).min(RANK_0_WEIGHT.ilog2());
         TierRow { tier: tier_of_rank(rank), rank, weight }
     }
 }
 
 /// Weight of the tier of rank 0.
-const TOP_WEIGHT: u32 = 1 << 12;
+const RANK_0_WEIGHT: u32 = 1 << 12;
 /// The weight is halved this many times from one rank to the next.
-const WEIGHT_STEP: u32 = 2;
+const HALVINGS_PER_RANK: u32 = 2;
 
 /// The name of the tier that [`TierRow::of_rank`] creates.
 pub fn tier_of_rank(rank: u8) -> TierName {
--- a/src/table/routes.rs
+++ b/src/table/routes.rs
@@ -115,7 +115,7 @@
 
 impl OperatorTable {
     /// Adds the semantic faults of the routes, which the schema cannot express.
-    pub(super) fn route_faults(&self, faults: &mut FaultList) {
+    pub(super) fn add_route_faults(&self, faults: &mut FaultList) {
         let mut places = HashMap::new();
         for (i, route) in self.routes.iter().enumerate() {
             if route.timeout_ms.is_zero() {
