--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -14,7 +14,7 @@
     LeaderHint, TableEdit, connect,
 };
 use tarragonknot::standin::{EngineShape, start_engine};
-use tarragonknot::table::{KeyDigest, OperatorTable, VersionedTable, check_document};
+use tarragonknot::table::{KeyDigest, OperatorTable, VersionedTable, read_table};
 use workdir::{FleetDaemon, ServedDaemon, WorkDir};
 
 const VOTERS: usize = 3;
@@ -135,7 +135,7 @@
         "upstreams": [{{"upstream": "engine", "service": "slow", "address": "{engine}", "data_centre": "hall-a"}}]}}"#,
         KeyDigest::of(CALLER_KEY).0
     );
-    check_document(&text).expect("a good table")
+    read_table(&text).expect("a good table")
 }
 
 fn quantile(times: &mut [Duration], share: f64) -> Duration {
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -14,8 +14,8 @@
     TierShare, UpstreamSet, UpstreamSource, WaitingQueue, WaitingRequest, prefix_hashes,
 };
 use tarragonknot::table::{
-    DaemonName, KeyDigest, LimitChoice, LimitUnit, OrganisationRow, PlacementChoice, QueueChoice,
-    VersionedTable, check_document,
+    DaemonName, KeyDigest, LimitMode, LimitUnit, OrganisationRow, PlacementMode, QueueDiscipline,
+    VersionedTable, read_table,
 };
 use tarragonknot::traffic::{AccessIndex, OrganisationNumbers};
 
@@ -122,9 +122,9 @@
 fn scheduler(criterion: &mut Criterion) {
     let plan = PoolPlan {
         tiers: SHARES.to_vec(),
-        queue: QueueChoice::Weighted,
-        placement: PlacementChoice::Affinity,
-        limit: LimitChoice::Learned,
+        queue: QueueDiscipline::Weighted,
+        placement: PlacementMode::Affinity,
+        limit: LimitMode::Learned,
         first_guess: 60,
         waiting_limit: 1_000_000,
         counts_tokens: true,
@@ -198,7 +198,7 @@
         r#"{{"tiers": [{{"tier": "t", "rank": 0, "weight": 1}}], "organisations": [], "services": [{}]}}"#,
         services.join(",")
     );
-    let mut table = check_document(&text).expect("a good table");
+    let mut table = read_table(&text).expect("a good table");
     table.organisations = (0..organisations).map(row).collect();
     VersionedTable::new(1, table)
 }
--- a/benches/waiting.rs
+++ b/benches/waiting.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tarragonknot::policy::Moment;
 use tarragonknot::standin::{EngineShape, start_engine};
-use tarragonknot::table::{KeyDigest, VersionedTable, check_document};
+use tarragonknot::table::{KeyDigest, VersionedTable, read_table};
 use tarragonknot::traffic::{TrafficState, frontend_router};
 use tower::ServiceExt;
 
@@ -48,7 +48,7 @@
         KeyDigest::of("key").0,
         engine.address
     );
-    let table = check_document(&text).expect("a good table");
+    let table = read_table(&text).expect("a good table");
     let state = TrafficState::new("bench".into(), Logger::root(Discard, o!()), 1);
     state.apply_table(&VersionedTable::new(1, table));
     state.set_current_until(Moment(u64::MAX));
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -2,7 +2,7 @@
 
 use super::CommandError;
 use crate::settings::DaemonSettings;
-use crate::table::{FaultList, check_document};
+use crate::table::{FaultList, read_table};
 use crate::upstream::PlatformList;
 use serde_json::Value;
 use std::path::PathBuf;
@@ -49,7 +49,7 @@
     let (kind, faults) = match document_kind(&text) {
         DocumentKind::Settings => ("settings", DaemonSettings::read(&text).err()),
         DocumentKind::Platform => ("platform list", PlatformList::read(&text).err()),
-        DocumentKind::Table => ("table", check_document(&text).err()),
+        DocumentKind::Table => ("table", read_table(&text).err()),
     };
     match faults {
         None => Ok(kind),
--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -3,7 +3,7 @@
 use super::CommandError;
 use super::operator::ControlTarget;
 use crate::control::{ApplyAnswer, ControlApiClient, EditOutcome, HistoryRow, TableEdit};
-use crate::table::{CellChange, OperatorTable, VersionedTable, check_document, diff_tables};
+use crate::table::{CellChange, OperatorTable, VersionedTable, diff_tables, read_table};
 use clap::Subcommand;
 use comfy_table::{Table, presets};
 use jsonrpsee::ws_client::WsClient;
@@ -143,7 +143,7 @@
         _ => text,
     };
     let faults = |faults| CommandError::Faults { path: path.to_owned(), faults };
-    let table = check_document(&inner).map_err(faults)?;
+    let table = read_table(&inner).map_err(faults)?;
     Ok(EditedTable { table, base: base.map(|(version, hash)| (version, hash.to_owned())) })
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -9,7 +9,7 @@
 use crate::platform;
 use crate::policy::{LimitTolerance, MechanismSet, RetryBound, request_chart, upstream_chart};
 use crate::replica::ReplicaConfig;
-use crate::settings::{CutOffChoice, DaemonSettings};
+use crate::settings::{DaemonSettings, LeaseExpiryMode};
 use crate::store::StoreError;
 use crate::traffic::{
     FrontendHandle, TrafficState, drain_chart, readiness_router, start_exchange, start_frontend,
@@ -104,7 +104,7 @@
         slack: settings.repeat_slack,
     });
     state.set_mechanisms(MechanismSet::without(&settings.mechanisms_off));
-    if settings.when_cut_off == CutOffChoice::Serve {
+    if settings.when_cut_off == LeaseExpiryMode::Serve {
         state.serve_cut_off();
     }
     let front = match settings.callers {
--- a/src/experiment/plan.rs
+++ b/src/experiment/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{LoadProfile, PolicyChoice};
 use crate::policy::{PoolPlan, TierRank, TierShare};
-use crate::table::{LimitChoice, PlacementChoice, ServiceKind};
+use crate::table::{LimitMode, PlacementMode, ServiceKind};
 use clap::ValueEnum;
 use serde::Serialize;
 use std::time::Duration;
@@ -129,8 +129,8 @@
             .collect();
         let mut plan = PoolPlan::new(&row, &tiers);
         match self.without {
-            Some(MechanismSwitch::Affinity) => plan.placement = PlacementChoice::LeastReported,
-            Some(MechanismSwitch::LearnedLimit) => plan.limit = LimitChoice::Fixed,
+            Some(MechanismSwitch::Affinity) => plan.placement = PlacementMode::LeastReported,
+            Some(MechanismSwitch::LearnedLimit) => plan.limit = LimitMode::Fixed,
             Some(MechanismSwitch::DeadlineRefusal) => plan.refuses_late = false,
             Some(MechanismSwitch::Headroom) => plan.keeps_headroom = false,
             Some(MechanismSwitch::StragglerRule) => plan.avoids_stragglers = false,
--- a/src/load/profile.rs
+++ b/src/load/profile.rs
@@ -2,8 +2,8 @@
 
 use crate::standin::EngineShape;
 use crate::table::{
-    AssignmentRow, KeyDigest, LimitChoice, LimitUnit, OperatorTable, OrganisationRow,
-    PlacementChoice, QueueChoice, ServiceKind, ServiceRow, TierRow, UpstreamRow,
+    AssignmentRow, KeyDigest, LimitMode, LimitUnit, OperatorTable, OrganisationRow, PlacementMode,
+    QueueDiscipline, ServiceKind, ServiceRow, TierRow, UpstreamRow,
 };
 use clap::ValueEnum;
 use rand::{Rng, SeedableRng};
@@ -287,7 +287,7 @@
             size_share_percent: crate::table::default_size_share(),
             health_path: None,
             queue,
-            placement: if is_model { placement } else { PlacementChoice::LeastReported },
+            placement: if is_model { placement } else { PlacementMode::LeastReported },
             limit,
         }
     }
@@ -312,16 +312,16 @@
         if self == PolicyChoice::LeastReported { NO_LIMIT } else { given }
     }
 
-    fn choices(self) -> (QueueChoice, PlacementChoice, LimitChoice) {
+    fn choices(self) -> (QueueDiscipline, PlacementMode, LimitMode) {
         match self {
             PolicyChoice::Weighted => {
-                (QueueChoice::Weighted, PlacementChoice::Affinity, LimitChoice::Learned)
+                (QueueDiscipline::Weighted, PlacementMode::Affinity, LimitMode::Learned)
             }
             PolicyChoice::Fifo | PolicyChoice::LeastReported => {
-                (QueueChoice::Fifo, PlacementChoice::LeastReported, LimitChoice::Fixed)
+                (QueueDiscipline::Fifo, PlacementMode::LeastReported, LimitMode::Fixed)
             }
             PolicyChoice::RoundRobin => {
-                (QueueChoice::Fifo, PlacementChoice::RoundRobin, LimitChoice::Fixed)
+                (QueueDiscipline::Fifo, PlacementMode::RoundRobin, LimitMode::Fixed)
             }
         }
     }
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -1,9 +1,9 @@
 //! The operator's configuration document.
 
 use crate::table::{
-    AssignmentRow, FaultList, KeyDigest, LimitChoice, LimitUnit, OperatorTable, OrganisationRow,
-    PlacementChoice, QueueChoice, RouteKind, RouteRow, RouteTarget, ServiceKind, ServiceRow,
-    TableReader, TierRow, reference_faults, tier_of_rank,
+    AssignmentRow, FaultList, KeyDigest, LimitMode, LimitUnit, OperatorTable, OrganisationRow,
+    PlacementMode, QueueDiscipline, RouteKind, RouteRow, RouteTarget, ServiceKind, ServiceRow,
+    TableReader, TierRow, semantic_faults, tier_name_of_rank,
 };
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -115,7 +115,7 @@
             faults
         })?;
         let table = document.table();
-        let faults = reference_faults(&table);
+        let faults = semantic_faults(&table);
         if faults.0.is_empty() { Ok((document.version, table)) } else { Err(faults) }
     }
 }
@@ -167,7 +167,7 @@
             objective_ms: Duration::from_millis(self.latency_slo_ms),
             gap_ms: self.gap_slo_ms.map(Duration::from_millis),
             patience_ms: kind.is_stream().then(|| self.patience()),
-            tier: tier_of_rank(self.priority),
+            tier: tier_name_of_rank(self.priority),
             attempts: self.max_attempts.max(1),
             is_public: self.public,
             targets: split.chain(whole).collect(),
@@ -188,11 +188,11 @@
 impl WireService {
     fn service(&self) -> ServiceRow {
         let kind = if self.engine.is_some() { ServiceKind::Model } else { ServiceKind::Plain };
-        let mut row = ServiceRow::new(self.name.as_str().into(), kind, tier_of_rank(0));
+        let mut row = ServiceRow::new(self.name.as_str().into(), kind, tier_name_of_rank(0));
         row.health_path.clone_from(&self.health_path);
-        row.placement = PlacementChoice::Earliest;
-        row.queue = QueueChoice::Urgency;
-        row.limit = LimitChoice::Fixed;
+        row.placement = PlacementMode::Earliest;
+        row.queue = QueueDiscipline::Urgency;
+        row.limit = LimitMode::Fixed;
         if let Some(engine) = &self.engine {
             row.first_guess = engine.slots.max(1);
             row.event_tokens = engine.stride.max(1);
@@ -225,7 +225,7 @@
             service: None,
             organisation: Some(self.name.as_str().into()),
             purpose: None,
-            tier: tier_of_rank(priority),
+            tier: tier_name_of_rank(priority),
         })
     }
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -2,7 +2,7 @@
 
 use super::earliest_placement::EarliestPlacement;
 use super::{CapacityClass, EngineSpeed, Moment, UpstreamIndex, UpstreamSet, UpstreamStatus};
-use crate::table::PlacementChoice;
+use crate::table::PlacementMode;
 use rand::{Rng, RngCore};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -95,12 +95,12 @@
 }
 
 /// Builds the policy that the table selects.
-pub fn placement_policy(choice: PlacementChoice) -> Box<dyn PlacementPolicy> {
+pub fn placement_policy(choice: PlacementMode) -> Box<dyn PlacementPolicy> {
     match choice {
-        PlacementChoice::Affinity => Box::new(AffinityPlacement::default()),
-        PlacementChoice::RoundRobin => Box::new(RoundRobin::default()),
-        PlacementChoice::LeastReported => Box::new(LeastReported),
-        PlacementChoice::Earliest => Box::new(EarliestPlacement),
+        PlacementMode::Affinity => Box::new(AffinityPlacement::default()),
+        PlacementMode::RoundRobin => Box::new(RoundRobin::default()),
+        PlacementMode::LeastReported => Box::new(LeastReported),
+        PlacementMode::Earliest => Box::new(EarliestPlacement),
     }
 }
 
--- a/src/policy/scheduler/admission.rs
+++ b/src/policy/scheduler/admission.rs
@@ -3,7 +3,7 @@
 use super::{ArrivedRequest, PoolAction, PoolScheduler};
 use crate::answer::AnswerKind;
 use crate::policy::{Mechanism, Moment, TierRank, TierShare, WaitingRequest};
-use crate::table::QueueChoice;
+use crate::table::QueueDiscipline;
 use rand::{Rng, RngCore};
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
             return refuse(AnswerKind::DeadlineTooShort);
         }
         request.is_underserved = self.claim_owed_service(&request, now, rng);
-        if self.plan.queue == QueueChoice::Fifo {
+        if self.plan.queue == QueueDiscipline::Fifo {
             match self.queue.len() >= self.plan.waiting_limit {
                 true => self.shed_now(&request, AnswerKind::Overloaded, now, actions),
                 false => self.enqueue(request, now),
@@ -80,7 +80,7 @@
     /// Returns whether late requests of returning callers are refused early if they have no chance.
     fn has_late_refusal(&self) -> bool {
         self.plan.sheds_locally
-            && self.plan.queue == QueueChoice::Urgency
+            && self.plan.queue == QueueDiscipline::Urgency
             && self.plan.mechanisms.has(Mechanism::LateRefusal)
     }
 
@@ -124,7 +124,7 @@
         now: Moment,
         rng: &mut dyn RngCore,
     ) -> bool {
-        self.plan.queue == QueueChoice::Urgency
+        self.plan.queue == QueueDiscipline::Urgency
             && self.plan.mechanisms.has(Mechanism::SizeShare)
             && self.size_shares.record_arrival(&request.size_claim(), rng.random(), now)
     }
@@ -176,7 +176,7 @@
             Some(objective) => self.latest_start_for(&waiting, objective, now),
             None => waiting.latest_start(),
         };
-        if self.plan.queue != QueueChoice::Fifo && self.plan.refuses_late {
+        if self.plan.queue != QueueDiscipline::Fifo && self.plan.refuses_late {
             waiting.review_at = waiting
                 .latest_start()
                 .max(now + request.deadline.since(now).mul_f64(MIN_DEADLINE_SHARE));
--- a/src/policy/scheduler/mod.rs
+++ b/src/policy/scheduler/mod.rs
@@ -17,7 +17,7 @@
     UpstreamStatus, WaitingLevels, WaitingQueue, WaitingRequest, placement_policy,
 };
 use crate::answer::AnswerKind;
-use crate::table::QueueChoice;
+use crate::table::QueueDiscipline;
 use rand::RngCore;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -196,11 +196,11 @@
     fn tick(&mut self, now: Moment, actions: &mut Vec<PoolAction>) {
         while let Some(request) = self.queue.pop_for_review(now) {
             match self.plan.queue {
-                QueueChoice::Weighted => {
+                QueueDiscipline::Weighted => {
                     self.shed_when_confirmed(request, AnswerKind::DeadlineWaiting, now, actions)
                 }
-                QueueChoice::Urgency => self.recheck_late(request, now, actions),
-                QueueChoice::Fifo => {
+                QueueDiscipline::Urgency => self.recheck_late(request, now, actions),
+                QueueDiscipline::Fifo => {
                     self.shed_now(&request, AnswerKind::DeadlineWaiting, now, actions);
                 }
             }
--- a/src/policy/scheduler/plan.rs
+++ b/src/policy/scheduler/plan.rs
@@ -4,7 +4,7 @@
     FairQueue, FifoQueue, LearnedLimit, MechanismSet, TierRank, TierShare, UrgencyQueue,
     WaitingQueue,
 };
-use crate::table::{LimitChoice, PlacementChoice, QueueChoice, ServiceKind, ServiceRow};
+use crate::table::{LimitMode, PlacementMode, QueueDiscipline, ServiceKind, ServiceRow};
 use std::time::Duration;
 
 /// Share of each engine's limit reserved for the highest tier. Without it, under load, only the
@@ -21,11 +21,11 @@
     /// Tiers with their weights, highest first.
     pub tiers: Vec<TierShare>,
     /// Queue discipline.
-    pub queue: QueueChoice,
+    pub queue: QueueDiscipline,
     /// Placement policy.
-    pub placement: PlacementChoice,
+    pub placement: PlacementMode,
     /// Kind of concurrency limit per upstream.
-    pub limit: LimitChoice,
+    pub limit: LimitMode,
     /// Initial concurrency limit per upstream, in requests.
     pub first_guess: u32,
     /// Maximum queue length.
@@ -86,9 +86,9 @@
 
     pub(super) fn new_queue(&self) -> Box<dyn WaitingQueue> {
         match self.queue {
-            QueueChoice::Weighted => Box::new(FairQueue::new(&self.tiers)),
-            QueueChoice::Fifo => Box::new(FifoQueue::default()),
-            QueueChoice::Urgency => {
+            QueueDiscipline::Weighted => Box::new(FairQueue::new(&self.tiers)),
+            QueueDiscipline::Fifo => Box::new(FifoQueue::default()),
+            QueueDiscipline::Urgency => {
                 Box::new(UrgencyQueue::new(&self.tiers, self.mechanisms.clone()))
             }
         }
@@ -101,8 +101,8 @@
     /// Share of each limit reserved for the highest tier; nonzero only with affinity placement and
     /// a weighted queue of several tiers.
     pub(super) fn headroom(&self) -> f64 {
-        let has_choice = self.placement == PlacementChoice::Affinity;
-        let has_tiers = self.queue == QueueChoice::Weighted && self.tiers.len() > 1;
+        let has_choice = self.placement == PlacementMode::Affinity;
+        let has_tiers = self.queue == QueueDiscipline::Weighted && self.tiers.len() > 1;
         if has_choice && has_tiers && self.keeps_headroom { HIGHEST_TIER_HEADROOM } else { 0.0 }
     }
 
@@ -115,7 +115,7 @@
         LearnedLimit::new(
             places.unwrap_or(self.first_guess),
             self.initial_mean_cost(),
-            self.limit == LimitChoice::Learned,
+            self.limit == LimitMode::Learned,
         )
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -53,7 +53,7 @@
     pub found_fleet: bool,
     /// Behaviour of a daemon whose table lease has expired.
     #[serde(default)]
-    pub when_cut_off: CutOffChoice,
+    pub when_cut_off: LeaseExpiryMode,
     /// Tolerance by which organisations' token limits may be exceeded, as a share of rate and
     /// burst.
     #[serde(default)]
@@ -114,7 +114,7 @@
 /// Behaviour of a daemon that cannot confirm that its table is current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum CutOffChoice {
+pub enum LeaseExpiryMode {
     /// Refuses new requests, so that an accepted edit is in force wherever requests are admitted.
     #[default]
     Refuse,
--- a/src/table/checks.rs
+++ b/src/table/checks.rs
@@ -156,14 +156,14 @@
 }
 
 /// Parses a table and checks what its schema cannot express: unique names and valid references.
-pub fn check_document(text: &str) -> Result<OperatorTable, FaultList> {
+pub fn read_table(text: &str) -> Result<OperatorTable, FaultList> {
     let table: OperatorTable = read_checked(text)?;
-    let faults = reference_faults(&table);
+    let faults = semantic_faults(&table);
     if faults.0.is_empty() { Ok(table) } else { Err(faults) }
 }
 
 /// Semantic faults of a table that conforms to the schema.
-pub fn reference_faults(table: &OperatorTable) -> FaultList {
+pub fn semantic_faults(table: &OperatorTable) -> FaultList {
     let mut faults = FaultList::default();
     add_duplicate_faults(
         &mut faults,
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -6,7 +6,7 @@
 mod routes;
 mod whole_number;
 
-pub use checks::{FaultList, TableFault, check_document, read_checked, reference_faults};
+pub use checks::{FaultList, TableFault, read_checked, read_table, semantic_faults};
 pub use difference::{CellChange, diff_tables};
 pub use names::{
     DaemonName, DataCentreName, OrganisationName, ServiceName, SoftwareVersion, TierName,
@@ -63,7 +63,7 @@
     pub fn of_rank(rank: u8) -> Self {
         let weight =
             RANK_0_WEIGHT >> (HALVINGS_PER_RANK * u32::from(rank)).min(RANK_0_WEIGHT.ilog2());
-        TierRow { tier: tier_of_rank(rank), rank, weight }
+        TierRow { tier: tier_name_of_rank(rank), rank, weight }
     }
 }
 
@@ -73,7 +73,7 @@
 const HALVINGS_PER_RANK: u32 = 2;
 
 /// The name of the tier that [`TierRow::of_rank`] creates.
-pub fn tier_of_rank(rank: u8) -> TierName {
+pub fn tier_name_of_rank(rank: u8) -> TierName {
     TierName::from(format!("rank-{rank}").as_str())
 }
 
@@ -151,7 +151,7 @@
 /// Queue discipline of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum QueueChoice {
+pub enum QueueDiscipline {
     /// Weighted fair queueing by tier, then organisation, with shedding by tier.
     #[default]
     Weighted,
@@ -164,7 +164,7 @@
 /// Placement policy of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum PlacementChoice {
+pub enum PlacementMode {
     /// Prefix affinity up to a load bound, otherwise the least corrected load.
     #[default]
     Affinity,
@@ -179,7 +179,7 @@
 /// Kind of concurrency limit per upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum LimitChoice {
+pub enum LimitMode {
     /// Learned from step times and times to the first token.
     #[default]
     Learned,
@@ -262,13 +262,13 @@
     pub size_share_percent: u8,
     /// Queue discipline.
     #[serde(default)]
-    pub queue: QueueChoice,
+    pub queue: QueueDiscipline,
     /// Placement policy.
     #[serde(default)]
-    pub placement: PlacementChoice,
+    pub placement: PlacementMode,
     /// Kind of concurrency limit per upstream.
     #[serde(default)]
-    pub limit: LimitChoice,
+    pub limit: LimitMode,
 }
 
 impl ServiceRow {
@@ -292,9 +292,9 @@
             event_tokens: default_event_tokens(),
             reservation_ms: None,
             size_share_percent: default_size_share(),
-            queue: QueueChoice::default(),
-            placement: PlacementChoice::default(),
-            limit: LimitChoice::default(),
+            queue: QueueDiscipline::default(),
+            placement: PlacementMode::default(),
+            limit: LimitMode::default(),
         }
     }
 
--- a/src/table/routes.rs
+++ b/src/table/routes.rs
@@ -100,7 +100,7 @@
     }
 
     /// Selects a target by weight, given a random number from 0.0..1.0.
-    pub fn target(&self, draw: f64) -> Option<&ServiceName> {
+    pub fn select_target(&self, draw: f64) -> Option<&ServiceName> {
         let sum: f64 = self.targets.iter().map(|target| f64::from(target.weight)).sum();
         let mut left = draw * sum;
         let mut usable = self.targets.iter().filter(|target| target.weight > 0);
--- a/src/traffic/routed/forward.rs
+++ b/src/traffic/routed/forward.rs
@@ -196,7 +196,7 @@
             let matched = match_route(&self.state.snapshot(), &self.parts, &self.metadata)?;
             self.route = matched.route;
             self.caller = matched.caller;
-            let service = self.route.target(self.state.jitter());
+            let service = self.route.select_target(self.state.jitter());
             let service = service.ok_or(AnswerKind::ServiceUnknown)?.clone();
             let chosen = self.state.choose_pool(&service, may_use_trial);
             let chosen = chosen.ok_or(AnswerKind::UpstreamAbsent)?;
--- a/tests/burst_pool.rs
+++ b/tests/burst_pool.rs
@@ -8,15 +8,15 @@
     PoolScheduler, RequestId, RequestSizes, RouteKey, TierRank, TierShare,
 };
 use tarragonknot::table::{
-    LimitChoice, PlacementChoice, QueueChoice, ServiceKind, ServiceRow, tier_of_rank,
+    LimitMode, PlacementMode, QueueDiscipline, ServiceKind, ServiceRow, tier_name_of_rank,
 };
 
 /// The plan of a model pool whose requests have objectives; one place for each upstream.
 pub fn urgency_plan() -> PoolPlan {
-    let mut row = ServiceRow::new("pool".into(), ServiceKind::Model, tier_of_rank(0));
-    row.queue = QueueChoice::Urgency;
-    row.placement = PlacementChoice::Earliest;
-    row.limit = LimitChoice::Fixed;
+    let mut row = ServiceRow::new("pool".into(), ServiceKind::Model, tier_name_of_rank(0));
+    row.queue = QueueDiscipline::Urgency;
+    row.placement = PlacementMode::Earliest;
+    row.limit = LimitMode::Fixed;
     row.first_guess = 1;
     let share = |rank, weight| TierShare { rank: TierRank(rank), weight };
     let mut plan = PoolPlan::new(&row, &[share(0, 16), share(1, 4)]);
--- a/tests/fixtures.rs
+++ b/tests/fixtures.rs
@@ -7,7 +7,7 @@
 use tarragonknot::standin::{
     EngineShape, EngineStandin, PlainShape, PlainStandin, PrefillLedger, start_engine, start_plain,
 };
-use tarragonknot::table::{KeyDigest, OperatorTable, UpstreamRow, VersionedTable, check_document};
+use tarragonknot::table::{KeyDigest, OperatorTable, UpstreamRow, VersionedTable, read_table};
 use tarragonknot::traffic::{FrontendHandle, TrafficState, start_frontend};
 use tokio::net::TcpListener;
 
@@ -33,7 +33,7 @@
         KeyDigest::of(AGENTS_KEY).0,
         KeyDigest::of(STAFF_KEY).0
     );
-    check_document(&text).expect("the fixture's table is good")
+    read_table(&text).expect("the fixture's table is good")
 }
 
 /// One daemon's traffic before one engine and one plain service.
--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -11,7 +11,7 @@
     SHARE_UNITS,
 };
 use tarragonknot::policy::{FloorOrder, Moment, ShedFloor, TierRank};
-use tarragonknot::table::{DaemonName, VersionedTable, check_document};
+use tarragonknot::table::{DaemonName, VersionedTable, read_table};
 
 const DAEMONS: usize = 4;
 const LEASE: Duration = Duration::from_millis(600);
@@ -77,7 +77,7 @@
         "organisations": [],
         "services": [{"service": "pack-llm", "kind": "model", "default_tier": "only", "deadline_ms": 1000}]
     }"#;
-    VersionedTable::new(1, check_document(text).expect("a good table"))
+    VersionedTable::new(1, read_table(text).expect("a good table"))
 }
 
 impl FleetSchedule {
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -14,7 +14,7 @@
     RequestId, RequestState, RouteKey, TierRank, TierShare, UpstreamIndex, UpstreamSource,
     prefix_hashes,
 };
-use tarragonknot::table::{LimitChoice, PlacementChoice, QueueChoice};
+use tarragonknot::table::{LimitMode, PlacementMode, QueueDiscipline};
 use tarragonknot::traffic::{DrainAction, DrainEvent, DrainState, drain_chart};
 
 /// A plan with three tiers of weights 6, 3 and 1, for engines of which each takes `first_guess` requests.
@@ -22,9 +22,9 @@
     let share = |rank, weight| TierShare { rank: TierRank(rank), weight };
     PoolPlan {
         tiers: vec![share(0, 6), share(1, 3), share(2, 1)],
-        queue: QueueChoice::Weighted,
-        placement: PlacementChoice::Affinity,
-        limit: LimitChoice::Fixed,
+        queue: QueueDiscipline::Weighted,
+        placement: PlacementMode::Affinity,
+        limit: LimitMode::Fixed,
         first_guess,
         waiting_limit: 6,
         counts_tokens: true,
--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -16,7 +16,7 @@
     PoolPlan, PoolScheduler, RequestId, RouteKey, TierProgress, TierRank, UpstreamIndex,
     UpstreamSource, prefix_hashes,
 };
-use tarragonknot::table::LimitChoice;
+use tarragonknot::table::LimitMode;
 
 /// A short run of a small Lodgeframe.
 fn plan(times: f64) -> ExperimentPlan {
@@ -210,7 +210,7 @@
 #[case::one_report(1, 10.0)]
 #[case::two_reports(2, 8.5)]
 fn only_a_lasting_queue_lowers_the_bound(#[case] reports: u64, #[case] bound: f64) {
-    let plan = PoolPlan { limit: LimitChoice::Learned, ..session::plan(10) };
+    let plan = PoolPlan { limit: LimitMode::Learned, ..session::plan(10) };
     let mut pool = SmallPool::new(1, plan);
 
     for stamp in 1..=reports {
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tarragonknot::platform::{DocumentReader, HeaderDialect};
-use tarragonknot::table::{LimitUnit, RouteKind, TableReader, tier_of_rank};
+use tarragonknot::table::{LimitUnit, RouteKind, TableReader, tier_name_of_rank};
 use tarragonknot::traffic::{CallDialect, ReservationReply, SendMetadata};
 
 fn document() -> Value {
@@ -45,13 +45,13 @@
     assert_eq!(notes.patience_ms, Some(Duration::from_millis(2_400)));
     assert_eq!(book.patience_ms, None);
     assert_eq!(book.targets.len(), 2);
-    assert_eq!(notes.tier, tier_of_rank(1));
+    assert_eq!(notes.tier, tier_name_of_rank(1));
     let llm = table.service("llm").expect("the service");
     assert_eq!((llm.first_guess, llm.event_tokens), (6, 3));
     let agents = &table.organisations[0];
     assert_eq!((agents.key_digests.len(), agents.limit_unit), (2, LimitUnit::Tokens));
     assert_eq!((agents.tokens_per_second, agents.burst_tokens), (Some(1_000), Some(500)));
-    assert_eq!(table.assignments[0].tier, tier_of_rank(0));
+    assert_eq!(table.assignments[0].tier, tier_name_of_rank(0));
 }
 
 #[rstest]
--- a/tests/test_routes.rs
+++ b/tests/test_routes.rs
@@ -9,7 +9,7 @@
 use tarragonknot::policy::{RetryBound, RetryBudget};
 use tarragonknot::table::{
     OperatorTable, RouteKind, RouteRow, RouteTarget, ServiceKind, ServiceRow, TierRow,
-    reference_faults, tier_of_rank,
+    semantic_faults, tier_name_of_rank,
 };
 use tarragonknot::traffic::{EventSplitter, RouteIndex};
 
@@ -23,7 +23,7 @@
         objective_ms: Duration::from_millis(100),
         gap_ms: None,
         patience_ms: None,
-        tier: tier_of_rank(0),
+        tier: tier_name_of_rank(0),
         attempts: 2,
         is_public: false,
         targets: vec![RouteTarget { service: "pack-api".into(), weight: 1 }],
@@ -31,7 +31,7 @@
 }
 
 fn table(routes: Vec<RouteRow>) -> OperatorTable {
-    let service = ServiceRow::new("pack-api".into(), ServiceKind::Plain, tier_of_rank(0));
+    let service = ServiceRow::new("pack-api".into(), ServiceKind::Plain, tier_name_of_rank(0));
     OperatorTable {
         tiers: vec![TierRow::of_rank(0)],
         services: vec![service],
@@ -71,11 +71,11 @@
     let draws = (0..1_000).map(|step| f64::from(step) / 1_000.0);
 
     let chosen: Vec<&str> =
-        draws.map(|draw| row.target(draw).expect("a usable target").as_str()).collect();
+        draws.map(|draw| row.select_target(draw).expect("a usable target").as_str()).collect();
 
     let count = |name: &str| chosen.iter().filter(|service| **service == name).count();
     assert_eq!((count("most"), count("few"), count("none"), count("last")), (900, 100, 0, 0));
-    assert_eq!(row.target(1.0).map(|service| service.as_str()), Some("few"));
+    assert_eq!(row.select_target(1.0).map(|service| service.as_str()), Some("few"));
     assert!(row.allows(&"few".into()) && !row.allows(&"none".into()));
 }
 
@@ -87,7 +87,7 @@
     routes[1].targets[0].weight = 0;
     routes[2].targets[0].service = "unknown".into();
 
-    let faults = reference_faults(&table(routes)).to_string();
+    let faults = semantic_faults(&table(routes)).to_string();
 
     assert_eq!(
         faults,
--- a/tests/test_traffic.rs
+++ b/tests/test_traffic.rs
@@ -12,7 +12,7 @@
 use tarragonknot::daemon::start_upkeep;
 use tarragonknot::policy::Moment;
 use tarragonknot::settings::DaemonSettings;
-use tarragonknot::table::LimitChoice;
+use tarragonknot::table::LimitMode;
 
 struct CallerAnswer {
     status: StatusCode,
@@ -140,7 +140,7 @@
 async fn what_waits_is_refused_once_the_lease_has_run_out() {
     let fleet = small_fleet(|table| {
         table.services[0].first_guess = 1;
-        table.services[0].limit = LimitChoice::Fixed;
+        table.services[0].limit = LimitMode::Fixed;
     })
     .await;
     let settings = r#"{"daemon": "entry-1", "data_centre": "hall-a", "callers": "127.0.0.1:0",
