--- a/src/control/control_loop/folder.rs
+++ b/src/control/control_loop/folder.rs
@@ -4,7 +4,7 @@
 use crate::control::ledger::{ControlCommand, ControlLedger};
 use crate::control::voter_folder::{OpenVoter, blank_snapshot, open_voter};
 use crate::policy::Moment;
-use crate::replica::{ReplicaCore, ReplicaStart, SnapshotRecord};
+use crate::replica::{InitialState, ReplicaCore, SnapshotRecord};
 use crate::store::{FolderIdentity, FolderState, StoreError};
 use slog::{error, info, warn};
 use std::sync::Arc;
@@ -44,12 +44,12 @@
         snapshot: SnapshotRecord,
         state: FolderState<ControlCommand>,
     ) {
-        let start = ReplicaStart {
-            me: identity.voter.clone(),
+        let start = InitialState {
+            id: identity.voter.clone(),
             hard_state: state.hard_state,
             snapshot,
             entries: state.entries,
-            commit: state.commit,
+            commit_index: state.commit_index,
         };
         let now = self.now();
         info!(self.setup.log, "voter started"; "voter" => identity.voter.to_string(), "entries" => start.entries.len());
@@ -94,7 +94,8 @@
             return;
         }
         let snapshot = core.compact(Arc::from(self.ledger.to_text()));
-        if let Err(fault) = store.replace(&snapshot, &self.hard, core.log().entries()) {
+        if let Err(fault) = store.replace_with_snapshot(&snapshot, &self.hard, core.log().entries())
+        {
             self.stop_voting(&fault);
         }
     }
--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -26,7 +26,7 @@
     pub(super) fn joining(&self) -> JoinTask {
         let voter = self.identity.as_ref().map(|identity| identity.voter.clone());
         JoinTask {
-            voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder: 0 }),
+            voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder_id: 0 }),
             control: self.setup.control,
             peers: self.setup.peers.iter().map(|peer| peer.control).collect(),
             may_found: self.setup.found_fleet,
@@ -42,8 +42,11 @@
             JoinedFleet::Joined(fleet) => (fleet, blank_snapshot(fleet)),
             JoinedFleet::Founded => {
                 let fleet = FleetId(self.rng.random());
-                let membership =
-                    FleetMembership::founded(fleet, identity.voter.clone(), self.setup.control);
+                let membership = FleetMembership::single_voter(
+                    fleet,
+                    identity.voter.clone(),
+                    self.setup.control,
+                );
                 (fleet, SnapshotRecord { membership, ..blank_snapshot(fleet) })
             }
             JoinedFleet::FoundedTogether => {
@@ -56,7 +59,7 @@
         let Some(store) = &mut self.store else { return };
         let hard = HardState::default();
         let kept = store
-            .replace::<ControlCommand>(&snapshot, &hard, &[])
+            .replace_with_snapshot::<ControlCommand>(&snapshot, &hard, &[])
             .and_then(|()| identity.set_fleet(store.path(), fleet));
         if let Err(fault) = kept {
             error!(self.setup.log, "cannot keep the fleet's identity"; "fault" => fault.to_string());
@@ -66,7 +69,7 @@
         info!(self.setup.log, "belongs to a fleet"; "fleet" => fleet.0, "founded" => !matches!(joined, JoinedFleet::Joined(_)));
         self.fleet = Some(fleet);
         let state =
-            FolderState { hard_state: hard, snapshot: None, entries: Vec::new(), commit: 0 };
+            FolderState { hard_state: hard, snapshot: None, entries: Vec::new(), commit_index: 0 };
         self.start_core(&identity, snapshot, state);
         self.identity = Some(identity);
     }
@@ -158,10 +161,10 @@
             voter: voter.clone(),
             control: *control,
             votes: membership.voters.contains_key(voter),
-            matched: if voter == core.me() {
+            matched: if voter == core.id() {
                 Some(core.log().last().index)
             } else {
-                core.matched(voter)
+                core.match_index(voter)
             },
         };
         membership.members().map(row).collect()
--- a/src/control/control_loop/mod.rs
+++ b/src/control/control_loop/mod.rs
@@ -28,7 +28,7 @@
     EntryPayload, FleetId, HardState, LogEntry, ReplicaCore, ReplicaEnvelope, ReplicaOutput,
     ReplicaRole, VoterId,
 };
-use crate::store::{FolderIdentity, StoreError, StoreFolder};
+use crate::store::{DataFolder, FolderIdentity, StoreError};
 use crate::table::{DaemonName, diff_tables};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -90,7 +90,7 @@
     setup: ControlSetup,
     ledger: ControlLedger,
     core: Option<ReplicaCore<ControlCommand>>,
-    store: Option<StoreFolder>,
+    store: Option<DataFolder>,
     hard: HardState,
     identity: Option<FolderIdentity>,
     registry: Option<FleetRegistry>,
@@ -184,14 +184,14 @@
         }
         if output.must_sync()
             && let Some(store) = &mut self.store
-            && let Err(fault) = store.keep(&output, &self.hard)
+            && let Err(fault) = store.save(&output, &self.hard)
         {
             // A write that failed may be half done: what the folder holds is no longer known, so this
             // voter must not promise anything more until it has been read again.
             self.stop_voting(&fault);
             return Vec::new();
         }
-        if let Some(snapshot) = &output.install {
+        if let Some(snapshot) = &output.install_snapshot {
             self.load_ledger(&snapshot.state);
         }
         let mut answers = Vec::new();
@@ -204,7 +204,7 @@
         }
         output.committed.iter().for_each(|entry| self.apply(entry));
         if let (Some(last), Some(store)) = (output.committed.last(), &mut self.store)
-            && let Err(fault) = store.note_commit::<ControlCommand>(last.at.index)
+            && let Err(fault) = store.write_commit_index::<ControlCommand>(last.at.index)
         {
             warn!(self.setup.log, "cannot note what is committed"; "fault" => fault.to_string());
         }
@@ -275,7 +275,7 @@
 
     /// True if this daemon leads and its word is the newest.
     fn holds_lease(&self) -> bool {
-        self.core.as_ref().is_some_and(|core| core.holds_lease(self.now()))
+        self.core.as_ref().is_some_and(|core| core.has_lease(self.now()))
     }
 
     fn watch_role(&mut self) {
@@ -385,7 +385,7 @@
         let role = match (&self.core, self.store.is_some()) {
             (Some(core), _) => match core.role() {
                 ReplicaRole::Leader => "leader",
-                ReplicaRole::Follower if core.membership().voters.contains_key(core.me()) => {
+                ReplicaRole::Follower if core.membership().voters.contains_key(core.id()) => {
                     "follower"
                 }
                 ReplicaRole::Follower => "learner",
@@ -401,7 +401,7 @@
             leader: self.leader_address(),
             table_version: table.version,
             table_hash: table.hash.clone(),
-            log_length: self.core.as_ref().map_or(0, ReplicaCore::log_length),
+            log_length: self.core.as_ref().map_or(0, ReplicaCore::log_len),
             applied: self.core.as_ref().map_or(0, ReplicaCore::applied_index),
             claims: self.ledger.claim_count(),
             members: self
--- a/src/control/joining.rs
+++ b/src/control/joining.rs
@@ -31,7 +31,7 @@
 
 /// The identity of a founder.
 pub fn founding_voter(daemon: &DaemonName) -> VoterId {
-    VoterId { daemon: daemon.clone(), folder: FOUNDING_FOLDER }
+    VoterId { daemon: daemon.clone(), folder_id: FOUNDING_FOLDER }
 }
 
 /// The membership that founders begin with. Each works it out from the same list, so that they need not talk:
--- a/src/control/voter_folder.rs
+++ b/src/control/voter_folder.rs
@@ -3,7 +3,7 @@
 use super::ledger::ControlCommand;
 use super::setup::{ControlSetup, unix_millis};
 use crate::replica::{FleetId, FleetMembership, LogPosition, SnapshotRecord};
-use crate::store::{FolderIdentity, FolderState, StoreError, StoreFolder};
+use crate::store::{DataFolder, FolderIdentity, FolderState, StoreError};
 use rand_chacha::ChaCha8Rng;
 use slog::error;
 use std::path::Path;
@@ -12,7 +12,7 @@
 /// A voter's folder, open, with what it holds.
 pub struct OpenVoter {
     /// The folder.
-    pub store: StoreFolder,
+    pub store: DataFolder,
     /// Whose it is.
     pub identity: FolderIdentity,
     /// What it holds.
@@ -32,7 +32,7 @@
             if is_other_daemon {
                 return Err(fault);
             }
-            let aside = StoreFolder::set_aside(folder, unix_millis())?;
+            let aside = DataFolder::set_aside(folder, unix_millis())?;
             error!(setup.log, "data folder set aside; joining again under a new identity";
                 "fault" => fault.to_string(), "aside" => aside.display().to_string());
             read_voter(setup, folder, rng)
@@ -46,7 +46,7 @@
     folder: &Path,
     rng: &mut ChaCha8Rng,
 ) -> Result<OpenVoter, StoreError> {
-    let mut store = StoreFolder::open(folder)?;
+    let mut store = DataFolder::open(folder)?;
     let identity = match FolderIdentity::load(folder, &setup.daemon)? {
         Some(identity) => identity,
         None => FolderIdentity::create(folder, &setup.daemon, rng)?,
--- a/src/control/voting.rs
+++ b/src/control/voting.rs
@@ -38,7 +38,7 @@
 /// Voters that have not been heard for [`LOST_AFTER`].
 pub fn lost_voters<C: Clone + Debug>(core: &ReplicaCore<C>, now: Moment) -> Vec<VoterId> {
     let is_lost = |id: &&VoterId| {
-        *id != core.me() && core.heard(id).is_none_or(|heard| now.since(heard) >= LOST_AFTER)
+        *id != core.id() && core.last_contact(id).is_none_or(|heard| now.since(heard) >= LOST_AFTER)
     };
     core.membership().voters.keys().filter(is_lost).cloned().collect()
 }
@@ -54,10 +54,10 @@
     if let Some(id) = barred
         && (membership.voters.len() > 1 || membership.learners.contains_key(id))
     {
-        return Some(membership.without(id));
+        return Some(membership.without_member(id));
     }
     let is_caught_up = |id: &&VoterId| {
-        core.matched(id)
+        core.match_index(id)
             .is_some_and(|matched| matched + CAUGHT_UP >= core.commit_index() && matched > 0)
     };
     let learner = membership.learners.keys().find(is_caught_up);
@@ -65,12 +65,12 @@
     let has_even = membership.voters.len() > 2 && membership.voters.len().is_multiple_of(2);
     let is_in_the_way = has_even || (learner.is_some() && membership.voters.len() >= MOST_VOTERS);
     if let (true, [lost]) = (is_in_the_way, lost) {
-        return Some(membership.without(lost));
+        return Some(membership.without_member(lost));
     }
     let learner = learner?;
     let old = membership.voters.keys().find(|id| id.daemon == learner.daemon);
     match old {
-        Some(old) if membership.voters.len() > 1 => Some(membership.without(old)),
+        Some(old) if membership.voters.len() > 1 => Some(membership.without_member(old)),
         None if membership.voters.len() >= MOST_VOTERS => None,
         _ => Some(membership.with_voter(learner)),
     }
--- a/src/replica/core.rs
+++ b/src/replica/core.rs
@@ -76,7 +76,7 @@
     pub entries: Vec<LogEntry<C>>,
     /// A received snapshot, to store in place of all earlier records and to load into the state
     /// machine.
-    pub install: Option<SnapshotRecord>,
+    pub install_snapshot: Option<SnapshotRecord>,
     /// Messages to send.
     pub messages: Vec<ReplicaEnvelope<C>>,
     /// Entries to apply, in order.
@@ -89,7 +89,7 @@
             hard_state: None,
             truncate_from: None,
             entries: Vec::new(),
-            install: None,
+            install_snapshot: None,
             messages: Vec::new(),
             committed: Vec::new(),
         }
@@ -102,15 +102,15 @@
         self.hard_state.is_some()
             || self.truncate_from.is_some()
             || !self.entries.is_empty()
-            || self.install.is_some()
+            || self.install_snapshot.is_some()
     }
 }
 
 /// The stored state that a replica starts from.
 #[derive(Clone, Debug)]
-pub struct ReplicaStart<C> {
+pub struct InitialState<C> {
     /// The replica's own identity.
-    pub me: VoterId,
+    pub id: VoterId,
     /// Term and vote.
     pub hard_state: HardState,
     /// The latest snapshot; its state is already loaded into the state machine.
@@ -118,14 +118,14 @@
     /// Entries after the snapshot.
     pub entries: Vec<LogEntry<C>>,
     /// The highest index known to be committed; 0 if none.
-    pub commit: u64,
+    pub commit_index: u64,
 }
 
 /// A member of the replicated log, as voter or learner.
 #[derive(Debug)]
 pub struct ReplicaCore<C> {
     pub(super) config: ReplicaConfig,
-    pub(super) me: VoterId,
+    pub(super) id: VoterId,
     pub(super) role: ReplicaRole,
     pub(super) hard_state: HardState,
     pub(super) log: MemoryLog<C>,
@@ -153,16 +153,16 @@
     /// whose lease may still be valid.
     pub fn new(
         config: ReplicaConfig,
-        start: ReplicaStart<C>,
+        start: InitialState<C>,
         now: Moment,
         rng: &mut dyn RngCore,
     ) -> Self {
         let mut log = MemoryLog::new(start.snapshot.at);
         start.entries.into_iter().for_each(|entry| log.push(entry));
-        let commit_index = start.commit.min(log.last().index).max(start.snapshot.at.index);
+        let commit_index = start.commit_index.min(log.last().index).max(start.snapshot.at.index);
         let mut core = ReplicaCore {
             config,
-            me: start.me,
+            id: start.id,
             role: ReplicaRole::Follower,
             hard_state: start.hard_state,
             log,
@@ -208,7 +208,7 @@
         now: Moment,
         rng: &mut dyn RngCore,
     ) -> ReplicaOutput<C> {
-        if envelope.fleet == self.membership().fleet && envelope.to == self.me {
+        if envelope.fleet == self.membership().fleet && envelope.to == self.id {
             self.dispatch(envelope, now, rng);
         }
         self.take_output()
@@ -340,7 +340,7 @@
 
     pub(super) fn send_in_term(&mut self, to: VoterId, term: u64, message: ReplicaMessage<C>) {
         let fleet = self.membership().fleet;
-        let from = self.me.clone();
+        let from = self.id.clone();
         self.output.messages.push(ReplicaEnvelope { fleet, from, to, term, message });
     }
 
@@ -379,7 +379,7 @@
     }
 
     pub(super) fn is_voter(&self) -> bool {
-        self.membership().voters.contains_key(&self.me)
+        self.membership().voters.contains_key(&self.id)
     }
 
     pub(super) fn reset_election_timer(&mut self, now: Moment, rng: &mut dyn RngCore) {
@@ -389,8 +389,8 @@
     }
 
     /// This replica's own identity.
-    pub fn me(&self) -> &VoterId {
-        &self.me
+    pub fn id(&self) -> &VoterId {
+        &self.id
     }
 
     /// The current role.
@@ -419,7 +419,7 @@
     }
 
     /// Number of entries after the snapshot.
-    pub fn log_length(&self) -> usize {
+    pub fn log_len(&self) -> usize {
         self.log.entries().len()
     }
 
@@ -430,7 +430,7 @@
 
     /// True while no other leader can have been elected and every entry committed in an earlier
     /// term has been applied, so that a local read is linearisable.
-    pub fn holds_lease(&self, now: Moment) -> bool {
+    pub fn has_lease(&self, now: Moment) -> bool {
         self.role == ReplicaRole::Leader
             && now < self.lease_until
             && self.log.term_at(self.commit_index) == Some(self.hard_state.term)
@@ -442,13 +442,13 @@
     }
 
     /// Highest index at which a member's log is known to match the leader's.
-    pub fn matched(&self, id: &VoterId) -> Option<u64> {
+    pub fn match_index(&self, id: &VoterId) -> Option<u64> {
         self.progress.get(id).map(|progress| progress.match_index)
     }
 
     /// Time of the last reply from a member, or of this replica's election if it has not replied
     /// since; known to a leader only.
-    pub fn heard(&self, id: &VoterId) -> Option<Moment> {
+    pub fn last_contact(&self, id: &VoterId) -> Option<Moment> {
         self.progress.get(id).map(|progress| progress.last_contact)
     }
 }
--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -28,12 +28,12 @@
     /// Starts a new vote count with its own vote and restarts the election timeout.
     fn start_vote_count(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.votes.clear();
-        self.votes.insert(self.me.clone());
+        self.votes.insert(self.id.clone());
         self.reset_election_timer(now, rng);
     }
 
     pub(super) fn other_voters(&self) -> Vec<VoterId> {
-        self.membership().voters.keys().filter(|id| **id != self.me).cloned().collect()
+        self.membership().voters.keys().filter(|id| **id != self.id).cloned().collect()
     }
 
     /// True if a leader was in contact within the minimum election timeout, or if this replica
@@ -77,13 +77,13 @@
     }
 
     fn is_other_voter(&self, id: &VoterId) -> bool {
-        *id != self.me && self.membership().voters.contains_key(id)
+        *id != self.id && self.membership().voters.contains_key(id)
     }
 
     fn start_election(&mut self, now: Moment, rng: &mut dyn RngCore) {
         self.role = ReplicaRole::Candidate;
         self.hard_state.term += 1;
-        self.hard_state.vote = Some(self.me.clone());
+        self.hard_state.vote = Some(self.id.clone());
         self.store_hard_state();
         self.start_vote_count(now, rng);
         if self.votes.len() >= self.membership().quorum() {
@@ -144,7 +144,7 @@
 
     fn become_leader(&mut self, now: Moment) {
         self.role = ReplicaRole::Leader;
-        self.leader = Some(self.me.clone());
+        self.leader = Some(self.id.clone());
         self.progress.clear();
         self.sent_rounds.clear();
         self.lease_until = Moment(0);
--- a/src/replica/membership.rs
+++ b/src/replica/membership.rs
@@ -23,13 +23,13 @@
 pub struct VoterId {
     /// Name of the daemon.
     pub daemon: DaemonName,
-    /// Random number of its data folder.
-    pub folder: u32,
+    /// Number of its data folder.
+    pub folder_id: u32,
 }
 
 impl fmt::Display for VoterId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}~{:08x}", self.daemon, self.folder)
+        write!(formatter, "{}~{:08x}", self.daemon, self.folder_id)
     }
 }
 
@@ -44,9 +44,9 @@
 
     fn try_from(text: String) -> Result<Self, String> {
         let parts = text.rsplit_once('~');
-        let id = parts.and_then(|(daemon, folder)| {
-            let folder = u32::from_str_radix(folder, 16).ok()?;
-            Some(VoterId { daemon: daemon.into(), folder })
+        let id = parts.and_then(|(daemon, folder_id)| {
+            let folder_id = u32::from_str_radix(folder_id, 16).ok()?;
+            Some(VoterId { daemon: daemon.into(), folder_id })
         });
         id.ok_or_else(|| format!("{text}: expected NAME~FOLDER"))
     }
@@ -66,7 +66,7 @@
 
 impl FleetMembership {
     /// Creates a membership with a single voter.
-    pub fn founded(fleet: FleetId, founder: VoterId, address: SocketAddr) -> Self {
+    pub fn single_voter(fleet: FleetId, founder: VoterId, address: SocketAddr) -> Self {
         FleetMembership {
             fleet,
             voters: BTreeMap::from([(founder, address)]),
@@ -106,7 +106,7 @@
     }
 
     /// Returns the membership without `id`.
-    pub fn without(&self, id: &VoterId) -> Self {
+    pub fn without_member(&self, id: &VoterId) -> Self {
         let mut membership = self.clone();
         membership.learners.remove(id);
         membership.voters.remove(id);
--- a/src/replica/replication.rs
+++ b/src/replica/replication.rs
@@ -28,10 +28,11 @@
     /// operators' calls that hang there instead of failing.
     fn has_quorum_contact(&self, now: Moment) -> bool {
         let has_contact = |id: &&VoterId| {
-            **id == self.me
-                || self.progress.get(id).is_some_and(|progress| {
-                    now.since(progress.last_contact) < self.config.election_timeout
-                })
+            **id == self.id
+                || self
+                    .progress
+                    .get(id)
+                    .is_some_and(|peer| now.since(peer.last_contact) < self.config.election_timeout)
         };
         self.membership().voters.keys().filter(has_contact).count() >= self.membership().quorum()
     }
@@ -45,7 +46,7 @@
         }
         self.heartbeat_at = now + self.config.heartbeat_interval;
         let members: Vec<VoterId> =
-            self.progress.keys().filter(|id| **id != self.me).cloned().collect();
+            self.progress.keys().filter(|id| **id != self.id).cloned().collect();
         members.into_iter().for_each(|id| self.send_entries(id));
         self.extend_lease();
     }
@@ -131,7 +132,7 @@
             self.set_applied_index(snapshot.at.index);
             self.snapshot = snapshot.clone();
             self.refresh_membership();
-            self.output.install = Some(snapshot);
+            self.output.install_snapshot = Some(snapshot);
         }
         let index = self.commit_index;
         self.send(from, ReplicaMessage::AppendReply { accepted: true, index, round });
@@ -193,7 +194,7 @@
     }
 
     fn acked_round(&self, id: &VoterId) -> u64 {
-        if *id == self.me {
+        if *id == self.id {
             self.round
         } else {
             self.progress.get(id).map_or(0, |progress| progress.acked_round)
@@ -204,16 +205,14 @@
     /// section 5.4.2).
     pub(super) fn advance_commit(&mut self) {
         let last = self.log.last().index;
-        let mut match_indices: Vec<u64> = self
+        let mut indices: Vec<u64> = self
             .membership()
             .voters
             .keys()
-            .map(|id| if *id == self.me { last } else { self.matched(id).unwrap_or(0) })
+            .map(|id| if *id == self.id { last } else { self.match_index(id).unwrap_or(0) })
             .collect();
-        match_indices.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(index) = match_indices.get(self.membership().quorum() - 1).copied() else {
-            return;
-        };
+        indices.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(index) = indices.get(self.membership().quorum() - 1).copied() else { return };
         if index <= self.commit_index || self.log.term_at(index) != Some(self.hard_state.term) {
             return;
         }
--- a/src/store/identity.rs
+++ b/src/store/identity.rs
@@ -59,7 +59,7 @@
         daemon: &DaemonName,
         rng: &mut dyn RngCore,
     ) -> Result<Self, StoreError> {
-        let voter = VoterId { daemon: daemon.clone(), folder: rng.random_range(1..=u32::MAX) };
+        let voter = VoterId { daemon: daemon.clone(), folder_id: rng.random_range(1..=u32::MAX) };
         let mut identity = FolderIdentity { voter, fleet: None, inode: 0 };
         identity.write(folder)?;
         Ok(identity)
--- a/src/store/journal.rs
+++ b/src/store/journal.rs
@@ -39,12 +39,12 @@
     /// Entries after the snapshot.
     pub entries: Vec<LogEntry<C>>,
     /// The highest index known to be committed; 0 if none.
-    pub commit: u64,
+    pub commit_index: u64,
 }
 
 /// An open data folder with an exclusive lock.
 #[derive(Debug)]
-pub struct StoreFolder {
+pub struct DataFolder {
     folder: PathBuf,
     log: File,
     _lock: FolderLock,
@@ -90,7 +90,7 @@
     }
 }
 
-impl StoreFolder {
+impl DataFolder {
     /// Opens a folder, creating it if necessary, and locks it, since two processes on one folder
     /// could vote twice in one term.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
@@ -104,7 +104,7 @@
             .create(true)
             .open(&path)
             .context(IoSnafu { path: &path })?;
-        Ok(StoreFolder { folder: folder.to_owned(), log, _lock: lock })
+        Ok(DataFolder { folder: folder.to_owned(), log, _lock: lock })
     }
 
     /// Path of the folder.
@@ -132,7 +132,7 @@
             hard_state: HardState::default(),
             snapshot,
             entries: Vec::new(),
-            commit: 0,
+            commit_index: 0,
         };
         let mut offset = 0;
         while offset < bytes.len() {
@@ -176,13 +176,13 @@
     }
 
     /// Stores and syncs the records of a replica's output.
-    pub fn keep<C: Serialize + Clone>(
+    pub fn save<C: Serialize + Clone>(
         &mut self,
         output: &ReplicaOutput<C>,
         hard_state: &HardState,
     ) -> Result<(), StoreError> {
-        if let Some(snapshot) = &output.install {
-            self.replace(snapshot, hard_state, &output.entries)?;
+        if let Some(snapshot) = &output.install_snapshot {
+            self.replace_with_snapshot(snapshot, hard_state, &output.entries)?;
             return Ok(());
         }
         let mut bytes = Vec::new();
@@ -209,7 +209,7 @@
     /// Writes the commit index without a sync; its loss is harmless. Without this record, a fleet
     /// whose voters were all killed does not know which entries are committed until it has a leader
     /// again, and daemons started in the meantime serve no callers.
-    pub fn note_commit<C: Serialize>(&mut self, index: u64) -> Result<(), StoreError> {
+    pub fn write_commit_index<C: Serialize>(&mut self, index: u64) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         write_record(&mut bytes, &JournalRecord::<C>::Commit(index));
         let path = self.file(LOG_FILE);
@@ -218,7 +218,7 @@
 
     /// Stores a snapshot and starts a new log after it. The snapshot is synced before the old log
     /// is replaced; a crash in between leaves records covered by the snapshot, which loading skips.
-    pub fn replace<C: Serialize + Clone>(
+    pub fn replace_with_snapshot<C: Serialize + Clone>(
         &mut self,
         snapshot: &SnapshotRecord,
         hard_state: &HardState,
@@ -270,7 +270,7 @@
 ) -> Result<(), String> {
     match record {
         JournalRecord::Hard(hard) => state.hard_state = hard,
-        JournalRecord::Commit(index) => state.commit = state.commit.max(index),
+        JournalRecord::Commit(index) => state.commit_index = state.commit_index.max(index),
         JournalRecord::Truncate(index) => state.entries.retain(|entry| entry.at.index < index),
         JournalRecord::Entry(entry) if entry.at.index <= base => {}
         JournalRecord::Entry(entry) => {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -9,7 +9,7 @@
 mod journal;
 
 pub use identity::FolderIdentity;
-pub use journal::{FolderState, StoreFolder};
+pub use journal::{DataFolder, FolderState};
 
 use snafu::Snafu;
 use std::path::PathBuf;
--- a/tests/schedule.rs
+++ b/tests/schedule.rs
@@ -11,8 +11,8 @@
 use tarragonknot::control::{ControlCommand, ControlLedger, ControlReply, EditOutcome, TableEdit};
 use tarragonknot::policy::Moment;
 use tarragonknot::replica::{
-    EntryPayload, FleetId, FleetMembership, HardState, LogEntry, LogPosition, ReplicaConfig,
-    ReplicaCore, ReplicaEnvelope, ReplicaOutput, ReplicaRole, ReplicaStart, SnapshotRecord,
+    EntryPayload, FleetId, FleetMembership, HardState, InitialState, LogEntry, LogPosition,
+    ReplicaConfig, ReplicaCore, ReplicaEnvelope, ReplicaOutput, ReplicaRole, SnapshotRecord,
     VoterId,
 };
 use tarragonknot::table::{OperatorTable, TierRow};
@@ -105,7 +105,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let id = |position: usize| VoterId {
             daemon: format!("entry-{position}").as_str().into(),
-            folder: position as u32,
+            folder_id: position as u32,
         };
         let mut membership = FleetMembership { fleet: FLEET, ..FleetMembership::default() };
         membership.voters =
@@ -235,7 +235,7 @@
         }
         let voter = &mut self.voters[position];
         if self.rule != BrokenRule::KeepWipedIdentity {
-            voter.id = VoterId { daemon: voter.id.daemon.clone(), folder: self.next_folder };
+            voter.id = VoterId { daemon: voter.id.daemon.clone(), folder_id: self.next_folder };
             self.next_folder += 1;
         }
         let membership = match self.rule {
@@ -256,12 +256,12 @@
         let voter = &mut self.voters[position];
         let disk = voter.disk.clone();
         voter.ledger = ControlLedger::from_text(&disk.snapshot.state).expect("our own text");
-        let start = ReplicaStart {
-            me: voter.id.clone(),
+        let start = InitialState {
+            id: voter.id.clone(),
             hard_state: disk.hard,
             snapshot: disk.snapshot,
             entries: disk.entries,
-            commit: 0,
+            commit_index: 0,
         };
         voter.core = Some(ReplicaCore::new(config(), start, now, &mut self.rng));
     }
@@ -323,7 +323,7 @@
             if let Some(hard) = &output.hard_state {
                 voter.disk.hard = hard.clone();
             }
-            if let Some(snapshot) = &output.install {
+            if let Some(snapshot) = &output.install_snapshot {
                 voter.disk.snapshot = snapshot.clone();
                 voter.disk.entries.clear();
             }
@@ -337,7 +337,7 @@
         if is_synced && output.must_sync() {
             voter.synced = voter.disk.clone();
         }
-        if let Some(snapshot) = &output.install {
+        if let Some(snapshot) = &output.install_snapshot {
             voter.ledger =
                 ControlLedger::from_text(&snapshot.state).map_err(|error| error.to_string())?;
         }
@@ -528,12 +528,12 @@
             return Some(membership.with_learner(voter.id.clone(), member_address(other)));
         }
         let is_caught_up = |id: &&VoterId| {
-            core.matched(id)
+            core.match_index(id)
                 .is_some_and(|matched| matched > 0 && matched + 64 >= core.commit_index())
         };
         let learner = membership.learners.keys().find(is_caught_up)?;
         match membership.voters.keys().find(|id| id.daemon == learner.daemon) {
-            Some(old) if membership.voters.len() > 1 => Some(membership.without(old)),
+            Some(old) if membership.voters.len() > 1 => Some(membership.without_member(old)),
             _ => Some(membership.with_voter(learner)),
         }
     }
@@ -558,7 +558,7 @@
             }
             let claims_lease = match self.rule {
                 BrokenRule::SkipLeaseCheck => core.role() == ReplicaRole::Leader,
-                _ => core.holds_lease(now),
+                _ => core.has_lease(now),
             };
             if is_awake && claims_lease && core.applied_index() < self.acked {
                 return Err(format!(
--- a/tests/test_power_loss.rs
+++ b/tests/test_power_loss.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tarragonknot::policy::Moment;
 use tarragonknot::replica::{
-    EntryPayload, FleetId, FleetMembership, HardState, LogPosition, ReplicaConfig, ReplicaCore,
-    ReplicaEnvelope, ReplicaOutput, ReplicaRole, ReplicaStart, SnapshotRecord, VoterId,
+    EntryPayload, FleetId, FleetMembership, HardState, InitialState, LogPosition, ReplicaConfig,
+    ReplicaCore, ReplicaEnvelope, ReplicaOutput, ReplicaRole, SnapshotRecord, VoterId,
 };
-use tarragonknot::store::StoreFolder;
+use tarragonknot::store::DataFolder;
 use tempfile::TempDir;
 
 /// What the operator was told is accepted.
@@ -23,7 +23,7 @@
 const TICK: Duration = Duration::from_millis(20);
 
 fn voter_id(number: usize) -> VoterId {
-    VoterId { daemon: format!("core-{number}").as_str().into(), folder: 1 }
+    VoterId { daemon: format!("core-{number}").as_str().into(), folder_id: 1 }
 }
 
 fn founding_snapshot(count: usize) -> SnapshotRecord {
@@ -36,7 +36,7 @@
 /// A voter on a folder of its own. What it promises goes out only after it was synced.
 struct FolderVoter {
     folder: TempDir,
-    store: StoreFolder,
+    store: DataFolder,
     core: ReplicaCore<String>,
     hard: HardState,
     /// Bytes of its log that a sync covered.
@@ -46,23 +46,23 @@
 impl FolderVoter {
     fn found(number: usize, count: usize, rng: &mut ChaCha8Rng) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut store = StoreFolder::open(folder.path()).expect("open");
+        let mut store = DataFolder::open(folder.path()).expect("open");
         store.load::<String>(&Logger::root(Discard, o!())).expect("load");
         let snapshot = founding_snapshot(count);
-        store.replace::<String>(&snapshot, &HardState::default(), &[]).expect("kept");
+        store.replace_with_snapshot::<String>(&snapshot, &HardState::default(), &[]).expect("kept");
         drop(store);
         Self::start(folder, number, Moment(1), rng)
     }
 
     fn start(folder: TempDir, number: usize, now: Moment, rng: &mut ChaCha8Rng) -> Self {
-        let mut store = StoreFolder::open(folder.path()).expect("open");
+        let mut store = DataFolder::open(folder.path()).expect("open");
         let state = store.load::<String>(&Logger::root(Discard, o!())).expect("load");
-        let start = ReplicaStart {
-            me: voter_id(number),
+        let start = InitialState {
+            id: voter_id(number),
             hard_state: state.hard_state.clone(),
             snapshot: state.snapshot.expect("the founding snapshot"),
             entries: state.entries,
-            commit: state.commit,
+            commit_index: state.commit_index,
         };
         let core = ReplicaCore::new(ReplicaConfig::default(), start, now, rng);
         let synced = log_length(folder.path());
@@ -78,14 +78,14 @@
             self.hard = hard.clone();
         }
         if output.must_sync() {
-            self.store.keep(&output, &self.hard).expect("kept");
+            self.store.save(&output, &self.hard).expect("kept");
             self.synced = log_length(self.folder.path());
         }
         let committed: Vec<String> =
             output.committed.iter().filter_map(|entry| command(&entry.payload)).collect();
         if let Some(last) = output.committed.last() {
             // Not synced: a note that is lost is found out anew.
-            self.store.note_commit::<String>(last.at.index).expect("noted");
+            self.store.write_commit_index::<String>(last.at.index).expect("noted");
         }
         (output.messages, committed)
     }
--- a/tests/test_replica.rs
+++ b/tests/test_replica.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use tarragonknot::policy::Moment;
 use tarragonknot::replica::{
-    EntryPayload, FleetId, FleetMembership, HardState, LogEntry, LogPosition, ReplicaConfig,
-    ReplicaCore, ReplicaEnvelope, ReplicaMessage, ReplicaStart, SnapshotRecord, VoterId,
+    EntryPayload, FleetId, FleetMembership, HardState, InitialState, LogEntry, LogPosition,
+    ReplicaConfig, ReplicaCore, ReplicaEnvelope, ReplicaMessage, SnapshotRecord, VoterId,
 };
 
 const CI_SEEDS: u64 = 200;
@@ -48,7 +48,7 @@
 #[test]
 fn a_snapshot_that_was_overtaken_drops_nothing() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let id = |name: &str| VoterId { daemon: name.into(), folder: 1 };
+    let id = |name: &str| VoterId { daemon: name.into(), folder_id: 1 };
     let address = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     let voters = BTreeMap::from([(id("leader"), address(1)), (id("follower"), address(2))]);
     let membership = FleetMembership { voters, ..FleetMembership::default() };
@@ -57,12 +57,12 @@
         membership: membership.clone(),
         state: Arc::from(""),
     };
-    let start = ReplicaStart {
-        me: id("follower"),
+    let start = InitialState {
+        id: id("follower"),
         hard_state: HardState::default(),
         snapshot: snapshot(0),
         entries: Vec::new(),
-        commit: 0,
+        commit_index: 0,
     };
     let mut core: ReplicaCore<u32> =
         ReplicaCore::new(ReplicaConfig::default(), start, Moment(1), &mut rng);
@@ -93,7 +93,7 @@
 
     assert_eq!(core.log().last(), LogPosition { term: 1, index: 3 });
     assert_eq!(core.commit_index(), 1);
-    assert_eq!(output.install, None);
+    assert_eq!(output.install_snapshot, None);
     assert_eq!(output.committed, vec![entry(1)]);
 }
 
--- a/tests/test_store.rs
+++ b/tests/test_store.rs
@@ -11,7 +11,7 @@
 use tarragonknot::replica::{
     EntryPayload, FleetMembership, HardState, LogEntry, LogPosition, ReplicaOutput, SnapshotRecord,
 };
-use tarragonknot::store::{FolderIdentity, FolderState, StoreError, StoreFolder};
+use tarragonknot::store::{DataFolder, FolderIdentity, FolderState, StoreError};
 
 fn log() -> Logger {
     Logger::root(Discard, o!())
@@ -30,14 +30,14 @@
 
 /// A folder with the entries 1 to 5, closed.
 fn filled(folder: &Path) {
-    let mut store = StoreFolder::open(folder).unwrap();
+    let mut store = DataFolder::open(folder).unwrap();
     store.load::<String>(&log()).unwrap();
     (1..=5)
-        .for_each(|index| store.keep(&output(vec![entry(index)]), &HardState::default()).unwrap());
+        .for_each(|index| store.save(&output(vec![entry(index)]), &HardState::default()).unwrap());
 }
 
 fn reload(folder: &Path) -> Result<FolderState<String>, StoreError> {
-    StoreFolder::open(folder)?.load(&log())
+    DataFolder::open(folder)?.load(&log())
 }
 
 #[test]
@@ -45,16 +45,16 @@
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path());
     let hard = HardState { term: 7, vote: None };
-    let mut store = StoreFolder::open(folder.path()).unwrap();
+    let mut store = DataFolder::open(folder.path()).unwrap();
     store.load::<String>(&log()).unwrap();
 
     store
-        .keep(
+        .save(
             &ReplicaOutput::<String> { hard_state: Some(hard.clone()), ..ReplicaOutput::default() },
             &hard,
         )
         .unwrap();
-    store.keep(&ReplicaOutput { truncate_from: Some(4), ..output(vec![entry(4)]) }, &hard).unwrap();
+    store.save(&ReplicaOutput { truncate_from: Some(4), ..output(vec![entry(4)]) }, &hard).unwrap();
     drop(store);
     let state = reload(folder.path()).unwrap();
 
@@ -72,7 +72,7 @@
     let starts = (0..4).map(|_| thread::spawn(start_programs_until(done.clone())));
     let starts: Vec<_> = starts.collect();
 
-    let faults = (0..2_000).filter_map(|_| StoreFolder::open(folder.path()).err()).count();
+    let faults = (0..2_000).filter_map(|_| DataFolder::open(folder.path()).err()).count();
     done.store(true, Ordering::Relaxed);
     starts.into_iter().for_each(|start| start.join().unwrap());
 
@@ -117,10 +117,10 @@
 fn a_note_of_what_is_committed_is_read_back_and_may_be_torn() {
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path());
-    let mut store = StoreFolder::open(folder.path()).unwrap();
+    let mut store = DataFolder::open(folder.path()).unwrap();
     store.load::<String>(&log()).unwrap();
-    store.note_commit::<String>(3).unwrap();
-    store.note_commit::<String>(4).unwrap();
+    store.write_commit_index::<String>(3).unwrap();
+    store.write_commit_index::<String>(4).unwrap();
     drop(store);
     let whole = reload(folder.path()).unwrap();
     let path = folder.path().join("log.bin");
@@ -129,7 +129,7 @@
 
     let torn = reload(folder.path()).unwrap();
 
-    assert_eq!((whole.commit, torn.commit), (4, 3));
+    assert_eq!((whole.commit_index, torn.commit_index), (4, 3));
     assert_eq!(torn.entries, whole.entries);
 }
 
@@ -154,13 +154,13 @@
 fn a_damaged_snapshot_is_an_error() {
     let folder = tempfile::tempdir().unwrap();
     filled(folder.path());
-    let mut store = StoreFolder::open(folder.path()).unwrap();
+    let mut store = DataFolder::open(folder.path()).unwrap();
     let snapshot = SnapshotRecord {
         at: LogPosition { term: 1, index: 3 },
         membership: FleetMembership::default(),
         state: Arc::from("the state"),
     };
-    store.replace(&snapshot, &HardState::default(), &[entry(4), entry(5)]).unwrap();
+    store.replace_with_snapshot(&snapshot, &HardState::default(), &[entry(4), entry(5)]).unwrap();
     drop(store);
     let state = reload(folder.path()).unwrap();
     let path = folder.path().join("snapshot.json");
@@ -197,7 +197,7 @@
 #[test]
 fn a_folder_is_used_by_one_process_at_a_time() {
     let folder = tempfile::tempdir().unwrap();
-    let _held = StoreFolder::open(folder.path()).unwrap();
+    let _held = DataFolder::open(folder.path()).unwrap();
 
-    assert!(matches!(StoreFolder::open(folder.path()), Err(StoreError::InUse { .. })));
+    assert!(matches!(DataFolder::open(folder.path()), Err(StoreError::InUse { .. })));
 }
--- a/tests/test_voting.rs
+++ b/tests/test_voting.rs
@@ -8,12 +8,12 @@
 use tarragonknot::control::{ControlCommand, ControlLedger, may_join, next_step};
 use tarragonknot::policy::Moment;
 use tarragonknot::replica::{
-    FleetId, FleetMembership, HardState, LogPosition, ReplicaConfig, ReplicaCore, ReplicaStart,
+    FleetId, FleetMembership, HardState, InitialState, LogPosition, ReplicaConfig, ReplicaCore,
     SnapshotRecord, VoterId,
 };
 
 fn voter(host: u8) -> VoterId {
-    VoterId { daemon: format!("10.0.0.{host}").as_str().into(), folder: 0 }
+    VoterId { daemon: format!("10.0.0.{host}").as_str().into(), folder_id: 0 }
 }
 
 fn membership(voters: u8) -> FleetMembership {
@@ -26,12 +26,12 @@
 fn core(voters: u8) -> ReplicaCore<ControlCommand> {
     let at = LogPosition::default();
     let snapshot = SnapshotRecord { at, membership: membership(voters), state: Arc::from("") };
-    let start = ReplicaStart {
-        me: voter(1),
+    let start = InitialState {
+        id: voter(1),
         hard_state: HardState::default(),
         snapshot,
         entries: Vec::new(),
-        commit: 0,
+        commit_index: 0,
     };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     ReplicaCore::new(ReplicaConfig::default(), start, Moment(0), &mut rng)
