--- a/src/replica/membership.rs
+++ b/src/replica/membership.rs
@@ -12,12 +12,12 @@
 )]
 pub struct FleetId(pub u64);
 
-/// Identifies a voter by its daemon's name and a random number chosen when its data folder is
-/// created.
+/// Identifies a voter by its daemon's name and a number chosen when its data folder is created:
+/// random, or 0 for voters that found a fleet together.
 ///
 /// A voter whose disk was wiped has lost its votes and entries. If it voted under its old identity,
 /// it could elect a leader that lacks committed entries; the symptom is a lost accepted edit. A new
-/// folder gets a new number, so the old identity never votes again.
+/// folder gets a new random number, so the old identity never votes again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct VoterId {
