--- a/src/control/control_loop/members.rs
+++ b/src/control/control_loop/members.rs
@@ -26,7 +26,7 @@
     pub(super) fn join_task(&self) -> JoinTask {
         let voter = self.identity.as_ref().map(|identity| identity.voter.clone());
         JoinTask {
-            voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder: 0 }),
+            voter: voter.unwrap_or(VoterId { daemon: self.setup.daemon.clone(), folder_id: 0 }),
             control: self.setup.control,
             peers: self.setup.peers.iter().map(|peer| peer.control).collect(),
             may_found: self.setup.may_found_fleet,
@@ -43,8 +43,11 @@
             JoinedFleet::Joined(fleet) => (fleet, empty_snapshot(fleet)),
             JoinedFleet::Founded => {
                 let fleet = FleetId(self.rng.random());
-                let membership =
-                    FleetMembership::founded(fleet, identity.voter.clone(), self.setup.control);
+                let membership = FleetMembership::single_voter(
+                    fleet,
+                    identity.voter.clone(),
+                    self.setup.control,
+                );
                 (fleet, SnapshotRecord { membership, ..empty_snapshot(fleet) })
             }
             JoinedFleet::FoundedTogether => {
@@ -57,7 +60,7 @@
         let Some(store) = &mut self.store else { return };
         let initial_state = HardState::default();
         let kept = store
-            .replace::<ControlCommand>(&snapshot, &initial_state, &[])
+            .replace_with_snapshot::<ControlCommand>(&snapshot, &initial_state, &[])
             .and_then(|()| identity.set_fleet(store.path(), fleet));
         if let Err(fault) = kept {
             error!(self.setup.log, "could not store the fleet's identity"; "fault" => fault.to_string());
@@ -70,7 +73,7 @@
             hard_state: initial_state,
             snapshot: None,
             entries: Vec::new(),
-            commit: 0,
+            commit_index: 0,
         };
         self.start_core(&identity, snapshot, state);
         self.identity = Some(identity);
@@ -165,10 +168,10 @@
             voter: voter.clone(),
             control: *control,
             votes: membership.voters.contains_key(voter),
-            matched: if voter == core.me() {
+            matched: if voter == core.id() {
                 Some(core.log().last().index)
             } else {
-                core.matched(voter)
+                core.match_index(voter)
             },
         };
         membership.members().map(row).collect()
--- a/src/control/joining.rs
+++ b/src/control/joining.rs
@@ -32,7 +32,7 @@
 
 /// Identity of a founder.
 pub fn founding_voter(daemon: &DaemonName) -> VoterId {
-    VoterId { daemon: daemon.clone(), folder: FOUNDER_FOLDER_NUMBER }
+    VoterId { daemon: daemon.clone(), folder_id: FOUNDER_FOLDER_NUMBER }
 }
 
 /// Initial membership of a fleet founded together. Every founder derives it from the same list
--- a/src/control/voter_folder.rs
+++ b/src/control/voter_folder.rs
@@ -3,7 +3,7 @@
 use super::ledger::ControlCommand;
 use super::setup::{ControlSetup, unix_millis};
 use crate::replica::{FleetId, FleetMembership, LogPosition, SnapshotRecord};
-use crate::store::{FolderIdentity, FolderState, StoreError, StoreFolder};
+use crate::store::{DataFolder, FolderIdentity, FolderState, StoreError};
 use rand_chacha::ChaCha8Rng;
 use slog::error;
 use std::path::Path;
@@ -12,7 +12,7 @@
 /// The opened data folder of a voter, with its contents.
 pub struct VoterFolder {
     /// The open folder.
-    pub store: StoreFolder,
+    pub store: DataFolder,
     /// The identity of the voter that owns it.
     pub identity: FolderIdentity,
     /// The snapshot and log read from it.
@@ -33,7 +33,7 @@
             if is_other_daemon {
                 return Err(fault);
             }
-            let aside = StoreFolder::set_aside(folder, unix_millis())?;
+            let aside = DataFolder::set_aside(folder, unix_millis())?;
             error!(setup.log, "data folder set aside; joining again under a new identity";
                 "fault" => fault.to_string(), "aside" => aside.display().to_string());
             load_voter_folder(setup, folder, rng)
@@ -47,7 +47,7 @@
     folder: &Path,
     rng: &mut ChaCha8Rng,
 ) -> Result<VoterFolder, StoreError> {
-    let mut store = StoreFolder::open(folder)?;
+    let mut store = DataFolder::open(folder)?;
     let identity = match FolderIdentity::load(folder, &setup.daemon)? {
         Some(identity) => identity,
         None => FolderIdentity::create(folder, &setup.daemon, rng)?,
--- a/src/control/voting.rs
+++ b/src/control/voting.rs
@@ -41,8 +41,8 @@
 /// Voters not heard from for [`VOTER_SILENCE_LIMIT`].
 pub fn lost_voters<C: Clone + Debug>(core: &ReplicaCore<C>, now: Moment) -> Vec<VoterId> {
     let is_lost = |id: &&VoterId| {
-        *id != core.me()
-            && core.heard(id).is_none_or(|heard| now.since(heard) >= VOTER_SILENCE_LIMIT)
+        *id != core.id()
+            && core.last_contact(id).is_none_or(|heard| now.since(heard) >= VOTER_SILENCE_LIMIT)
     };
     core.membership().voters.keys().filter(is_lost).cloned().collect()
 }
@@ -58,10 +58,10 @@
     if let Some(id) = barred
         && (membership.voters.len() > 1 || membership.learners.contains_key(id))
     {
-        return Some(membership.without(id));
+        return Some(membership.without_member(id));
     }
     let is_caught_up = |id: &&VoterId| {
-        core.matched(id)
+        core.match_index(id)
             .is_some_and(|matched| matched + MAX_LAG_ENTRIES >= core.commit_index() && matched > 0)
     };
     let learner = membership.learners.keys().find(is_caught_up);
@@ -71,12 +71,12 @@
     let may_remove_lost =
         has_even_count || (learner.is_some() && membership.voters.len() >= MAX_VOTERS);
     if let (true, [lost]) = (may_remove_lost, lost) {
-        return Some(membership.without(lost));
+        return Some(membership.without_member(lost));
     }
     let learner = learner?;
     let old = membership.voters.keys().find(|id| id.daemon == learner.daemon);
     match old {
-        Some(old) if membership.voters.len() > 1 => Some(membership.without(old)),
+        Some(old) if membership.voters.len() > 1 => Some(membership.without_member(old)),
         None if membership.voters.len() >= MAX_VOTERS => None,
         _ => Some(membership.with_voter(learner)),
     }
--- a/src/replica/core.rs
+++ b/src/replica/core.rs
@@ -1,6 +1,6 @@
-//! The replica: its state, its inputs, its outputs.
+//! The replica state machine: its state, inputs and outputs.
 
-use super::ProposalFault;
+use super::ProposalError;
 use super::log::{EntryPayload, LogEntry, LogPosition, MemoryLog};
 use super::membership::{FleetMembership, VoterId};
 use super::messages::{HardState, ReplicaEnvelope, ReplicaMessage, SnapshotRecord};
@@ -9,70 +9,74 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Replicas wait between one and one and this times the least election time, so that they seldom stand against each
-/// other. Small, since pre-votes cost nothing when they do, and every wait is time without a leader.
-pub const ELECTION_SPREAD: f64 = 0.5;
+/// Random addition to the election timeout, as a share of its minimum, which makes split votes
+/// rare. It is small because pre-votes make split votes cheap, and the timeout is time without a
+/// leader.
+pub const ELECTION_JITTER_SHARE: f64 = 0.5;
 
-/// Times of a replica.
+/// Timing and batching parameters of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaConfig {
-    /// Time between heartbeats.
-    pub heartbeat: Duration,
-    /// Least time without a leader before an election; the greatest is [`ELECTION_SPREAD`] more of it.
-    pub election: Duration,
-    /// Share of the election time that a leader's lease lasts; the rest allows for clocks that run at
-    /// different speeds.
+    /// Interval between heartbeats.
+    pub heartbeat_interval: Duration,
+    /// Minimum time without a leader before an election; the maximum is longer by the share
+    /// [`ELECTION_JITTER_SHARE`].
+    pub election_timeout: Duration,
+    /// Duration of a leader's lease as a share of the minimum election timeout; the remainder
+    /// allows for clock drift between replicas.
     pub lease_share: f64,
-    /// Entries in one message at most.
-    pub batch: usize,
+    /// Maximum number of entries in one message.
+    pub max_batch_entries: usize,
 }
 
 impl Default for ReplicaConfig {
     fn default() -> Self {
         ReplicaConfig {
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(500),
             lease_share: 0.8,
-            batch: 1_024,
+            max_batch_entries: 1_024,
         }
     }
 }
 
-/// What a replica does now.
+/// Current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// Takes entries from a leader, or waits for one.
+    /// Accepts entries from a leader, or waits for one.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// What the leader knows of another member.
+/// The leader's view of another member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerProgress {
-    pub(super) matched: u64,
-    pub(super) next: u64,
+    pub(super) match_index: u64,
+    pub(super) next_index: u64,
     pub(super) acked_round: u64,
-    pub(super) heard: Moment,
-    /// A snapshot was sent in this round and is not yet acknowledged.
+    pub(super) last_contact: Moment,
+    /// The heartbeat round in which an unacknowledged snapshot was sent.
     pub(super) snapshot_round: Option<u64>,
 }
 
-/// What the driver must do, in this order: keep (synced), then send, then apply.
+/// Work for the driver, in this order: write and sync the records, send the messages, apply the
+/// committed entries.
 #[derive(Clone, Debug)]
 pub struct ReplicaOutput<C> {
-    /// Term and vote to keep.
+    /// Term and vote to store.
     pub hard_state: Option<HardState>,
-    /// Drop kept entries from this index on, before keeping the new ones.
+    /// Delete stored entries from this index on before storing the new ones.
     pub truncate_from: Option<u64>,
-    /// Entries to keep.
+    /// Entries to store.
     pub entries: Vec<LogEntry<C>>,
-    /// A snapshot to keep in place of everything before, and to load into the state machine.
-    pub install: Option<SnapshotRecord>,
+    /// A received snapshot, to store in place of all earlier records and to load into the state
+    /// machine.
+    pub install_snapshot: Option<SnapshotRecord>,
     /// Messages to send.
     pub messages: Vec<ReplicaEnvelope<C>>,
     /// Entries to apply, in order.
@@ -85,7 +89,7 @@
             hard_state: None,
             truncate_from: None,
             entries: Vec::new(),
-            install: None,
+            install_snapshot: None,
             messages: Vec::new(),
             committed: Vec::new(),
         }
@@ -93,117 +97,118 @@
 }
 
 impl<C> ReplicaOutput<C> {
-    /// True if something must be synced.
+    /// True if the output contains records to sync.
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some()
             || self.truncate_from.is_some()
             || !self.entries.is_empty()
-            || self.install.is_some()
+            || self.install_snapshot.is_some()
     }
 }
 
-/// What a replica starts from: what its folder holds.
+/// The stored state that a replica starts from.
 #[derive(Clone, Debug)]
-pub struct ReplicaStart<C> {
-    /// Its identity.
-    pub me: VoterId,
+pub struct InitialState<C> {
+    /// The replica's own identity.
+    pub id: VoterId,
     /// Term and vote.
     pub hard_state: HardState,
-    /// The snapshot; its state is already loaded into the state machine.
+    /// The latest snapshot; its state is already loaded into the state machine.
     pub snapshot: SnapshotRecord,
-    /// Entries behind the snapshot.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry<C>>,
-    /// The last index known to be committed; 0 if none is known.
-    pub commit: u64,
+    /// The highest index known to be committed; 0 if none.
+    pub commit_index: u64,
 }
 
-/// One replica.
+/// A member of the replicated log, as voter or learner.
 #[derive(Debug)]
 pub struct ReplicaCore<C> {
     pub(super) config: ReplicaConfig,
-    pub(super) me: VoterId,
+    pub(super) id: VoterId,
     pub(super) role: ReplicaRole,
-    pub(super) hard: HardState,
+    pub(super) hard_state: HardState,
     pub(super) log: MemoryLog<C>,
     pub(super) snapshot: SnapshotRecord,
-    /// The membership in force, and the index of its entry; kept beside the log, which is long.
+    /// The membership in force and the index of its entry, cached to avoid a search of the log.
     membership: FleetMembership,
     membership_index: u64,
-    pub(super) commit: u64,
-    applied: u64,
+    pub(super) commit_index: u64,
+    applied_index: u64,
     pub(super) leader: Option<VoterId>,
-    pub(super) leader_heard: Option<Moment>,
+    pub(super) last_leader_contact: Option<Moment>,
     pub(super) election_at: Moment,
     pub(super) heartbeat_at: Moment,
     pub(super) votes: BTreeSet<VoterId>,
     pub(super) progress: BTreeMap<VoterId, PeerProgress>,
     pub(super) round: u64,
-    pub(super) rounds: VecDeque<(u64, Moment)>,
+    pub(super) sent_rounds: VecDeque<(u64, Moment)>,
     pub(super) lease_until: Moment,
-    pub(super) out: ReplicaOutput<C>,
+    pub(super) output: ReplicaOutput<C>,
 }
 
 impl<C: Clone + std::fmt::Debug> ReplicaCore<C> {
-    /// A replica that has just started. It waits a whole election time before anything else, so that
-    /// a restart cannot break the lease of a leader it has forgotten.
+    /// Creates a replica after a start. It waits for a full election timeout before an election,
+    /// and refuses votes for the minimum timeout: after a restart it no longer knows its leader,
+    /// whose lease may still be valid.
     pub fn new(
         config: ReplicaConfig,
-        start: ReplicaStart<C>,
+        start: InitialState<C>,
         now: Moment,
         rng: &mut dyn RngCore,
     ) -> Self {
         let mut log = MemoryLog::new(start.snapshot.at);
         start.entries.into_iter().for_each(|entry| log.push(entry));
-        let commit = start.commit.min(log.last().index).max(start.snapshot.at.index);
+        let commit_index = start.commit_index.min(log.last().index).max(start.snapshot.at.index);
         let mut core = ReplicaCore {
             config,
-            me: start.me,
+            id: start.id,
             role: ReplicaRole::Follower,
-            hard: start.hard_state,
+            hard_state: start.hard_state,
             log,
             membership: start.snapshot.membership.clone(),
             membership_index: start.snapshot.at.index,
-            commit,
-            applied: start.snapshot.at.index,
+            commit_index,
+            applied_index: start.snapshot.at.index,
             snapshot: start.snapshot,
             leader: None,
-            leader_heard: Some(now),
+            last_leader_contact: Some(now),
             election_at: now,
             heartbeat_at: now,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             round: 0,
-            rounds: VecDeque::new(),
+            sent_rounds: VecDeque::new(),
             lease_until: Moment(0),
-            out: ReplicaOutput::default(),
+            output: ReplicaOutput::default(),
         };
         core.refresh_membership();
-        core.reset_election(now, rng);
+        core.reset_election_timer(now, rng);
         if core.membership.voters.len() == 1 && core.is_voter() {
-            // Nobody else can hold a lease.
+            // No other replica can hold a lease.
             core.election_at = now;
         }
         core
     }
 
-    /// Lets time pass.
+    /// Processes timeouts up to `now`.
     pub fn tick(&mut self, now: Moment, rng: &mut dyn RngCore) -> ReplicaOutput<C> {
         match self.role {
             ReplicaRole::Leader => self.tick_leader(now, rng),
-            _ if now >= self.election_at && self.is_voter() => self.begin_pre_vote(now, rng),
+            _ if now >= self.election_at && self.is_voter() => self.start_pre_vote(now, rng),
             _ => {}
         }
         self.take_output()
     }
 
-    /// Takes a message.
+    /// Processes a received message; messages of other fleets or for other replicas are ignored.
     pub fn receive(
         &mut self,
         envelope: ReplicaEnvelope<C>,
         now: Moment,
         rng: &mut dyn RngCore,
     ) -> ReplicaOutput<C> {
-        if envelope.fleet == self.membership().fleet && envelope.to == self.me {
+        if envelope.fleet == self.membership().fleet && envelope.to == self.id {
             self.dispatch(envelope, now, rng);
         }
         self.take_output()
@@ -221,7 +226,7 @@
                 self.on_vote_reply(from, term, granted, now, rng)
             }
             ReplicaMessage::Append { previous, entries, commit, round } => {
-                if self.follow(&from, term, now, rng) {
+                if self.accept_leader(&from, term, now, rng) {
                     self.on_append(from, previous, entries, commit, round);
                 } else {
                     self.send(
@@ -231,7 +236,7 @@
                 }
             }
             ReplicaMessage::Snapshot { snapshot, round } => {
-                if self.follow(&from, term, now, rng) {
+                if self.accept_leader(&from, term, now, rng) {
                     self.on_snapshot(from, snapshot, round);
                 } else {
                     self.send(
@@ -244,55 +249,58 @@
                 if self.adopt_term(term, now, rng) {
                     return;
                 }
-                if term == self.hard.term && self.role == ReplicaRole::Leader {
+                if term == self.hard_state.term && self.role == ReplicaRole::Leader {
                     self.on_append_reply(&from, accepted, index, round, now);
                 }
             }
         }
     }
 
-    /// Proposes commands; they are in the log when this returns, and committed some time later.
-    /// Returns the index of the first.
+    /// Appends commands to the log as leader and returns the index of the first. They are committed
+    /// later.
     pub fn propose(
         &mut self,
         commands: Vec<C>,
         now: Moment,
-    ) -> Result<(u64, ReplicaOutput<C>), ProposalFault> {
+    ) -> Result<(u64, ReplicaOutput<C>), ProposalError> {
         if self.role != ReplicaRole::Leader {
-            return Err(ProposalFault::NotLeader { leader: self.leader.clone() });
+            return Err(ProposalError::NotLeader { leader: self.leader.clone() });
         }
         let first = self.log.last().index + 1;
-        commands.into_iter().for_each(|command| self.append_own(EntryPayload::Command(command)));
+        commands
+            .into_iter()
+            .for_each(|command| self.append_payload(EntryPayload::Command(command)));
         self.broadcast(now);
         self.advance_commit();
         Ok((first, self.take_output()))
     }
 
-    /// Proposes a change of voters. One at a time, and only once this leader has committed an entry of
-    /// its own term (otherwise two leaders' changes can give disjoint quorums; Ongaro, 2015).
+    /// Proposes a membership change. Rejected while another change is uncommitted, or before this
+    /// leader has committed an entry of its own term; otherwise changes by two leaders can lead to
+    /// disjoint quorums (Ongaro, 2015).
     pub fn change_membership(
         &mut self,
         membership: FleetMembership,
         now: Moment,
-    ) -> Result<ReplicaOutput<C>, ProposalFault> {
+    ) -> Result<ReplicaOutput<C>, ProposalError> {
         if self.role != ReplicaRole::Leader {
-            return Err(ProposalFault::NotLeader { leader: self.leader.clone() });
+            return Err(ProposalError::NotLeader { leader: self.leader.clone() });
         }
-        let has_committed = self.log.term_at(self.commit) == Some(self.hard.term);
-        if !has_committed || self.membership_index > self.commit {
-            return Err(ProposalFault::ChangePending);
+        let has_committed = self.log.term_at(self.commit_index) == Some(self.hard_state.term);
+        if !has_committed || self.membership_index > self.commit_index {
+            return Err(ProposalError::ChangePending);
         }
-        self.append_own(EntryPayload::Membership(membership));
+        self.append_payload(EntryPayload::Membership(membership));
         self.refresh_progress(now);
         self.broadcast(now);
         self.advance_commit();
         Ok(self.take_output())
     }
 
-    /// Replaces entries up to `at` by a snapshot of the applied state. The driver must have kept the
-    /// returned record, synced, before it drops the entries from its files.
+    /// Replaces the applied entries by a snapshot of the applied state. The driver must store and
+    /// sync the returned record before it deletes the entries from its files.
     pub fn compact(&mut self, state: std::sync::Arc<str>) -> SnapshotRecord {
-        let index = self.applied;
+        let index = self.applied_index;
         let at =
             LogPosition { term: self.log.term_at(index).unwrap_or(self.snapshot.at.term), index };
         let membership = self.membership_at(index).clone();
@@ -301,23 +309,23 @@
         self.snapshot.clone()
     }
 
-    pub(super) fn append_own(&mut self, payload: EntryPayload<C>) {
-        let at = LogPosition { term: self.hard.term, index: self.log.last().index + 1 };
+    pub(super) fn append_payload(&mut self, payload: EntryPayload<C>) {
+        let at = LogPosition { term: self.hard_state.term, index: self.log.last().index + 1 };
         let entry = LogEntry { at, payload };
-        self.keep_entry(entry);
+        self.append_entry(entry);
     }
 
-    /// Adds an entry to the log and to what must be synced.
-    pub(super) fn keep_entry(&mut self, entry: LogEntry<C>) {
+    /// Appends an entry to the log and to the records to sync.
+    pub(super) fn append_entry(&mut self, entry: LogEntry<C>) {
         if let EntryPayload::Membership(membership) = &entry.payload {
             self.membership = membership.clone();
             self.membership_index = entry.at.index;
         }
         self.log.push(entry.clone());
-        self.out.entries.push(entry);
+        self.output.entries.push(entry);
     }
 
-    /// Finds the membership in force again, after the log lost entries or was replaced.
+    /// Recomputes the membership in force after the log was truncated or replaced.
     pub(super) fn refresh_membership(&mut self) {
         self.membership = self.membership_at(u64::MAX).clone();
         let is_change = |entry: &&LogEntry<C>| matches!(entry.payload, EntryPayload::Membership(_));
@@ -326,31 +334,31 @@
     }
 
     pub(super) fn send(&mut self, to: VoterId, message: ReplicaMessage<C>) {
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.send_in_term(to, term, message);
     }
 
     pub(super) fn send_in_term(&mut self, to: VoterId, term: u64, message: ReplicaMessage<C>) {
         let fleet = self.membership().fleet;
-        let from = self.me.clone();
-        self.out.messages.push(ReplicaEnvelope { fleet, from, to, term, message });
+        let from = self.id.clone();
+        self.output.messages.push(ReplicaEnvelope { fleet, from, to, term, message });
     }
 
     fn take_output(&mut self) -> ReplicaOutput<C> {
-        while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied + 1) else { break };
-            self.out.committed.push(entry.clone());
-            self.applied += 1;
+        while self.applied_index < self.commit_index {
+            let Some(entry) = self.log.get(self.applied_index + 1) else { break };
+            self.output.committed.push(entry.clone());
+            self.applied_index += 1;
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.output)
     }
 
-    pub(super) fn install_applied(&mut self, index: u64) {
-        self.commit = index;
-        self.applied = index;
+    pub(super) fn set_applied_index(&mut self, index: u64) {
+        self.commit_index = index;
+        self.applied_index = index;
     }
 
-    /// The membership in force: the last one in the log, committed or not.
+    /// The membership in force: the latest one in the log, committed or not.
     pub fn membership(&self) -> &FleetMembership {
         &self.membership
     }
@@ -371,75 +379,76 @@
     }
 
     pub(super) fn is_voter(&self) -> bool {
-        self.membership().voters.contains_key(&self.me)
+        self.membership().voters.contains_key(&self.id)
     }
 
-    pub(super) fn reset_election(&mut self, now: Moment, rng: &mut dyn RngCore) {
-        let least = self.config.election.as_micros() as u64;
-        let most = least + (least as f64 * ELECTION_SPREAD) as u64;
-        self.election_at = now + Duration::from_micros(rng.random_range(least..=most));
+    pub(super) fn reset_election_timer(&mut self, now: Moment, rng: &mut dyn RngCore) {
+        let min_micros = self.config.election_timeout.as_micros() as u64;
+        let max_micros = min_micros + (min_micros as f64 * ELECTION_JITTER_SHARE) as u64;
+        self.election_at = now + Duration::from_micros(rng.random_range(min_micros..=max_micros));
     }
 
-    /// This replica's identity.
-    pub fn me(&self) -> &VoterId {
-        &self.me
+    /// This replica's own identity.
+    pub fn id(&self) -> &VoterId {
+        &self.id
     }
 
-    /// What it does.
+    /// The current role.
     pub fn role(&self) -> ReplicaRole {
         self.role
     }
 
-    /// The term.
+    /// The current term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<&VoterId> {
         self.leader.as_ref()
     }
 
-    /// The last committed index.
+    /// The highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
-    /// The last applied index.
+    /// The highest index handed out for application to the state machine.
     pub fn applied_index(&self) -> u64 {
-        self.applied
+        self.applied_index
     }
 
-    /// Entries behind the snapshot.
-    pub fn log_length(&self) -> usize {
+    /// Number of entries after the snapshot.
+    pub fn log_len(&self) -> usize {
         self.log.entries().len()
     }
 
-    /// The log, for checks.
+    /// The log in memory.
     pub fn log(&self) -> &MemoryLog<C> {
         &self.log
     }
 
-    /// True while nobody else can have been elected, and everything committed before this term is
-    /// applied: a read at this moment is the newest.
-    pub fn holds_lease(&self, now: Moment) -> bool {
+    /// True while no other leader can have been elected and every entry committed in an earlier
+    /// term has been applied, so that a local read is linearisable.
+    pub fn has_lease(&self, now: Moment) -> bool {
         self.role == ReplicaRole::Leader
             && now < self.lease_until
-            && self.log.term_at(self.commit) == Some(self.hard.term)
+            && self.log.term_at(self.commit_index) == Some(self.hard_state.term)
     }
 
-    /// When the present lease ends.
+    /// Expiry of the leader lease.
     pub fn lease_until(&self) -> Moment {
         self.lease_until
     }
 
-    /// How far a member's log is known to match.
-    pub fn matched(&self, id: &VoterId) -> Option<u64> {
-        self.progress.get(id).map(|progress| progress.matched)
+    /// Highest index at which a member's log is known to match the leader's.
+    pub fn match_index(&self, id: &VoterId) -> Option<u64> {
+        self.progress.get(id).map(|progress| progress.match_index)
     }
 
-    /// When a member was last heard, on the leader.
-    pub fn heard(&self, id: &VoterId) -> Option<Moment> {
-        self.progress.get(id).map(|progress| progress.heard)
+    /// Time of the last reply from a member, or of this replica's election if it has not replied
+    /// since; known to a leader only.
+    pub fn last_contact(&self, id: &VoterId) -> Option<Moment> {
+        self.progress.get(id).map(|progress| progress.last_contact)
     }
 }
--- a/src/store/identity.rs
+++ b/src/store/identity.rs
@@ -1,6 +1,6 @@
-//! Whose folder this is.
+//! The identity of the voter that owns a data folder.
 
-use super::{FilesSnafu, StoreError};
+use super::{IoSnafu, StoreError};
 use crate::replica::{FleetId, VoterId};
 use crate::table::DaemonName;
 use rand::{Rng, RngCore};
@@ -11,32 +11,34 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-const FILE: &str = "identity.json";
+const IDENTITY_FILE: &str = "identity.json";
 
 /// The contents of `identity.json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderIdentity {
-    /// The voter.
+    /// Identity of the voter.
     pub voter: VoterId,
-    /// The fleet, once it has joined one.
+    /// The fleet, if the voter has joined one.
     pub fleet: Option<FleetId>,
-    /// The file's own inode. A copied folder has another one, so a copy is told from the original.
+    /// Inode of the file itself. A copy has a different inode, which distinguishes it from the
+    /// original.
     inode: u64,
 }
 
 impl FolderIdentity {
-    /// Reads the identity; none if the folder has none, or is a copy.
+    /// Reads the identity; `None` if the folder has none. Fails if the folder belongs to another
+    /// daemon or is a copy.
     pub fn load(folder: &Path, daemon: &DaemonName) -> Result<Option<Self>, StoreError> {
-        let path = folder.join(FILE);
+        let path = folder.join(IDENTITY_FILE);
         let text = match fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-            Err(source) => return Err(StoreError::Files { path, source }),
+            Err(source) => return Err(StoreError::Io { path, source }),
         };
         let identity: FolderIdentity = serde_json::from_str(&text).map_err(|error| {
             StoreError::Damaged { path: path.clone(), offset: 0, detail: error.to_string() }
         })?;
-        let inode = fs::metadata(&path).context(FilesSnafu { path: &path })?.ino();
+        let inode = fs::metadata(&path).context(IoSnafu { path: &path })?.ino();
         if identity.voter.daemon != *daemon {
             let detail = format!("belongs to voter {}, not to daemon {daemon}", identity.voter);
             return Err(StoreError::Foreign { path: folder.to_owned(), detail });
@@ -51,29 +53,29 @@
         Ok(Some(identity))
     }
 
-    /// Draws a new identity and writes it, synced.
+    /// Creates a new random identity and writes it, synced.
     pub fn create(
         folder: &Path,
         daemon: &DaemonName,
         rng: &mut dyn RngCore,
     ) -> Result<Self, StoreError> {
-        let voter = VoterId { daemon: daemon.clone(), folder: rng.random_range(1..=u32::MAX) };
+        let voter = VoterId { daemon: daemon.clone(), folder_id: rng.random_range(1..=u32::MAX) };
         let mut identity = FolderIdentity { voter, fleet: None, inode: 0 };
         identity.write(folder)?;
         Ok(identity)
     }
 
-    /// Notes the fleet that the voter belongs to, synced.
+    /// Records the fleet that the voter belongs to, synced.
     pub fn set_fleet(&mut self, folder: &Path, fleet: FleetId) -> Result<(), StoreError> {
         self.fleet = Some(fleet);
         self.write(folder)
     }
 
-    /// The inode is known only once the file exists, so the file is written in place; a crash in
-    /// between leaves an unreadable or foreign identity, which refuses to vote.
+    /// Writes the file in place, since its inode is known only once it exists. A crash during the
+    /// write leaves an unreadable identity or one with a wrong inode, which is not used to vote.
     fn write(&mut self, folder: &Path) -> Result<(), StoreError> {
-        let path = folder.join(FILE);
-        let context = || FilesSnafu { path: path.clone() };
+        let path = folder.join(IDENTITY_FILE);
+        let context = || IoSnafu { path: path.clone() };
         let mut file = File::create(&path).with_context(|_| context())?;
         self.inode = file.metadata().with_context(|_| context())?.ino();
         let text = serde_json::to_vec(self).unwrap_or_default();
--- a/src/store/journal.rs
+++ b/src/store/journal.rs
@@ -1,6 +1,6 @@
-//! Snapshot and log files.
+//! Snapshot and log files of a voter.
 
-use super::{FilesSnafu, StoreError};
+use super::{IoSnafu, StoreError};
 use crate::replica::{HardState, LogEntry, ReplicaOutput, SnapshotRecord};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,78 +10,79 @@
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-const SNAPSHOT: &str = "snapshot.json";
-const LOG: &str = "log.bin";
-const LOCK: &str = "lock";
+const SNAPSHOT_FILE: &str = "snapshot.json";
+const LOG_FILE: &str = "log.bin";
+const LOCK_FILE: &str = "lock";
 const HEADER_BYTES: usize = 8;
-/// A length above this is damage, not a record.
-const RECORD_LIMIT: u32 = 256 << 20;
+/// Maximum record length in bytes; a greater length field is treated as corruption.
+const MAX_RECORD_BYTES: u32 = 256 << 20;
 
-/// One record of the log file.
+/// A record of the log file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum JournalRecord<C> {
     Hard(HardState),
     Truncate(u64),
-    /// Entries up to this index are committed. Written without a sync: it may be lost, and is then learned again
-    /// from a leader.
+    /// Entries up to this index are committed. Written without a sync; if it is lost, the index is
+    /// received from a leader again.
     Commit(u64),
     Entry(LogEntry<C>),
 }
 
-/// What a folder holds.
+/// The stored state of a voter, as read from its data folder.
 #[derive(Clone, Debug)]
 pub struct FolderState<C> {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The snapshot, if any was kept.
+    /// The latest snapshot, if any.
     pub snapshot: Option<SnapshotRecord>,
-    /// Entries behind it.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry<C>>,
-    /// The last index known to be committed; 0 if none is.
-    pub commit: u64,
+    /// The highest index known to be committed; 0 if none.
+    pub commit_index: u64,
 }
 
-/// An open data folder, locked for this process.
+/// An open data folder with an exclusive lock.
 #[derive(Debug)]
-pub struct StoreFolder {
+pub struct DataFolder {
     folder: PathBuf,
     log: File,
     _lock: FolderLock,
 }
 
-/// The lock of a data folder, given back when dropped.
+/// The lock of a data folder, released on drop.
 ///
-/// Closing the file alone is not enough: a child process that is being started holds a copy of every open
-/// file until its program is loaded, and the lock lasts as long as a copy does (flock(2)). The folder would
-/// look in use for a moment after it was closed. Unlocking takes effect for all copies.
+/// Closing the file is not enough to release it: a child process inherits every open file
+/// descriptor until exec, and the lock is held as long as any duplicate is open (flock(2)), so the
+/// folder would appear in use for a moment after it was closed. An explicit unlock applies to all
+/// duplicates.
 #[derive(Debug)]
 struct FolderLock {
     file: File,
 }
 
 impl FolderLock {
-    fn take(folder: &Path) -> Result<Self, StoreError> {
-        let path = folder.join(LOCK);
-        let file = File::create(&path).context(FilesSnafu { path: &path })?;
+    fn acquire(folder: &Path) -> Result<Self, StoreError> {
+        let path = folder.join(LOCK_FILE);
+        let file = File::create(&path).context(IoSnafu { path: &path })?;
         match file.try_lock() {
             Ok(()) => Ok(FolderLock { file }),
             Err(TryLockError::WouldBlock) => Err(StoreError::InUse { path: folder.to_owned() }),
-            Err(TryLockError::Error(source)) => Err(StoreError::Files { path, source }),
+            Err(TryLockError::Error(source)) => Err(StoreError::Io { path, source }),
         }
     }
 }
 
 impl Drop for FolderLock {
     fn drop(&mut self) {
-        // A failure leaves what closing does.
+        // If unlocking fails, closing the file still releases the lock.
         let _ = self.file.unlock();
     }
 }
 
-/// Makes the folder, and its name durable: after a power cut a new folder may be gone with all that was synced
-/// in it, unless the folder above was synced, too.
-fn make_folder(folder: &Path) -> std::io::Result<()> {
+/// Creates the folder and syncs its parent. Without the latter, a power loss may remove a new
+/// folder together with all files synced in it.
+fn create_folder(folder: &Path) -> std::io::Result<()> {
     fs::create_dir_all(folder)?;
     match folder.parent().filter(|parent| !parent.as_os_str().is_empty()) {
         Some(parent) => File::open(parent)?.sync_all(),
@@ -89,24 +90,24 @@
     }
 }
 
-impl StoreFolder {
-    /// Opens a folder, making it if need be, and locks it: two processes over one folder would vote
-    /// twice in one term.
+impl DataFolder {
+    /// Opens a folder, creating it if necessary, and locks it, since two processes on one folder
+    /// could vote twice in one term.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
-        make_folder(folder).context(FilesSnafu { path: folder })?;
-        let lock = FolderLock::take(folder)?;
-        let path = folder.join(LOG);
+        create_folder(folder).context(IoSnafu { path: folder })?;
+        let lock = FolderLock::acquire(folder)?;
+        let path = folder.join(LOG_FILE);
         let mut options = OpenOptions::new();
         let log = options
             .read(true)
             .append(true)
             .create(true)
             .open(&path)
-            .context(FilesSnafu { path: &path })?;
-        Ok(StoreFolder { folder: folder.to_owned(), log, _lock: lock })
+            .context(IoSnafu { path: &path })?;
+        Ok(DataFolder { folder: folder.to_owned(), log, _lock: lock })
     }
 
-    /// The folder.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.folder
     }
@@ -115,30 +116,30 @@
         self.folder.join(name)
     }
 
-    /// Reads everything back. A last record that is not complete was never synced: it is cut off with a
-    /// log line. Damage anywhere else is an error.
+    /// Reads the stored state. An incomplete last record was never synced; it is truncated with a
+    /// warning. Corruption anywhere else is an error.
     pub fn load<C: DeserializeOwned>(
         &mut self,
         log: &Logger,
     ) -> Result<FolderState<C>, StoreError> {
         let snapshot = self.load_snapshot()?;
-        let path = self.file(LOG);
+        let path = self.file(LOG_FILE);
         let mut bytes = Vec::new();
-        self.log.seek(SeekFrom::Start(0)).context(FilesSnafu { path: &path })?;
-        self.log.read_to_end(&mut bytes).context(FilesSnafu { path: &path })?;
+        self.log.seek(SeekFrom::Start(0)).context(IoSnafu { path: &path })?;
+        self.log.read_to_end(&mut bytes).context(IoSnafu { path: &path })?;
         let base = snapshot.as_ref().map_or(0, |snapshot: &SnapshotRecord| snapshot.at.index);
         let mut state = FolderState {
             hard_state: HardState::default(),
             snapshot,
             entries: Vec::new(),
-            commit: 0,
+            commit_index: 0,
         };
         let mut offset = 0;
         while offset < bytes.len() {
             let Some(record) = read_record(&bytes, offset) else {
-                warn!(log, "cut off an incomplete last record"; "file" => path.display().to_string(), "offset" => offset, "bytes" => bytes.len() - offset);
-                self.log.set_len(offset as u64).context(FilesSnafu { path: &path })?;
-                self.log.sync_all().context(FilesSnafu { path: &path })?;
+                warn!(log, "truncated an incomplete last record"; "file" => path.display().to_string(), "offset" => offset, "bytes" => bytes.len() - offset);
+                self.log.set_len(offset as u64).context(IoSnafu { path: &path })?;
+                self.log.sync_all().context(IoSnafu { path: &path })?;
                 break;
             };
             let damaged = |detail: String| StoreError::Damaged {
@@ -149,38 +150,39 @@
             let text = record.map_err(damaged)?;
             let record: JournalRecord<C> =
                 serde_json::from_slice(text).map_err(|error| damaged(error.to_string()))?;
-            replay(&mut state, record, base).map_err(damaged)?;
+            apply_record(&mut state, record, base).map_err(damaged)?;
             offset += HEADER_BYTES + text.len();
         }
-        // What was read may have been written without a sync that succeeded; from now on it is relied upon.
-        self.log.sync_data().context(FilesSnafu { path: &path })?;
+        // The records read may have been written without a successful sync; they must be durable
+        // before the replica relies on them.
+        self.log.sync_data().context(IoSnafu { path: &path })?;
         Ok(state)
     }
 
     fn load_snapshot(&self) -> Result<Option<SnapshotRecord>, StoreError> {
-        let path = self.file(SNAPSHOT);
+        let path = self.file(SNAPSHOT_FILE);
         let bytes = match fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-            Err(source) => return Err(StoreError::Files { path, source }),
+            Err(source) => return Err(StoreError::Io { path, source }),
         };
         let damaged =
             |detail: String| StoreError::Damaged { path: path.clone(), offset: 0, detail };
         let text = match read_record(&bytes, 0) {
             Some(text) => text.map_err(damaged)?,
-            None => return Err(damaged("a complete record".to_owned())),
+            None => return Err(damaged("incomplete record".to_owned())),
         };
         serde_json::from_slice(text).map(Some).map_err(|error| damaged(error.to_string()))
     }
 
-    /// Keeps what an output asks for; returns once it is synced.
-    pub fn keep<C: Serialize + Clone>(
+    /// Stores and syncs the records of a replica's output.
+    pub fn save<C: Serialize + Clone>(
         &mut self,
         output: &ReplicaOutput<C>,
         hard_state: &HardState,
     ) -> Result<(), StoreError> {
-        if let Some(snapshot) = &output.install {
-            self.replace(snapshot, hard_state, &output.entries)?;
+        if let Some(snapshot) = &output.install_snapshot {
+            self.replace_with_snapshot(snapshot, hard_state, &output.entries)?;
             return Ok(());
         }
         let mut bytes = Vec::new();
@@ -199,24 +201,24 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        let path = self.file(LOG);
-        self.log.write_all(&bytes).context(FilesSnafu { path: &path })?;
-        self.log.sync_data().context(FilesSnafu { path: &path })
+        let path = self.file(LOG_FILE);
+        self.log.write_all(&bytes).context(IoSnafu { path: &path })?;
+        self.log.sync_data().context(IoSnafu { path: &path })
     }
 
-    /// Notes what is committed, without a sync. What goes wrong without it: a fleet whose voters were all killed
-    /// cannot say which of its entries are committed before it has a leader again, so that daemons that start
-    /// meanwhile serve nobody. A note that is lost does no harm.
-    pub fn note_commit<C: Serialize>(&mut self, index: u64) -> Result<(), StoreError> {
+    /// Writes the commit index without a sync; its loss is harmless. Without this record, a fleet
+    /// whose voters were all killed does not know which entries are committed until it has a leader
+    /// again, and daemons started in the meantime serve no callers.
+    pub fn write_commit_index<C: Serialize>(&mut self, index: u64) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         write_record(&mut bytes, &JournalRecord::<C>::Commit(index));
-        let path = self.file(LOG);
-        self.log.write_all(&bytes).context(FilesSnafu { path: &path })
+        let path = self.file(LOG_FILE);
+        self.log.write_all(&bytes).context(IoSnafu { path: &path })
     }
 
-    /// Keeps a snapshot and begins a new log behind it. The snapshot is in place, synced, before the old
-    /// log goes; a crash in between leaves records that the snapshot covers, which loading passes over.
-    pub fn replace<C: Serialize + Clone>(
+    /// Stores a snapshot and starts a new log after it. The snapshot is synced before the old log
+    /// is replaced; a crash in between leaves records covered by the snapshot, which loading skips.
+    pub fn replace_with_snapshot<C: Serialize + Clone>(
         &mut self,
         snapshot: &SnapshotRecord,
         hard_state: &HardState,
@@ -224,58 +226,57 @@
     ) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         write_record(&mut bytes, snapshot);
-        self.write_whole(SNAPSHOT, &bytes)?;
+        self.write_atomically(SNAPSHOT_FILE, &bytes)?;
         let mut log = Vec::new();
         write_record(&mut log, &JournalRecord::<C>::Hard(hard_state.clone()));
         entries
             .iter()
             .for_each(|entry| write_record(&mut log, &JournalRecord::Entry(entry.clone())));
-        self.write_whole(LOG, &log)?;
-        let path = self.file(LOG);
+        self.write_atomically(LOG_FILE, &log)?;
+        let path = self.file(LOG_FILE);
         let mut options = OpenOptions::new();
-        self.log =
-            options.read(true).append(true).open(&path).context(FilesSnafu { path: &path })?;
+        self.log = options.read(true).append(true).open(&path).context(IoSnafu { path: &path })?;
         Ok(())
     }
 
-    fn write_whole(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
+    fn write_atomically(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
         let path = self.file(name);
         let temporary = self.file(&format!("{name}.new"));
-        let mut file = File::create(&temporary).context(FilesSnafu { path: &temporary })?;
-        file.write_all(bytes).context(FilesSnafu { path: &temporary })?;
-        file.sync_all().context(FilesSnafu { path: &temporary })?;
-        fs::rename(&temporary, &path).context(FilesSnafu { path: &path })?;
+        let mut file = File::create(&temporary).context(IoSnafu { path: &temporary })?;
+        file.write_all(bytes).context(IoSnafu { path: &temporary })?;
+        file.sync_all().context(IoSnafu { path: &temporary })?;
+        fs::rename(&temporary, &path).context(IoSnafu { path: &path })?;
         File::open(&self.folder)
             .and_then(|folder| folder.sync_all())
-            .context(FilesSnafu { path: &self.folder })
+            .context(IoSnafu { path: &self.folder })
     }
 
-    /// Moves damaged or foreign files aside, so that the voter can start again under a new identity;
-    /// nothing is deleted.
+    /// Renames a folder with corrupt or foreign files, so that the voter can start under a new
+    /// identity; nothing is deleted.
     pub fn set_aside(folder: &Path, suffix: u64) -> Result<PathBuf, StoreError> {
         let name = folder
             .file_name()
             .map_or_else(|| "data".to_owned(), |name| name.to_string_lossy().into_owned());
         let aside = folder.with_file_name(format!("{name}.aside-{suffix}"));
-        fs::rename(folder, &aside).context(FilesSnafu { path: folder })?;
+        fs::rename(folder, &aside).context(IoSnafu { path: folder })?;
         Ok(aside)
     }
 }
 
-fn replay<C>(
+fn apply_record<C>(
     state: &mut FolderState<C>,
     record: JournalRecord<C>,
     base: u64,
 ) -> Result<(), String> {
     match record {
         JournalRecord::Hard(hard) => state.hard_state = hard,
-        JournalRecord::Commit(index) => state.commit = state.commit.max(index),
+        JournalRecord::Commit(index) => state.commit_index = state.commit_index.max(index),
         JournalRecord::Truncate(index) => state.entries.retain(|entry| entry.at.index < index),
         JournalRecord::Entry(entry) if entry.at.index <= base => {}
         JournalRecord::Entry(entry) => {
             let expected = state.entries.last().map_or(base, |last| last.at.index) + 1;
             if entry.at.index != expected {
-                return Err(format!("entry {expected}, found entry {}", entry.at.index));
+                return Err(format!("expected entry {expected}, found entry {}", entry.at.index));
             }
             state.entries.push(entry);
         }
@@ -290,26 +291,26 @@
     bytes.extend_from_slice(&text);
 }
 
-/// The record at `offset`: none if the file ends inside it, an error if it is complete but damaged.
+/// Reads the record at `offset`: `None` if it is incomplete, an error if it is corrupt.
 ///
-/// A crash can leave a last record whose length was written but whose contents were not; that looks
-/// like damage of the last record, and since it was never synced it counts as incomplete too.
+/// A crash can leave a last record whose length was written but whose contents were not. It ends in
+/// zero bytes and its checksum does not match, but it was never synced and counts as incomplete.
 fn read_record(bytes: &[u8], offset: usize) -> Option<Result<&[u8], String>> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let length = u32::from_le_bytes(header[..4].try_into().ok()?);
-    let sum = u32::from_le_bytes(header[4..].try_into().ok()?);
-    if length > RECORD_LIMIT {
-        return Some(Err(format!("a record length, found {length}")));
+    let checksum = u32::from_le_bytes(header[4..].try_into().ok()?);
+    if length > MAX_RECORD_BYTES {
+        return Some(Err(format!("record length {length} exceeds the limit")));
     }
     let start = offset + HEADER_BYTES;
     let end = start + length as usize;
     let text = bytes.get(start..end)?;
-    if crc32fast::hash(text) == sum {
+    if crc32fast::hash(text) == checksum {
         return Some(Ok(text));
     }
     let is_last = end == bytes.len();
     if is_last && text.iter().rev().take_while(|byte| **byte == 0).count() > 0 {
         return None;
     }
-    Some(Err("a record whose checksum matches".to_owned()))
+    Some(Err("record checksum does not match".to_owned()))
 }
--- a/src/table/checks.rs
+++ b/src/table/checks.rs
@@ -1,4 +1,5 @@
-//! Checks of operators' documents: every fault at once, each with its JSON path, value and expectation.
+//! Validation of operators' documents. Reports all faults at once, each with its JSON pointer, the
+//! value found and the value expected.
 
 use super::OperatorTable;
 use schemars::JsonSchema;
@@ -8,17 +9,17 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Longest value shown in a fault, in characters.
-const SHOWN_VALUE: usize = 80;
+/// Maximum number of characters of a value shown in a fault.
+const MAX_SHOWN_CHARS: usize = 80;
 
 /// One fault in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TableFault {
-    /// JSON pointer (RFC 6901) to the place; `/` is the whole document.
+    /// JSON pointer (RFC 6901) to the value; `/` stands for the whole document.
     pub path: String,
-    /// The value found there, shortened.
+    /// The value found, truncated.
     pub value: String,
-    /// What was expected instead.
+    /// The value expected.
     pub expected: String,
 }
 
@@ -57,9 +58,9 @@
     }
 }
 
-/// Reads a document of type `T`, reporting every departure from its JSON schema.
+/// Parses a document of type `T`, reporting every violation of its JSON schema.
 pub fn read_checked<T: DeserializeOwned + JsonSchema>(text: &str) -> Result<T, FaultList> {
-    let value: Value = serde_json::from_str(text).map_err(|error| unreadable(&error))?;
+    let value: Value = serde_json::from_str(text).map_err(|error| syntax_fault(&error))?;
     let schema =
         schemars::generate::SchemaSettings::draft07().into_generator().into_root_schema_for::<T>();
     let faults = schema_faults(schema.as_value(), &value);
@@ -73,7 +74,7 @@
     })
 }
 
-fn unreadable(error: &serde_json::Error) -> FaultList {
+fn syntax_fault(error: &serde_json::Error) -> FaultList {
     let mut faults = FaultList::default();
     let place = format!("line {}, column {}", error.line(), error.column());
     faults.add("/", place, format!("a JSON document ({error})"));
@@ -82,8 +83,8 @@
 
 fn schema_faults(schema: &Value, value: &Value) -> FaultList {
     let mut faults = FaultList::default();
-    // Draft 7: the library keeps the meta-schema of a draft in memory for ever, and that of the newest
-    // takes 24 MB, three quarters of an idle daemon's allowance.
+    // The library keeps the meta-schema of the draft in memory permanently. That of the newest
+    // draft takes 24 MB, three quarters of an idle daemon's memory limit, so draft 7 is used.
     let Ok(validator) = jsonschema::draft7::new(schema) else {
         faults.add("/", "schema", "a usable schema; this is a fault of the program");
         return faults;
@@ -98,7 +99,7 @@
     faults
 }
 
-/// What the schema wanted, without the value, which stands beside it.
+/// Describes what the schema expects, without the value, which is reported separately.
 fn expectation(error: &jsonschema::ValidationError<'_>, schema: &Value) -> String {
     use jsonschema::error::{TypeKind, ValidationErrorKind as Kind};
     match &error.kind {
@@ -121,7 +122,7 @@
     }
 }
 
-/// The constants that a list of alternatives at `path` of the schema allows.
+/// The constants allowed by the list of alternatives at `path` in the schema.
 fn choices(schema: &Value, path: &str) -> Vec<String> {
     let mut place = schema;
     for step in path.split('/').skip(1) {
@@ -148,23 +149,23 @@
 
 fn shorten(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_VALUE) {
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((cut, _)) => format!("{}...", &text[..cut]),
         None => text,
     }
 }
 
-/// Reads a table and checks what a schema cannot say: unique names and references that lead somewhere.
-pub fn check_document(text: &str) -> Result<OperatorTable, FaultList> {
+/// Parses a table and checks what its schema cannot express: unique names and valid references.
+pub fn read_table(text: &str) -> Result<OperatorTable, FaultList> {
     let table: OperatorTable = read_checked(text)?;
-    let faults = reference_faults(&table);
+    let faults = semantic_faults(&table);
     if faults.0.is_empty() { Ok(table) } else { Err(faults) }
 }
 
-/// Faults of meaning in a table that is well-formed.
-pub fn reference_faults(table: &OperatorTable) -> FaultList {
+/// Semantic faults of a table that conforms to the schema.
+pub fn semantic_faults(table: &OperatorTable) -> FaultList {
     let mut faults = FaultList::default();
-    unique(
+    add_duplicate_faults(
         &mut faults,
         table
             .tiers
@@ -172,7 +173,7 @@
             .enumerate()
             .map(|(i, row)| (format!("/tiers/{i}/tier"), row.tier.to_string())),
     );
-    unique(
+    add_duplicate_faults(
         &mut faults,
         table
             .tiers
@@ -184,13 +185,13 @@
     service_faults(table, &mut faults);
     assignment_faults(table, &mut faults);
     upstream_faults(table, &mut faults);
-    table.route_faults(&mut faults);
+    table.add_route_faults(&mut faults);
     faults
 }
 
 fn organisation_faults(table: &OperatorTable, faults: &mut FaultList) {
     let rows = || table.organisations.iter().enumerate();
-    unique(
+    add_duplicate_faults(
         faults,
         rows().map(|(i, row)| {
             (format!("/organisations/{i}/organisation"), row.organisation.to_string())
@@ -202,12 +203,12 @@
             (format!("/organisations/{i}/key_digests/{k}"), digest.0.clone())
         })
     });
-    unique(faults, digests);
+    add_duplicate_faults(faults, digests);
 }
 
 fn service_faults(table: &OperatorTable, faults: &mut FaultList) {
     let rows = || table.services.iter().enumerate();
-    unique(
+    add_duplicate_faults(
         faults,
         rows().map(|(i, row)| (format!("/services/{i}/service"), row.service.to_string())),
     );
@@ -267,8 +268,8 @@
     let names = rows().map(|(i, row)| {
         (format!("/upstreams/{i}/upstream"), format!("{}/{}", row.service, row.upstream))
     });
-    unique(faults, names);
-    unique(
+    add_duplicate_faults(faults, names);
+    add_duplicate_faults(
         faults,
         rows().map(|(i, row)| (format!("/upstreams/{i}/address"), row.address.to_string())),
     );
@@ -283,7 +284,7 @@
     }
 }
 
-fn unique(faults: &mut FaultList, places: impl Iterator<Item = (String, String)>) {
+fn add_duplicate_faults(faults: &mut FaultList, places: impl Iterator<Item = (String, String)>) {
     let mut seen = BTreeSet::new();
     for (path, value) in places {
         if !seen.insert(value.clone()) {
