--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The adapter to the users' platform: names, formats and calls, decoded once into types of our own words.
-//! It translates and decides nothing.
+//! Adapter to the users' platform: decodes its names, formats and calls into the types of this
+//! crate. It translates only and makes no decisions.
 
 mod document;
 mod headers;
@@ -16,7 +16,7 @@
 use crate::traffic::PlatformInterface;
 use std::sync::Arc;
 
-/// The platform's manner of speaking.
+/// Returns the document reader and header dialect of the platform.
 pub fn manner() -> PlatformInterface {
     PlatformInterface { reader: Arc::new(DocumentReader), dialect: Arc::new(HeaderDialect) }
 }
