--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A configuration as the operator sends it. Fields that say nothing to us are passed over.
+/// A configuration document as the operator sends it. Unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 struct ConfigDocument {
     version: u64,
@@ -72,10 +72,10 @@
 #[derive(Debug, Deserialize)]
 struct WireEngine {
     slots: u32,
-    /// Tokens in one event of a stream.
+    /// Tokens per stream event.
     #[serde(default = "one")]
     stride: u32,
-    /// How long a reserved place is held at most; none or 0 if engines reserve none.
+    /// Maximum lifetime of a reservation; absent or 0 if the engines take no reservations.
     #[serde(default)]
     hold_ms: f64,
 }
@@ -91,7 +91,7 @@
     unit: Option<String>,
     #[serde(default)]
     plain_tokens: Option<u32>,
-    /// 0 or none means no limit; the same holds for `burst`.
+    /// Absent or 0 means no limit, as for `burst`.
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
@@ -102,7 +102,7 @@
     1
 }
 
-/// Reads configuration documents.
+/// Parses and validates configuration documents.
 #[derive(Debug)]
 pub struct DocumentReader;
 
@@ -132,7 +132,7 @@
         }
     }
 
-    /// One tier for each priority that is named, and the highest, which services have by default.
+    /// Returns one tier per priority in use, plus the highest, which is the default of services.
     fn tiers(&self) -> Vec<TierRow> {
         let routes = self.routes.iter().map(|route| route.priority);
         let tenants = self.tenants.iter().filter_map(|tenant| tenant.priority);
@@ -176,8 +176,8 @@
 }
 
 impl WireRoute {
-    /// The platform's word on its callers: two seconds, four times the objective or eight times the longest good
-    /// pause, whichever is longest.
+    /// How long the platform's callers wait for an event: the largest of 2 seconds, 4 times the
+    /// latency objective and 8 times the objective for gaps between events.
     fn patience(&self) -> Duration {
         let by_objective = 4 * self.latency_slo_ms;
         let by_pause = 8 * self.gap_slo_ms.unwrap_or(0);
