--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of callers and engines.
+//! Request and response headers exchanged with callers and engines.
 
 use crate::policy::LoadReport;
 use crate::traffic::{
@@ -24,7 +24,7 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const HOLD: &str = "tarragonknot-hold";
 const HOLD_TAKE: &str = "/-/hold-take";
-/// Headers that only the system may set towards engines.
+/// Headers removed from callers' requests: only this system may set them on requests to engines.
 const SYSTEM_ONLY: [&str; 8] = [
     EXPECT_INSTANCE,
     TENANT,
@@ -36,18 +36,19 @@
     "kv-fetch",
 ];
 
-/// Asks an engine for a place.
+/// Body of a request that reserves a place on an engine.
 #[derive(Debug, Serialize)]
 struct HoldCall {
     tokens: u32,
     ttl_ms: u64,
 }
 
-/// The engine's answer; the page does not say whether the name is text or a number.
+/// The engine's response. The platform's specification leaves open whether the reservation id is
+/// a string or a number, so both are accepted.
 #[derive(Debug, Deserialize)]
 struct HoldAnswer {
     hold: serde_json::Value,
-    /// Unix millisecond of the engine's start, where it says.
+    /// Start time of the engine in Unix milliseconds, if the engine reports it.
     #[serde(default)]
     born: serde_json::Value,
 }
@@ -56,13 +57,13 @@
     hold.as_str().map_or_else(|| hold.to_string(), str::to_owned)
 }
 
-/// The platform's headers.
+/// Reads and writes the platform's headers.
 #[derive(Debug)]
 pub struct HeaderDialect;
 
 impl CallDialect for HeaderDialect {
     fn read_caller(&self, headers: &HeaderMap) -> CallerMetadata {
-        // Two numbers: prompt tokens, and the most output tokens.
+        // Format: `PROMPT_TOKENS,MAX_OUTPUT_TOKENS`.
         let counts = text(headers, TOKEN_COUNT).and_then(|counts| counts.split_once(','));
         CallerMetadata {
             id: text(headers, REQUEST_ID).map(str::to_owned),
@@ -143,7 +144,7 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
-/// Running requests, waiting requests, slots.
+/// Parses `RUNNING,QUEUED,SLOTS`; the slots are ignored.
 fn read_load(text: &str) -> Option<LoadReport> {
     let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>().ok());
     let running = numbers.next()??;
@@ -151,7 +152,7 @@
     Some(LoadReport { running, queued, ..LoadReport::default() })
 }
 
-/// `timeout=SECONDS`, among other parameters.
+/// Parses `timeout=SECONDS` and ignores other parameters.
 fn read_keep_alive(text: &str) -> Option<Duration> {
     let mut parameters = text.split(',').filter_map(|parameter| parameter.trim().split_once('='));
     let (_, seconds) = parameters.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?;
