--- a/src/platform/instances.rs
+++ b/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of engines.
+//! HTTP client for the platform's list of engines.
 
 use super::pages::{InstancePage, NextPage, read_page};
 use crate::upstream::{ConnectionPool, ListFault, ListReading, PROVEN_ALIVE, UpstreamLister};
@@ -11,19 +11,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Largest page, in bytes.
+/// Maximum size of a page, in bytes.
 const PAGE_LIMIT: usize = 4 << 20;
-/// Pages read at most; a list without an end must not be read for ever.
+/// Maximum number of pages per reading; bounds the work if a list never ends.
 const MOST_PAGES: usize = 1_000;
 
-/// Reads the list over HTTP, page by page.
+/// Reads the paginated list over HTTP.
 pub struct InstanceLister {
     address: SocketAddr,
     connections: Arc<ConnectionPool>,
 }
 
 impl InstanceLister {
-    /// A reader of the list at `address`.
+    /// Creates a lister for the list served at `address`.
     pub fn new(address: SocketAddr, connections: Arc<ConnectionPool>) -> Self {
         InstanceLister { address, connections }
     }
@@ -62,7 +62,7 @@
                         reading.is_whole = true;
                         return Ok(reading);
                     }
-                    // A token that repeats would lead round and round.
+                    // A repeated token would make the pagination loop.
                     NextPage::Token(next) if read.insert(next.clone()) => next,
                     NextPage::Token(_) | NextPage::Unknown => return Ok(reading),
                 };
