--- a/src/platform/operators.rs
+++ b/src/platform/operators.rs
@@ -1,4 +1,4 @@
-//! The operator's calls.
+//! HTTP endpoints for operators.
 
 use crate::control::{OperatorAnswer, OperatorClient};
 use crate::rollout::{RolloutOrder, RolloutRecord, RolloutReply, RolloutStage};
@@ -14,15 +14,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Shortest and longest time for a roll-out, in seconds.
+/// Minimum and maximum duration of a roll-out, in seconds.
 const LEAST_SECONDS: f64 = 0.001;
 const MOST_SECONDS: f64 = 7.0 * 86_400.0;
-/// Longest name of a service or version, in bytes.
+/// Maximum length of a service or version name, in bytes.
 const LONGEST_NAME: usize = 256;
-/// Largest configuration, in bytes; a route takes about 300.
+/// Maximum size of a configuration document, in bytes; a route takes about 300.
 const CONFIG_LIMIT: usize = 64 << 20;
 
-/// The operator's interface; other voters serve theirs on the same port.
+/// Builds the operator endpoints. Redirects to the leader use `port`, because every voter serves
+/// these endpoints on the same port.
 pub fn operators_router(door: Arc<OperatorClient>, port: u16) -> Router {
     let state = DoorState { door, port };
     Router::new()
@@ -88,7 +89,7 @@
     serde_json::json!({ "state": state, "to": record.order.to }).to_string()
 }
 
-/// Reads an order, naming every field that is missing or makes no sense.
+/// Parses a roll-out order and reports every missing or invalid field.
 fn read_order(body: &str) -> Result<RolloutOrder, FaultList> {
     let mut faults = FaultList::default();
     let document: Value = serde_json::from_str(body).unwrap_or_else(|error| {
