--- a/src/platform/pages.rs
+++ b/src/platform/pages.rs
@@ -1,7 +1,8 @@
-//! One page of the platform's list, decoded entry by entry: a bad entry costs itself alone.
+//! Decodes a page of the platform's list entry by entry, so that an invalid entry affects only
+//! itself.
 //!
-//! What goes wrong with a page that is decoded as one value: another writer's entry with a missing field, or bytes
-//! that are no text, makes the whole list unreadable, and no change of any engine is heard of any more.
+//! Decoding the page as one typed value would make the whole list unreadable because of a single
+//! entry with a missing field or invalid UTF-8, and no change of any engine would be seen any more.
 
 use crate::upstream::{UnreadEntry, VmRow, VmState};
 use http::HeaderValue;
@@ -9,33 +10,33 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Stands where bytes were that are no text.
+/// Replaces invalid UTF-8 in lossily decoded text.
 const UNREADABLE: char = '\u{FFFD}';
 
 /// A page of the list.
 #[derive(Debug, Default, PartialEq)]
 pub struct InstancePage {
-    /// Entries that name an engine.
+    /// Valid entries.
     pub rows: Vec<VmRow>,
-    /// Entries that do not.
+    /// Entries that could not be decoded.
     pub unread: Vec<UnreadEntry>,
-    /// Where the list goes on.
+    /// The page that follows.
     pub next: NextPage,
 }
 
-/// Where the list goes on after a page.
+/// The page that follows a page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum NextPage {
-    /// Nowhere: it was the last page.
+    /// This is the last page.
     #[default]
     None,
-    /// On the page of this token.
+    /// The token of the next page.
     Token(String),
-    /// The page does not say it in a way that can be read.
+    /// The reference to the next page is unreadable.
     Unknown,
 }
 
-/// An entry with the fields that each has by the platform's page. `models` and the like are passed over.
+/// An entry with the fields that the platform requires; others, such as `models`, are ignored.
 #[derive(Debug, Deserialize)]
 struct WireInstance {
     id: String,
@@ -48,7 +49,7 @@
     slots: u32,
     #[serde(rename = "cold_left_ms")]
     _cold_left_ms: f64,
-    /// Unix millisecond of the engine's start by its own clock; 0 where it does not say.
+    /// Start time of the engine in Unix milliseconds by its own clock; 0 if not reported.
     #[serde(default)]
     born: u64,
 }
@@ -60,7 +61,7 @@
     Draining,
 }
 
-/// Decodes a page. Bytes that are no text, and text that is no JSON, cost the entries that hold them.
+/// Decodes a page. Invalid UTF-8 or JSON invalidates only the entries that contain it.
 pub fn read_page(bytes: &[u8]) -> InstancePage {
     let text = String::from_utf8_lossy(bytes);
     match serde_json::from_str::<Value>(&text) {
@@ -86,7 +87,8 @@
     }
 }
 
-/// Decodes a page that is no JSON as a whole: its entries one by one, as far as their ends can be found.
+/// Decodes the entries of a page that is not valid JSON as a whole, as far as their boundaries can
+/// be found.
 fn of_pieces(text: &str) -> InstancePage {
     let Some(cut) = CutPage::of(text) else {
         return InstancePage { next: NextPage::Unknown, ..InstancePage::default() };
@@ -105,10 +107,10 @@
     read
 }
 
-/// A page cut at its entries' ends.
+/// A page split at the boundaries of its entries.
 struct CutPage<'a> {
     entries: Vec<&'a str>,
-    /// What stands around the entries, with an empty list in their place.
+    /// The page with an empty list in place of its entries; empty if the list is not closed.
     around: String,
 }
 
@@ -139,7 +141,7 @@
     }
 }
 
-/// Counts brackets outside of strings.
+/// Tracks the nesting depth of brackets outside strings.
 #[derive(Default)]
 struct BracketScan {
     depth: usize,
@@ -178,20 +180,20 @@
 
 fn read_entry(entry: &Value) -> Result<VmRow, String> {
     if entry.to_string().contains(UNREADABLE) {
-        return Err("bytes that are no text".to_owned());
+        return Err("entry contains invalid UTF-8".to_owned());
     }
     let instance = WireInstance::deserialize(entry).map_err(|error| cause_of(&error))?;
     instance.vm()
 }
 
-/// Why an entry cannot be read, without the place in its text, so that like causes read alike.
+/// Returns the error's message without line and column, so that equal causes have equal texts.
 fn cause_of(error: &serde_json::Error) -> String {
     let text = error.to_string();
     text.split(" at line ").next().unwrap_or_default().to_owned()
 }
 
-/// True for text that may stand in a header and in a query: an id that no header can carry could not be named to the
-/// engine, which would then run what is meant for another one.
+/// True for text that can be sent in a header and in a query. If the id could not be sent in a
+/// header, an engine could not detect and refuse a request meant for another instance.
 fn is_word(text: &str) -> bool {
     !text.is_empty()
         && text.bytes().all(|byte| byte.is_ascii_graphic())
@@ -201,13 +203,13 @@
 impl WireInstance {
     fn vm(&self) -> Result<VmRow, String> {
         if !is_word(&self.id) || self.service.is_empty() {
-            return Err("an id or a service that is no word".to_owned());
+            return Err("invalid id or empty service name".to_owned());
         }
         if self.address.port() == 0 || self.address.ip().is_unspecified() {
-            return Err("an address that nobody has".to_owned());
+            return Err("unspecified IP address or port 0".to_owned());
         }
         if self.slots == 0 {
-            return Err("no slots".to_owned());
+            return Err("slots must not be 0".to_owned());
         }
         Ok(VmRow {
             service: self.service.as_str().into(),
