--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: logs, metrics and the service-level burn report.
+//! Logs and metrics.
 
 mod logging;
 mod measures;
