--- a/src/report/logging.rs
+++ b/src/report/logging.rs
@@ -1,13 +1,14 @@
-//! Structured logs: JSON lines, through `slog`. A full buffer drops lines and says how many; traffic never waits.
+//! Structured logs as JSON lines, written asynchronously through `slog`. If the buffer is full,
+//! records are dropped and their number is logged, so that logging never blocks traffic.
 
 use slog::{Drain, FnValue, Level, Logger, PushFnValue, o};
 use std::io::Write;
 use std::sync::Mutex;
 
-/// Records held while the writer is slow; more are dropped and counted by the library.
+/// Records buffered for a slow writer; `slog_async` drops and counts those beyond.
 const BUFFERED_RECORDS: usize = 4_096;
 
-/// A logger of JSON lines to `writer`, at `level` and above.
+/// Creates a logger that writes records at `level` and above to `writer` as JSON lines.
 pub fn json_logger(writer: impl Write + Send + 'static, level: Level, daemon: &str) -> Logger {
     let json = slog_json::Json::new(writer)
         .add_key_value(o!(
