--- a/src/report/measures.rs
+++ b/src/report/measures.rs
@@ -1,4 +1,4 @@
-//! Metrics by `metrics`, shown in the Prometheus text format.
+//! Metrics recorded through the `metrics` crate and exported in the Prometheus text format.
 
 use crate::answer::AnswerKind;
 use crate::policy::SizeDecile;
@@ -10,47 +10,47 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
-/// Upper bounds of the latency histograms' buckets, in seconds.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 2.5, 5.0, 10.0];
 
-/// A request refused within this time did not wait.
+/// Requests refused within this time are counted as refused without waiting.
 const AT_ONCE: Duration = Duration::from_millis(5);
 
-/// Installs the process's metrics recorder; later calls change nothing.
+/// Installs the global metrics recorder; later calls have no effect.
 pub fn install_metrics() {
     HANDLE.get_or_init(|| {
         let handle =
             PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS).ok()?.install_recorder().ok();
-        // Tells one process from the next at the same address.
+        // Distinguishes successive processes at the same address.
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         gauge!("process_start_time_seconds").set(started.as_secs_f64());
         handle
     });
 }
 
-/// What is recorded of one request.
+/// The outcome of one request.
 #[derive(Debug)]
 pub struct RequestRecord<'a> {
     /// The service.
     pub service: &'a ServiceRow,
     /// The tier.
     pub tier: &'a TierName,
-    /// Whose it was.
+    /// The organisation that sent the request.
     pub organisation: &'a OrganisationName,
-    /// Why there is no whole answer.
+    /// The reason why no complete response was sent, if so.
     pub failure: Option<AnswerKind>,
-    /// True if the caller left.
+    /// True if the caller disconnected.
     pub is_abandoned: bool,
-    /// Time to the first piece.
+    /// Time to the first part of the response body.
     pub first_piece: Option<Duration>,
-    /// Time to the end.
+    /// Total time of the request.
     pub total: Duration,
-    /// Output tokens.
+    /// Number of output tokens.
     pub tokens: u32,
 }
 
-/// Counts one ended request.
+/// Records the metrics of a finished request.
 pub fn record_request(record: &RequestRecord<'_>) {
     let service = record.service.service.to_string();
     let tier = record.tier.to_string();
@@ -71,28 +71,29 @@
         .record(record.total);
 }
 
-/// What is recorded of one request by route. Routes themselves are no label: there may be thousands.
+/// The outcome of one routed request. Routes are not used as a label, because there may be
+/// thousands of them.
 #[derive(Debug)]
 pub struct RouteRecord<'a> {
     /// The route's kind.
     pub kind: RouteKind,
     /// The route's tier.
     pub tier: &'a TierName,
-    /// How it ended: the refusal's name, `answered`, `upstream-failure`, `cut` or `caller-left`.
+    /// The refusal's name, `answered`, `upstream-failure`, `cut` or `caller-left`.
     pub outcome: &'static str,
-    /// Its tenth by size among the recent requests of its route, if that is known.
+    /// Size decile among the recent requests of the route, if known.
     pub size_tenth: Option<SizeDecile>,
-    /// True if an answer met its objectives.
+    /// True if the response met its latency objectives.
     pub is_in_time: bool,
     /// Time to the first event of a stream.
     pub first_event: Option<Duration>,
-    /// The longest pause between two events.
+    /// Longest gap between two events of a stream.
     pub longest_pause: Option<Duration>,
-    /// Time to the end.
+    /// Total time of the request.
     pub total: Duration,
 }
 
-/// Counts one ended request by route.
+/// Records the metrics of a finished routed request.
 pub fn record_route(record: &RouteRecord<'_>) {
     let (kind, tier) = (record.kind.name(), record.tier.to_string());
     counter!("tarragonknot_route_requests_total", "kind" => kind, "tier" => tier.clone(), "outcome" => record.outcome)
@@ -113,7 +114,7 @@
     }
 }
 
-/// Counts one ended request by its size among the recent requests of its route.
+/// Counts a finished request by its size decile among the recent requests of its route.
 pub fn record_size(
     kind: RouteKind,
     tier: &TierName,
@@ -125,7 +126,7 @@
         .increment(1);
 }
 
-/// The metrics page.
+/// Updates the gauges and renders all metrics in the Prometheus text format.
 pub fn render_metrics(state: &TrafficState) -> String {
     for (service, pool) in state.pools().iter() {
         let status = pool.status();
