--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,6 +1,7 @@
-//! Small stand-ins for what the system meets: a model engine and a plain service, on loopback.
+//! Stand-in upstreams on loopback for tests and benchmarks: a model engine and a plain service.
 //!
-//! Not simulators of machines or networks: one engine's batching and cache, and faults on order.
+//! They model the batching and the prefix cache of a single engine and inject faults on request;
+//! they do not simulate machines or networks.
 
 mod engine_model;
 mod engine_server;
