--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -1,34 +1,35 @@
-//! The model of one engine: continuous batching, step time growing with batch and prefill, and a
-//! prefix cache of limited size. Pure: the caller lets time pass between steps.
+//! Model of an inference engine: continuous batching, step time that grows with batch size and
+//! prefill, and a prefix cache of limited size. It reads no clock: the caller advances the time
+//! between steps.
 //!
-//! Chunked prefill after Sarathi-Serve (Agrawal et al., 2024): each step decodes the whole batch and
-//! spends what is left of its token budget on prompts.
+//! Chunked prefill follows Sarathi-Serve (Agrawal et al., 2024): each step decodes the whole batch
+//! and computes prompt tokens up to its prefill budget.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::{Mutex, PoisonError};
 
-/// Tokens in one cached block.
+/// Tokens per prefix cache block.
 const BLOCK_TOKENS: u32 = 128;
 
-/// How fast and how large an engine is.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineShape {
-    /// Microseconds of a step with nothing in it.
+    /// Base duration of a step, in microseconds.
     pub step_micros: u64,
-    /// Microseconds added by each sequence in the batch.
+    /// Microseconds added per decoding sequence in the batch.
     pub sequence_micros: u64,
-    /// Microseconds added by each prompt token computed in the step.
+    /// Microseconds added per prompt token computed in the step.
     pub prefill_micros: u64,
-    /// Prompt tokens computed in one step at most.
+    /// Maximum number of prompt tokens computed in a step.
     pub prefill_budget: u32,
-    /// Sequences in the batch at most.
+    /// Maximum number of sequences in the batch.
     pub batch_limit: usize,
-    /// Blocks of the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
 }
 
 impl EngineShape {
-    /// An engine with the given least step time.
+    /// Returns a shape whose other times are proportional to the base step time.
     pub fn with_step(step_micros: u64) -> Self {
         EngineShape {
             step_micros,
@@ -41,20 +42,19 @@
     }
 }
 
-/// A job's number.
+/// Identifies a job within an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// One request inside an engine.
+/// A request submitted to an engine.
 #[derive(Clone, Debug)]
 pub struct EngineJob {
-    /// Its number.
     pub id: JobId,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
     /// Cumulative hashes of the prompt's blocks.
     pub blocks: Box<[u64]>,
-    /// Output tokens to make.
+    /// Number of output tokens to generate.
     pub output_tokens: u32,
 }
 
@@ -66,20 +66,20 @@
     emitted: u32,
 }
 
-/// What one step did.
+/// The result of a step.
 #[derive(Clone, Debug, Default)]
 pub struct EngineStep {
-    /// How long it took, in microseconds.
+    /// Duration in microseconds.
     pub micros: u64,
-    /// Jobs that made a token.
+    /// Jobs that generated a token.
     pub emitted: Vec<JobId>,
-    /// Jobs that made their last token.
+    /// Jobs that generated their last token.
     pub finished: Vec<JobId>,
-    /// Blocks dropped from the cache.
+    /// Blocks evicted from the prefix cache.
     pub evicted: Vec<u64>,
 }
 
-/// Prefill work of a whole pool, and how much of it was wasted.
+/// Counts the prompt tokens that the engines of a pool computed, and those of them wasted.
 #[derive(Debug, Default)]
 pub struct PrefillLedger(Mutex<LedgerState>);
 
@@ -103,23 +103,24 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).thrown_away += u64::from(tokens);
     }
 
-    /// Prompt tokens computed.
+    /// Returns the number of prompt tokens computed.
     pub fn computed_tokens(&self) -> u64 {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).computed
     }
 
-    /// Prompt tokens computed again although some engine had computed them, or thrown away.
+    /// Returns the number of prompt tokens recomputed after some engine of the pool had computed
+    /// them, plus those discarded with cancelled jobs.
     pub fn wasted_tokens(&self) -> u64 {
         let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         state.repeated + state.thrown_away
     }
 }
 
-/// One engine.
+/// An inference engine.
 #[derive(Debug)]
 pub struct EngineModel {
     shape: EngineShape,
-    /// A factor on all times: above 1 for a straggler.
+    /// Multiplier of all step times; above 1 for a straggler.
     pub slowness: f64,
     waiting: VecDeque<EngineJob>,
     running: Vec<RunningJob>,
@@ -130,7 +131,7 @@
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(shape: EngineShape) -> Self {
         EngineModel {
             shape,
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Takes a job; engines admit in order of arrival.
+    /// Queues a job; jobs enter the batch in order of arrival.
     pub fn submit(&mut self, job: EngineJob) {
         self.waiting.push_back(job);
     }
 
-    /// Drops a job; what it computed is thrown away.
+    /// Removes a job; the prompt tokens computed for it are counted as discarded.
     pub fn cancel(&mut self, id: JobId, ledger: &PrefillLedger) {
         self.waiting.retain(|job| job.id != id);
         if let Some(position) = self.running.iter().position(|running| running.job.id == id) {
@@ -158,27 +159,27 @@
         }
     }
 
-    /// Jobs in the batch.
+    /// Returns the number of jobs in the batch.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Jobs not yet in the batch.
+    /// Returns the number of jobs waiting for the batch.
     pub fn queued_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Microseconds of the last step.
+    /// Returns the duration of the last step, in microseconds.
     pub fn last_step_micros(&self) -> u64 {
         self.last_step_micros
     }
 
-    /// True if there is nothing to do.
+    /// True if no job is running or waiting.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Runs one step; none if idle.
+    /// Runs one step; returns `None` if the engine is idle.
     pub fn step(&mut self, ledger: &PrefillLedger) -> Option<EngineStep> {
         self.fill_batch();
         if self.running.is_empty() {
@@ -235,7 +236,7 @@
             let Some(job) = self.waiting.pop_front() else { return };
             let cached_blocks =
                 job.blocks.iter().take_while(|block| self.cache.contains_key(*block)).count();
-            // At least one prompt token is always computed: the first output needs it.
+            // The last prompt token is always computed, because the first output token needs it.
             let cached =
                 (cached_blocks as u32 * BLOCK_TOKENS).min(job.prompt_tokens.saturating_sub(1));
             let touched: Vec<u64> = job.blocks[..cached_blocks].to_vec();
