--- a/src/standin/engine_server.rs
+++ b/src/standin/engine_server.rs
@@ -1,5 +1,5 @@
-//! A stand-in model engine over HTTP: chat and completions, streamed or whole, resume and cancel by
-//! request id, load reports, faults on order, and a count of dispatches by request id.
+//! Stand-in model engine over HTTP: chat and text completions, streamed or not, resume and cancel
+//! by request id, load reports, injected faults, and a count of dispatches per request id.
 
 use super::engine_model::{EngineJob, EngineModel, EngineShape, JobId, PrefillLedger};
 use super::faults::{FaultPlan, StandinFault};
@@ -20,14 +20,14 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// Output tokens where the request names no limit.
+/// Output tokens if the request sets no limit.
 const DEFAULT_OUTPUT: u32 = 32;
-/// Bytes of prompt per token.
+/// Prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// How often a finished request's record is looked at for removal.
+/// Age after which a request's record is removed.
 const RECORD_LIFE: Duration = Duration::from_secs(60);
 
-/// What the engine remembers of one request: enough to stream it from any piece on.
+/// State of a request from which its stream can be resumed at any event.
 #[derive(Clone, Debug, Default)]
 struct AnswerRecord {
     nonce: String,
@@ -58,9 +58,9 @@
 
 /// A running stand-in engine.
 pub struct EngineStandin {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Faults for the next requests.
+    /// Faults to inject into the next requests.
     pub faults: FaultPlan,
     model: Mutex<EngineModel>,
     book: Mutex<EngineBook>,
@@ -69,12 +69,12 @@
     next_job: AtomicU64,
     is_leaving: AtomicBool,
     started: Instant,
-    /// Load reports are this old when they are read.
+    /// Age of the load reports that are served.
     report_lag: Duration,
     reports: Mutex<Vec<(Instant, Value)>>,
 }
 
-/// Starts an engine on a free port of loopback; it runs until the runtime ends.
+/// Starts an engine on a free loopback port; it runs until the runtime shuts down.
 pub async fn start_engine(
     shape: EngineShape,
     ledger: Arc<PrefillLedger>,
@@ -110,22 +110,22 @@
 }
 
 impl EngineStandin {
-    /// How often each request id was dispatched to this engine.
+    /// Returns the number of dispatches to this engine per request id.
     pub fn dispatches(&self) -> HashMap<String, u32> {
         locked(&self.book).dispatches.clone()
     }
 
-    /// Makes every step take `factor` times as long.
+    /// Multiplies the duration of every step by `factor`.
     pub fn set_slowness(&self, factor: f64) {
         locked(&self.model).slowness = factor;
     }
 
-    /// From now on reports say that the engine is leaving.
+    /// Marks the engine as leaving in its load reports.
     pub fn leave(&self) {
         self.is_leaving.store(true, Ordering::Release);
     }
 
-    /// Jobs running and waiting.
+    /// Returns the number of running and waiting jobs.
     pub fn job_count(&self) -> usize {
         let model = locked(&self.model);
         model.running_count() + model.queued_count()
@@ -142,7 +142,7 @@
         }})
     }
 
-    /// The newest report that is at least as old as the lag.
+    /// Returns the newest report that is at least as old as the lag, else the oldest one.
     fn lagging_report(&self) -> Value {
         let report = self.report();
         if self.report_lag.is_zero() {
@@ -252,7 +252,7 @@
     }
 }
 
-/// A head is written, then the connection ends.
+/// A response whose body fails at once, which resets the connection.
 fn cut_response(id: &str) -> Response<Body> {
     let frames = vec![Err::<Bytes, io::Error>(io::Error::from(io::ErrorKind::ConnectionReset))];
     let mut response = Response::new(Body::from_stream(tokio_stream::iter(frames)));
