--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -1,39 +1,39 @@
-//! Faults that a stand-in shows on order, one for each of the next requests.
+//! Fault injection for the stand-ins: a queue of faults, one per request.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// What goes wrong with one request.
+/// A fault injected into one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StandinFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The connection ends after this many pieces.
+    /// The connection is reset after this many events.
     Truncated(u64),
-    /// The connection falls silent for good after this many pieces; the work goes on.
+    /// Nothing is sent after this many events; the connection stays open and the job goes on.
     Silent(u64),
-    /// The answer carries another request's id.
+    /// The response carries the id of another request.
     Crossed,
-    /// The answer's head comes this much later.
+    /// The response head is delayed by this time.
     Late(Duration),
-    /// Every piece is sent twice.
+    /// Every event is sent twice.
     Doubled,
-    /// The connection ends without a head, and the work is forgotten.
+    /// The connection is reset before a response, and the job is cancelled.
     Died,
 }
 
-/// Faults in waiting.
+/// Queue of faults for the next requests.
 #[derive(Debug, Default)]
 pub struct FaultPlan(Mutex<VecDeque<StandinFault>>);
 
 impl FaultPlan {
-    /// The next request without an ordered fault shows this one.
+    /// Queues a fault for the next request that has none assigned.
     pub fn order(&self, fault: StandinFault) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push_back(fault);
     }
 
-    /// The fault for the request that has just come.
+    /// Removes and returns the fault for the current request.
     pub fn next(&self) -> StandinFault {
         self.0
             .lock()
