--- a/src/standin/plain_server.rs
+++ b/src/standin/plain_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service over HTTP: bookings and look-ups, with a count of runs by request id.
+//! Stand-in plain HTTP service that echoes requests and counts executions per request id.
 
 use super::faults::{FaultPlan, StandinFault};
 use axum::Router;
@@ -15,18 +15,18 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// How a plain service behaves.
+/// Timing of a plain service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainShape {
-    /// Time to answer one request.
+    /// Processing time of a request.
     pub work: Duration,
 }
 
 /// A running stand-in service.
 pub struct PlainStandin {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Faults for the next requests.
+    /// Faults to inject into the next requests.
     pub faults: FaultPlan,
     shape: PlainShape,
     runs: Mutex<HashMap<String, u32>>,
@@ -34,7 +34,7 @@
     started: Instant,
 }
 
-/// Starts a service on a free port of loopback; it runs until the runtime ends.
+/// Starts a service on a free loopback port; it runs until the runtime shuts down.
 pub async fn start_plain(shape: PlainShape) -> io::Result<Arc<PlainStandin>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let service = Arc::new(PlainStandin {
@@ -54,7 +54,7 @@
 }
 
 impl PlainStandin {
-    /// How often each request id was run.
+    /// Returns the number of executions per request id.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
