--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -149,11 +149,11 @@
             (WireKind::Stream, true) => RouteKind::ResumableStream,
             (WireKind::Stream, false) => RouteKind::Stream,
         };
-        let split = self.backends.iter().map(|backend| RouteTarget {
+        let weighted_targets = self.backends.iter().map(|backend| RouteTarget {
             service: backend.service.as_str().into(),
             weight: backend.weight,
         });
-        let whole = self
+        let single_target = self
             .service
             .iter()
             .filter(|_| self.backends.is_empty())
@@ -170,18 +170,18 @@
             tier: tier_name_of_rank(self.priority),
             attempts: self.max_attempts.max(1),
             is_public: self.public,
-            targets: split.chain(whole).collect(),
+            targets: weighted_targets.chain(single_target).collect(),
         }
     }
 }
 
 impl WireRoute {
     /// How long the platform's callers wait for an event: the largest of 2 seconds, 4 times the
-    /// latency objective and 8 times the objective for gaps between events.
+    /// latency objective and 8 times the objective for the longest pause.
     fn patience(&self) -> Duration {
         let by_objective = 4 * self.latency_slo_ms;
-        let by_pause = 8 * self.gap_slo_ms.unwrap_or(0);
-        Duration::from_millis(by_objective.max(by_pause).max(2_000))
+        let by_gap = 8 * self.gap_slo_ms.unwrap_or(0);
+        Duration::from_millis(by_objective.max(by_gap).max(2_000))
     }
 }
 
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -15,17 +15,17 @@
 const DEADLINE: &str = "tarragonknot-deadline-ms";
 const TOKEN_COUNT: &str = "tarragonknot-token-count";
 const LENGTH_HINT: &str = "tarragonknot-length-hint";
-const LAST_EVENT: &str = "last-event-id";
+const LAST_EVENT_ID: &str = "last-event-id";
 const EXPECT_INSTANCE: &str = "tarragonknot-expect-instance";
 const TENANT: &str = "tarragonknot-tenant";
-const SEAL: &str = "tarragonknot-server-seal";
+const SERVER_SEAL: &str = "tarragonknot-server-seal";
 const NOT_EXECUTED: &str = "tarragonknot-not-executed";
 const SERVER_LOAD: &str = "tarragonknot-server-load";
 const KEEP_ALIVE: &str = "keep-alive";
 const HOLD: &str = "tarragonknot-hold";
-const HOLD_TAKE: &str = "/-/hold-take";
+const HOLD_TAKE_PATH: &str = "/-/hold-take";
 /// Headers removed from callers' requests: only this system may set them on requests to engines.
-const SYSTEM_ONLY: [&str; 8] = [
+const SYSTEM_ONLY_HEADERS: [&str; 8] = [
     EXPECT_INSTANCE,
     TENANT,
     "tarragonknot-expect-version",
@@ -38,7 +38,7 @@
 
 /// Body of a request that reserves a place on an engine.
 #[derive(Debug, Serialize)]
-struct HoldCall {
+struct HoldRequest {
     tokens: u32,
     ttl_ms: u64,
 }
@@ -46,14 +46,14 @@
 /// The engine's response. The platform's specification leaves open whether the reservation id is
 /// a string or a number, so both are accepted.
 #[derive(Debug, Deserialize)]
-struct HoldAnswer {
+struct HoldResponse {
     hold: serde_json::Value,
     /// Start time of the engine in Unix milliseconds, if the engine reports it.
     #[serde(default)]
     born: serde_json::Value,
 }
 
-fn hold_name(hold: &serde_json::Value) -> String {
+fn hold_id(hold: &serde_json::Value) -> String {
     hold.as_str().map_or_else(|| hold.to_string(), str::to_owned)
 }
 
@@ -67,18 +67,18 @@
         let counts = text(headers, TOKEN_COUNT).and_then(|counts| counts.split_once(','));
         CallerMetadata {
             id: text(headers, REQUEST_ID).map(str::to_owned),
-            key: bearer(headers).map(str::to_owned),
+            key: bearer_key(headers).map(str::to_owned),
             deadline: number(headers, DEADLINE).map(Duration::from_millis),
             prompt_tokens: counts.and_then(|(prompt, _)| prompt.trim().parse().ok()),
             output_limit: counts.and_then(|(_, output)| output.trim().parse().ok()),
             output_guess: number(headers, LENGTH_HINT),
-            last_event_id: number(headers, LAST_EVENT),
+            last_event_id: number(headers, LAST_EVENT_ID),
         }
     }
 
     fn write_upstream_headers(&self, headers: &mut HeaderMap, metadata: &SendMetadata<'_>) {
         headers.remove(AUTHORIZATION);
-        SYSTEM_ONLY.iter().for_each(|name| drop(headers.remove(*name)));
+        SYSTEM_ONLY_HEADERS.iter().for_each(|name| drop(headers.remove(*name)));
         let mut set = |name: &'static str, value: String| {
             HeaderValue::from_str(&value).into_iter().for_each(|value| {
                 headers.insert(name, value);
@@ -89,15 +89,15 @@
         metadata
             .deadline
             .into_iter()
-            .for_each(|left| set(DEADLINE, left.as_millis().max(1).to_string()));
-        metadata.last_event_id.into_iter().for_each(|event| set(LAST_EVENT, event.to_string()));
+            .for_each(|remaining| set(DEADLINE, remaining.as_millis().max(1).to_string()));
+        metadata.last_event_id.into_iter().for_each(|event| set(LAST_EVENT_ID, event.to_string()));
         metadata.place_id.into_iter().for_each(|place_id| set(HOLD, place_id.to_owned()));
     }
 
     fn reservation_call(&self, request: &ReservationRequest<'_>) -> Option<Request<Bytes>> {
         let body =
-            HoldCall { tokens: request.tokens, ttl_ms: request.hold_time.as_millis() as u64 };
-        Request::post(HOLD_TAKE)
+            HoldRequest { tokens: request.tokens, ttl_ms: request.hold_time.as_millis() as u64 };
+        Request::post(HOLD_TAKE_PATH)
             .header(CONTENT_TYPE, "application/json")
             .header(EXPECT_INSTANCE, request.incarnation)
             .body(serde_json::to_vec(&body).ok()?.into())
@@ -107,8 +107,8 @@
     fn read_reservation(&self, status: StatusCode, body: &[u8]) -> ReservationReply {
         match status {
             StatusCode::OK => match serde_json::from_slice(body) {
-                Ok(HoldAnswer { hold, born }) => {
-                    ReservationReply::Reserved { id: hold_name(&hold), incarnation: born.as_u64() }
+                Ok(HoldResponse { hold, born }) => {
+                    ReservationReply::Reserved { id: hold_id(&hold), incarnation: born.as_u64() }
                 }
                 Err(_) => ReservationReply::Unknown,
             },
@@ -124,7 +124,7 @@
             echoed_id: text(headers, REQUEST_ID).map(str::to_owned),
             is_not_run: is_other_incarnation || headers.contains_key(NOT_EXECUTED),
             is_other_incarnation,
-            is_signed: headers.contains_key(SEAL),
+            is_signed: headers.contains_key(SERVER_SEAL),
             load: text(headers, SERVER_LOAD).and_then(read_load),
             idle_timeout: text(headers, KEEP_ALIVE).and_then(read_keep_alive),
         }
@@ -139,7 +139,7 @@
     text(headers, name)?.trim().parse().ok()
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_key(headers: &HeaderMap) -> Option<&str> {
     let (scheme, key) = text(headers, AUTHORIZATION.as_str())?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
--- a/src/platform/instances.rs
+++ b/src/platform/instances.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 
 /// Maximum size of a page, in bytes.
-const PAGE_LIMIT: usize = 4 << 20;
+const MAX_PAGE_BYTES: usize = 4 << 20;
 /// Maximum number of pages per reading; bounds the work if a list never ends.
-const MOST_PAGES: usize = 1_000;
+const MAX_PAGES: usize = 1_000;
 
 /// Reads the paginated list over HTTP.
 pub struct InstanceLister {
@@ -28,7 +28,7 @@
         InstanceLister { address, connections }
     }
 
-    async fn page(&self, token: Option<&str>) -> Result<InstancePage, ListFault> {
+    async fn fetch_page(&self, token: Option<&str>) -> Result<InstancePage, ListFault> {
         let query = token.map_or_else(String::new, |token| format!("?page_token={token}"));
         let request = Request::get(format!("/instances{query}"))
             .header(HOST, self.address.to_string())
@@ -37,7 +37,7 @@
         let sent = self.connections.send(self.address, request, PROVEN_ALIVE * 3).await;
         let (response, connection) = sent.map_err(ListFault::from_display)?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), PAGE_LIMIT).collect().await;
+        let body = Limited::new(response.into_body(), MAX_PAGE_BYTES).collect().await;
         let body = body.map_err(ListFault::from_display)?;
         connection.finish();
         if !status.is_success() {
@@ -51,10 +51,10 @@
     fn read(&self) -> BoxFuture<'_, Result<ListReading, ListFault>> {
         Box::pin(async move {
             let mut reading = ListReading::default();
-            let mut read = BTreeSet::new();
+            let mut seen_tokens = BTreeSet::new();
             let mut token: Option<String> = None;
-            for _ in 0..MOST_PAGES {
-                let page = self.page(token.as_deref()).await?;
+            for _ in 0..MAX_PAGES {
+                let page = self.fetch_page(token.as_deref()).await?;
                 reading.rows.extend(page.rows);
                 reading.unread.extend(page.unread);
                 let next = match page.next {
@@ -63,7 +63,7 @@
                         return Ok(reading);
                     }
                     // A repeated token would make the pagination loop.
-                    NextPage::Token(next) if read.insert(next.clone()) => next,
+                    NextPage::Token(next) if seen_tokens.insert(next.clone()) => next,
                     NextPage::Token(_) | NextPage::Unknown => return Ok(reading),
                 };
                 token = Some(next);
--- a/src/platform/operators.rs
+++ b/src/platform/operators.rs
@@ -15,71 +15,71 @@
 use std::sync::Arc;
 
 /// Minimum and maximum duration of a roll-out, in seconds.
-const LEAST_SECONDS: f64 = 0.001;
-const MOST_SECONDS: f64 = 7.0 * 86_400.0;
+const MIN_ROLLOUT_SECONDS: f64 = 0.001;
+const MAX_ROLLOUT_SECONDS: f64 = 7.0 * 86_400.0;
 /// Maximum length of a service or version name, in bytes.
-const LONGEST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 /// Maximum size of a configuration document, in bytes; a route takes about 300.
-const CONFIG_LIMIT: usize = 64 << 20;
+const MAX_CONFIG_BYTES: usize = 64 << 20;
 
 /// Builds the operator endpoints. Redirects to the leader use `port`, because every voter serves
 /// these endpoints on the same port.
-pub fn operators_router(door: Arc<OperatorClient>, port: u16) -> Router {
-    let state = DoorState { door, port };
+pub fn operators_router(client: Arc<OperatorClient>, port: u16) -> Router {
+    let state = OperatorState { client, port };
     Router::new()
-        .route("/-/config/replace", post(replace))
-        .route("/-/config/read", get(read))
+        .route("/-/config/replace", post(replace_config))
+        .route("/-/config/read", get(read_config))
         .route("/-/rollouts/begin", post(begin_rollout))
         .route("/-/rollouts/{service}/read", get(read_rollout))
-        .layer(DefaultBodyLimit::max(CONFIG_LIMIT))
+        .layer(DefaultBodyLimit::max(MAX_CONFIG_BYTES))
         .with_state(state)
 }
 
 #[derive(Clone)]
-struct DoorState {
-    door: Arc<OperatorClient>,
+struct OperatorState {
+    client: Arc<OperatorClient>,
     port: u16,
 }
 
-async fn replace(State(state): State<DoorState>, uri: Uri, body: String) -> Response {
-    let answer = state.door.replace_table(body).await;
+async fn replace_config(State(state): State<OperatorState>, uri: Uri, body: String) -> Response {
+    let answer = state.client.replace_table(body).await;
     state.respond(answer, &uri, |_| "{}".to_owned())
 }
 
-async fn read(State(state): State<DoorState>, uri: Uri) -> Response {
-    let answer = state.door.read_table().await;
+async fn read_config(State(state): State<OperatorState>, uri: Uri) -> Response {
+    let answer = state.client.read_table().await;
     state.respond(answer, &uri, |document| document.to_string())
 }
 
-async fn begin_rollout(State(state): State<DoorState>, uri: Uri, body: String) -> Response {
-    let answer = match read_order(&body) {
-        Ok(order) => state.door.begin_rollout(order).await,
+async fn begin_rollout(State(state): State<OperatorState>, uri: Uri, body: String) -> Response {
+    let answer = match parse_order(&body) {
+        Ok(order) => state.client.begin_rollout(order).await,
         Err(faults) => OperatorAnswer::Invalid(faults),
     };
     match answer {
         OperatorAnswer::Done(RolloutReply::Busy(record)) => {
             let error = format!("a roll-out to {} is under way", record.order.to);
-            json(StatusCode::CONFLICT, serde_json::json!({ "error": error }).to_string())
+            json_response(StatusCode::CONFLICT, serde_json::json!({ "error": error }).to_string())
         }
         answer => state.respond(answer, &uri, |_| "{}".to_owned()),
     }
 }
 
 async fn read_rollout(
-    State(state): State<DoorState>,
+    State(state): State<OperatorState>,
     Path(service): Path<String>,
     uri: Uri,
 ) -> Response {
-    match state.door.newest_rollout(&service.as_str().into()).await {
+    match state.client.newest_rollout(&service.as_str().into()).await {
         OperatorAnswer::Done(None) => {
             let error = format!("no roll-out of {service} was ordered");
-            json(StatusCode::NOT_FOUND, serde_json::json!({ "error": error }).to_string())
+            json_response(StatusCode::NOT_FOUND, serde_json::json!({ "error": error }).to_string())
         }
-        answer => state.respond(answer, &uri, |record| rollout_text(record.as_ref())),
+        answer => state.respond(answer, &uri, |record| rollout_json(record.as_ref())),
     }
 }
 
-fn rollout_text(record: Option<&RolloutRecord>) -> String {
+fn rollout_json(record: Option<&RolloutRecord>) -> String {
     let Some(record) = record else { return "{}".to_owned() };
     let state = match record.stage {
         RolloutStage::Trial | RolloutStage::Expanding | RolloutStage::Draining => "running",
@@ -90,7 +90,7 @@
 }
 
 /// Parses a roll-out order and reports every missing or invalid field.
-fn read_order(body: &str) -> Result<RolloutOrder, FaultList> {
+fn parse_order(body: &str) -> Result<RolloutOrder, FaultList> {
     let mut faults = FaultList::default();
     let document: Value = serde_json::from_str(body).unwrap_or_else(|error| {
         faults.add("", error, "a JSON object");
@@ -101,7 +101,7 @@
     }
     let mut text = |field: &str| {
         let value = document.get(field).unwrap_or(&Value::Null);
-        let text = value.as_str().filter(|text| !text.is_empty() && text.len() <= LONGEST_NAME);
+        let text = value.as_str().filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
         if text.is_none() {
             faults.add(format!("/{field}"), value, "a name");
         }
@@ -109,10 +109,11 @@
     };
     let (service, to) = (text("service"), text("to"));
     let duration = document.get("duration_s").unwrap_or(&Value::Null);
-    let seconds = duration.as_f64().filter(|seconds| LEAST_SECONDS <= *seconds);
-    let seconds = seconds.filter(|seconds| *seconds <= MOST_SECONDS);
+    let seconds = duration.as_f64().filter(|seconds| MIN_ROLLOUT_SECONDS <= *seconds);
+    let seconds = seconds.filter(|seconds| *seconds <= MAX_ROLLOUT_SECONDS);
     if seconds.is_none() {
-        let expected = format!("a number of seconds from {LEAST_SECONDS} to {MOST_SECONDS}");
+        let expected =
+            format!("a number of seconds from {MIN_ROLLOUT_SECONDS} to {MAX_ROLLOUT_SECONDS}");
         faults.add("/duration_s", duration, expected);
     }
     if !faults.0.is_empty() {
@@ -125,25 +126,25 @@
     })
 }
 
-impl DoorState {
+impl OperatorState {
     fn respond<T>(
         &self,
         answer: OperatorAnswer<T>,
         uri: &Uri,
-        text: impl Fn(T) -> String,
+        to_body: impl Fn(T) -> String,
     ) -> Response {
         match answer {
-            OperatorAnswer::Done(value) => json(StatusCode::OK, text(value)),
+            OperatorAnswer::Done(value) => json_response(StatusCode::OK, to_body(value)),
             OperatorAnswer::Invalid(faults) => {
                 let body = serde_json::json!({ "error": faults.to_string(), "faults": faults });
-                json(StatusCode::BAD_REQUEST, body.to_string())
+                json_response(StatusCode::BAD_REQUEST, body.to_string())
             }
             OperatorAnswer::Elsewhere(leader) => {
-                let place = SocketAddr::new(leader.ip(), self.port);
-                let place = HeaderValue::from_str(&format!("http://{place}{}", uri.path()));
+                let address = SocketAddr::new(leader.ip(), self.port);
+                let location = HeaderValue::from_str(&format!("http://{address}{}", uri.path()));
                 let mut response = StatusCode::TEMPORARY_REDIRECT.into_response();
-                place.into_iter().for_each(|place| {
-                    response.headers_mut().insert(LOCATION, place);
+                location.into_iter().for_each(|location| {
+                    response.headers_mut().insert(LOCATION, location);
                 });
                 response
             }
@@ -156,7 +157,7 @@
     }
 }
 
-fn json(status: StatusCode, body: String) -> Response {
+fn json_response(status: StatusCode, body: String) -> Response {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/src/platform/pages.rs
+++ b/src/platform/pages.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// Replaces invalid UTF-8 in lossily decoded text.
-const UNREADABLE: char = '\u{FFFD}';
+const REPLACEMENT_CHAR: char = '\u{FFFD}';
 
 /// A page of the list.
 #[derive(Debug, Default, PartialEq)]
@@ -65,100 +65,100 @@
 pub fn read_page(bytes: &[u8]) -> InstancePage {
     let text = String::from_utf8_lossy(bytes);
     match serde_json::from_str::<Value>(&text) {
-        Ok(page) => of_value(&page),
-        Err(_) => of_pieces(&text),
+        Ok(page) => decode_value(&page),
+        Err(_) => decode_entries(&text),
     }
 }
 
-fn of_value(page: &Value) -> InstancePage {
+fn decode_value(page: &Value) -> InstancePage {
     let Some(entries) = page.get("instances").and_then(Value::as_array) else {
         return InstancePage { next: NextPage::Unknown, ..InstancePage::default() };
     };
-    let mut read = InstancePage { next: next_page(page), ..InstancePage::default() };
-    entries.iter().for_each(|entry| read.take(entry));
-    read
+    let mut decoded = InstancePage { next: next_page(page), ..InstancePage::default() };
+    entries.iter().for_each(|entry| decoded.add_entry(entry));
+    decoded
 }
 
 fn next_page(page: &Value) -> NextPage {
     match page.get("next_token") {
         None | Some(Value::Null) => NextPage::None,
-        Some(Value::String(token)) if is_word(token) => NextPage::Token(token.clone()),
+        Some(Value::String(token)) if is_header_safe(token) => NextPage::Token(token.clone()),
         Some(_) => NextPage::Unknown,
     }
 }
 
 /// Decodes the entries of a page that is not valid JSON as a whole, as far as their boundaries can
 /// be found.
-fn of_pieces(text: &str) -> InstancePage {
-    let Some(cut) = CutPage::of(text) else {
+fn decode_entries(text: &str) -> InstancePage {
+    let Some(split) = SplitPage::of(text) else {
         return InstancePage { next: NextPage::Unknown, ..InstancePage::default() };
     };
-    let around = serde_json::from_str::<Value>(&cut.around);
-    let mut read = InstancePage {
-        next: around.map_or(NextPage::Unknown, |page| next_page(&page)),
+    let envelope = serde_json::from_str::<Value>(&split.envelope);
+    let mut page = InstancePage {
+        next: envelope.map_or(NextPage::Unknown, |page| next_page(&page)),
         ..InstancePage::default()
     };
-    for entry in cut.entries {
+    for entry in split.entries {
         match serde_json::from_str(entry) {
-            Ok(entry) => read.take(&entry),
-            Err(error) => read.unread.push(UnreadEntry { upstream: None, cause: cause_of(&error) }),
+            Ok(entry) => page.add_entry(&entry),
+            Err(error) => page.unread.push(UnreadEntry { upstream: None, cause: cause_of(&error) }),
         }
     }
-    read
+    page
 }
 
 /// A page split at the boundaries of its entries.
-struct CutPage<'a> {
+struct SplitPage<'a> {
     entries: Vec<&'a str>,
     /// The page with an empty list in place of its entries; empty if the list is not closed.
-    around: String,
+    envelope: String,
 }
 
-impl<'a> CutPage<'a> {
+impl<'a> SplitPage<'a> {
     fn of(text: &'a str) -> Option<Self> {
-        let name = text.find("\"instances\"")?;
-        let open = name + text[name..].find('[')?;
-        let mut scan = BracketScan::default();
+        let name_start = text.find("\"instances\"")?;
+        let list_start = name_start + text[name_start..].find('[')?;
+        let mut scanner = BracketScanner::default();
         let mut entries = Vec::new();
         let mut start = None;
-        for (at, byte) in text.bytes().enumerate().skip(open + 1) {
-            let was_outside = scan.depth == 0;
+        for (idx, byte) in text.bytes().enumerate().skip(list_start + 1) {
+            let was_outside = scanner.depth == 0;
             if was_outside && byte == b']' {
-                let around = format!("{}[]{}", &text[..open], &text[at + 1..]);
-                return Some(CutPage { entries, around });
+                let envelope = format!("{}[]{}", &text[..list_start], &text[idx + 1..]);
+                return Some(SplitPage { entries, envelope });
             }
-            scan.step(byte);
-            if was_outside && scan.depth == 1 {
-                start = Some(at);
+            scanner.step(byte);
+            if was_outside && scanner.depth == 1 {
+                start = Some(idx);
             }
-            if scan.depth == 0
+            if scanner.depth == 0
                 && let Some(start) = start.take()
             {
-                entries.push(&text[start..=at]);
+                entries.push(&text[start..=idx]);
             }
         }
-        Some(CutPage { entries, around: String::new() })
+        Some(SplitPage { entries, envelope: String::new() })
     }
 }
 
 /// Tracks the nesting depth of brackets outside strings.
 #[derive(Default)]
-struct BracketScan {
+struct BracketScanner {
     depth: usize,
-    is_string: bool,
+    is_in_string: bool,
     is_escaped: bool,
 }
 
-impl BracketScan {
+impl BracketScanner {
     fn step(&mut self, byte: u8) {
-        if self.is_string {
+        if self.is_in_string {
             let ends = byte == b'"' && !self.is_escaped;
             self.is_escaped = byte == b'\\' && !self.is_escaped;
-            self.is_string = !ends;
+            self.is_in_string = !ends;
             return;
         }
         match byte {
-            b'"' => self.is_string = true,
+            b'"' => self.is_in_string = true,
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth = self.depth.saturating_sub(1),
             _ => {}
@@ -167,11 +167,11 @@
 }
 
 impl InstancePage {
-    fn take(&mut self, entry: &Value) {
+    fn add_entry(&mut self, entry: &Value) {
         match read_entry(entry) {
             Ok(row) => self.rows.push(row),
             Err(cause) => {
-                let id = entry.get("id").and_then(Value::as_str).filter(|id| is_word(id));
+                let id = entry.get("id").and_then(Value::as_str).filter(|id| is_header_safe(id));
                 self.unread.push(UnreadEntry { upstream: id.map(Into::into), cause });
             }
         }
@@ -179,7 +179,7 @@
 }
 
 fn read_entry(entry: &Value) -> Result<VmRow, String> {
-    if entry.to_string().contains(UNREADABLE) {
+    if entry.to_string().contains(REPLACEMENT_CHAR) {
         return Err("entry contains invalid UTF-8".to_owned());
     }
     let instance = WireInstance::deserialize(entry).map_err(|error| cause_of(&error))?;
@@ -194,7 +194,7 @@
 
 /// True for text that can be sent in a header and in a query. If the id could not be sent in a
 /// header, an engine could not detect and refuse a request meant for another instance.
-fn is_word(text: &str) -> bool {
+fn is_header_safe(text: &str) -> bool {
     !text.is_empty()
         && text.bytes().all(|byte| byte.is_ascii_graphic())
         && HeaderValue::from_str(text).is_ok()
@@ -202,7 +202,7 @@
 
 impl WireInstance {
     fn vm(&self) -> Result<VmRow, String> {
-        if !is_word(&self.id) || self.service.is_empty() {
+        if !is_header_safe(&self.id) || self.service.is_empty() {
             return Err("invalid id or empty service name".to_owned());
         }
         if self.address.port() == 0 || self.address.ip().is_unspecified() {
