--- a/src/report/measures.rs
+++ b/src/report/metrics.rs
@@ -9,17 +9,17 @@
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
+static RECORDER_HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 /// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 2.5, 5.0, 10.0];
 
 /// Requests refused within this time are counted as refused without waiting.
-const AT_ONCE: Duration = Duration::from_millis(5);
+const IMMEDIATE_REFUSAL_TIME: Duration = Duration::from_millis(5);
 
 /// Installs the global metrics recorder; later calls have no effect.
 pub fn install_metrics() {
-    HANDLE.get_or_init(|| {
+    RECORDER_HANDLE.get_or_init(|| {
         let handle =
             PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS).ok()?.install_recorder().ok();
         // Distinguishes successive processes at the same address.
@@ -100,7 +100,7 @@
         .increment(1);
     let outcome = match record.outcome {
         "answered" if !record.is_in_time => "answered-late",
-        "deadline-waiting" if record.total < AT_ONCE => "deadline-at-once",
+        "deadline-waiting" if record.total < IMMEDIATE_REFUSAL_TIME => "deadline-at-once",
         outcome => outcome,
     };
     record_size(record.kind, record.tier, record.size_tenth, outcome);
@@ -140,7 +140,7 @@
     gauge!("tarragonknot_suspect_requests").set(sizes.known as f64);
     gauge!("tarragonknot_table_version").set(state.snapshot().version as f64);
     gauge!("tarragonknot_ready").set(if state.is_ready() { 1.0 } else { 0.0 });
-    match HANDLE.get() {
+    match RECORDER_HANDLE.get() {
         Some(Some(handle)) => handle.render(),
         _ => String::new(),
     }
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,10 +1,10 @@
 //! Logs and metrics.
 
 mod logging;
-mod measures;
+mod metrics;
 
-pub use logging::json_logger;
-pub use measures::{
+pub use self::metrics::{
     RequestRecord, RouteRecord, install_metrics, record_request, record_route, record_size,
     render_metrics,
 };
+pub use logging::json_logger;
