--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -85,22 +85,22 @@
 
 #[derive(Debug, Default)]
 struct LedgerState {
-    seen: HashSet<u64>,
+    seen_blocks: HashSet<u64>,
     computed: u64,
-    repeated: u64,
-    thrown_away: u64,
+    recomputed: u64,
+    discarded: u64,
 }
 
 impl PrefillLedger {
-    fn computed(&self, tokens: u32, blocks: &[u64]) {
+    fn add_computed(&self, tokens: u32, blocks: &[u64]) {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         state.computed += u64::from(tokens);
-        let known = blocks.iter().filter(|block| !state.seen.insert(**block)).count();
-        state.repeated += known as u64 * u64::from(BLOCK_TOKENS);
+        let known = blocks.iter().filter(|block| !state.seen_blocks.insert(**block)).count();
+        state.recomputed += known as u64 * u64::from(BLOCK_TOKENS);
     }
 
-    fn thrown_away(&self, tokens: u32) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).thrown_away += u64::from(tokens);
+    fn add_discarded(&self, tokens: u32) {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).discarded += u64::from(tokens);
     }
 
     /// Returns the number of prompt tokens computed.
@@ -112,7 +112,7 @@
     /// them, plus those discarded with cancelled jobs.
     pub fn wasted_tokens(&self) -> u64 {
         let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        state.repeated + state.thrown_away
+        state.recomputed + state.discarded
     }
 }
 
@@ -155,7 +155,7 @@
         self.waiting.retain(|job| job.id != id);
         if let Some(position) = self.running.iter().position(|running| running.job.id == id) {
             let running = self.running.swap_remove(position);
-            ledger.thrown_away(running.prefilled - running.cached);
+            ledger.add_discarded(running.prefilled - running.cached);
         }
     }
 
@@ -205,7 +205,7 @@
             running.prefilled += chunk;
             if running.prefilled == running.job.prompt_tokens {
                 let known = (running.cached / BLOCK_TOKENS) as usize;
-                ledger.computed(
+                ledger.add_computed(
                     running.job.prompt_tokens - running.cached,
                     &running.job.blocks[known..],
                 );
@@ -220,7 +220,7 @@
             + prefill_tokens * self.shape.prefill_micros;
         step.micros = (micros as f64 * self.slowness) as u64;
         self.last_step_micros = step.micros;
-        finished_prefill.iter().for_each(|blocks| self.remember(blocks, &mut step.evicted));
+        finished_prefill.iter().for_each(|blocks| self.cache_prompt(blocks, &mut step.evicted));
         self.running.retain(|running| {
             let is_done = running.emitted >= running.job.output_tokens;
             if is_done {
@@ -253,7 +253,7 @@
         self.cache_order.insert(self.tick, block);
     }
 
-    fn remember(&mut self, blocks: &[u64], evicted: &mut Vec<u64>) {
+    fn cache_prompt(&mut self, blocks: &[u64], evicted: &mut Vec<u64>) {
         blocks.iter().for_each(|block| self.touch(*block));
         while self.cache.len() > self.shape.cache_blocks {
             let Some((_, block)) = self.cache_order.pop_first() else { return };
--- a/src/standin/engine_server.rs
+++ b/src/standin/engine_server.rs
@@ -21,11 +21,11 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 /// Output tokens if the request sets no limit.
-const DEFAULT_OUTPUT: u32 = 32;
+const DEFAULT_OUTPUT_TOKENS: u32 = 32;
 /// Prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Age after which a request's record is removed.
-const RECORD_LIFE: Duration = Duration::from_secs(60);
+const RECORD_LIFETIME: Duration = Duration::from_secs(60);
 
 /// State of a request from which its stream can be resumed at any event.
 #[derive(Clone, Debug, Default)]
@@ -33,13 +33,13 @@
     nonce: String,
     prompt_tokens: u32,
     output_tokens: u32,
-    made: u32,
+    emitted_tokens: u32,
     is_cancelled: bool,
 }
 
 impl AnswerRecord {
     fn is_done(&self) -> bool {
-        self.made >= self.output_tokens
+        self.emitted_tokens >= self.output_tokens
     }
 }
 
@@ -50,9 +50,9 @@
 }
 
 #[derive(Default)]
-struct EngineBook {
+struct RequestRegistry {
     requests: HashMap<String, KnownRequest>,
-    names: HashMap<JobId, String>,
+    request_ids: HashMap<JobId, String>,
     dispatches: HashMap<String, u32>,
 }
 
@@ -63,9 +63,9 @@
     /// Faults to inject into the next requests.
     pub faults: FaultPlan,
     model: Mutex<EngineModel>,
-    book: Mutex<EngineBook>,
+    registry: Mutex<RequestRegistry>,
     ledger: Arc<PrefillLedger>,
-    work: Notify,
+    job_submitted: Notify,
     next_job: AtomicU64,
     is_leaving: AtomicBool,
     started: Instant,
@@ -85,9 +85,9 @@
         address: listener.local_addr()?,
         faults: FaultPlan::default(),
         model: Mutex::new(EngineModel::new(shape)),
-        book: Mutex::default(),
+        registry: Mutex::default(),
         ledger,
-        work: Notify::new(),
+        job_submitted: Notify::new(),
         next_job: AtomicU64::new(1),
         is_leaving: AtomicBool::new(false),
         started: Instant::now(),
@@ -105,19 +105,19 @@
     Ok(engine)
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl EngineStandin {
     /// Returns the number of dispatches to this engine per request id.
     pub fn dispatches(&self) -> HashMap<String, u32> {
-        locked(&self.book).dispatches.clone()
+        lock(&self.registry).dispatches.clone()
     }
 
     /// Multiplies the duration of every step by `factor`.
     pub fn set_slowness(&self, factor: f64) {
-        locked(&self.model).slowness = factor;
+        lock(&self.model).slowness = factor;
     }
 
     /// Marks the engine as leaving in its load reports.
@@ -127,12 +127,12 @@
 
     /// Returns the number of running and waiting jobs.
     pub fn job_count(&self) -> usize {
-        let model = locked(&self.model);
+        let model = lock(&self.model);
         model.running_count() + model.queued_count()
     }
 
     fn report(&self) -> Value {
-        let model = locked(&self.model);
+        let model = lock(&self.model);
         json!({"named_metrics": {
             "running": model.running_count(),
             "queued": model.queued_count(),
@@ -143,12 +143,12 @@
     }
 
     /// Returns the newest report that is at least as old as the lag, else the oldest one.
-    fn lagging_report(&self) -> Value {
+    fn delayed_report(&self) -> Value {
         let report = self.report();
         if self.report_lag.is_zero() {
             return report;
         }
-        let mut reports = locked(&self.reports);
+        let mut reports = lock(&self.reports);
         let now = Instant::now();
         reports.push((now, report));
         let old = reports.iter().rposition(|(at, _)| now - *at >= self.report_lag).unwrap_or(0);
@@ -156,7 +156,7 @@
         reports[0].1.clone()
     }
 
-    fn take_job(&self, id: &str, body: &Value) -> watch::Receiver<AnswerRecord> {
+    fn start_job(&self, id: &str, body: &Value) -> watch::Receiver<AnswerRecord> {
         let prompt = prompt_text(body);
         let limit = body
             .get("max_tokens")
@@ -165,7 +165,8 @@
         let record = AnswerRecord {
             nonce: prompt.split_whitespace().last().unwrap_or_default().to_owned(),
             prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32,
-            output_tokens: limit.map_or(DEFAULT_OUTPUT, |limit| limit.clamp(1, 100_000) as u32),
+            output_tokens: limit
+                .map_or(DEFAULT_OUTPUT_TOKENS, |limit| limit.clamp(1, 100_000) as u32),
             ..AnswerRecord::default()
         };
         let job = JobId(self.next_job.fetch_add(1, Ordering::Relaxed));
@@ -176,43 +177,46 @@
             output_tokens: record.output_tokens,
         };
         let (sender, receiver) = watch::channel(record);
-        let mut book = locked(&self.book);
-        *book.dispatches.entry(id.to_owned()).or_default() += 1;
-        book.names.insert(job, id.to_owned());
-        book.requests.retain(|_, known| known.began.elapsed() < RECORD_LIFE);
-        book.requests
+        let mut registry = lock(&self.registry);
+        *registry.dispatches.entry(id.to_owned()).or_default() += 1;
+        registry.request_ids.insert(job, id.to_owned());
+        registry.requests.retain(|_, known| known.began.elapsed() < RECORD_LIFETIME);
+        registry
+            .requests
             .insert(id.to_owned(), KnownRequest { job, record: sender, began: Instant::now() });
-        drop(book);
-        locked(&self.model).submit(engine_job);
-        self.work.notify_one();
+        drop(registry);
+        lock(&self.model).submit(engine_job);
+        self.job_submitted.notify_one();
         receiver
     }
 
-    fn drop_job(&self, id: &str) -> bool {
-        let Some(known) = locked(&self.book).requests.remove(id) else { return false };
-        locked(&self.model).cancel(known.job, &self.ledger);
+    fn cancel_job(&self, id: &str) -> bool {
+        let Some(known) = lock(&self.registry).requests.remove(id) else { return false };
+        lock(&self.model).cancel(known.job, &self.ledger);
         known.record.send_modify(|record| record.is_cancelled = true);
         true
     }
 
-    fn note_step(&self, emitted: &[JobId]) {
-        let book = locked(&self.book);
+    fn record_step(&self, emitted: &[JobId]) {
+        let registry = lock(&self.registry);
         for job in emitted {
-            let known = book.names.get(job).and_then(|name| book.requests.get(name));
-            known.into_iter().for_each(|known| known.record.send_modify(|record| record.made += 1));
+            let known = registry.request_ids.get(job).and_then(|id| registry.requests.get(id));
+            known
+                .into_iter()
+                .for_each(|known| known.record.send_modify(|record| record.emitted_tokens += 1));
         }
     }
 }
 
 async fn run_steps(engine: Arc<EngineStandin>) {
     loop {
-        let step = locked(&engine.model).step(&engine.ledger);
+        let step = lock(&engine.model).step(&engine.ledger);
         match step {
             Some(step) => {
                 tokio::time::sleep(Duration::from_micros(step.micros)).await;
-                engine.note_step(&step.emitted);
+                engine.record_step(&step.emitted);
             }
-            None => engine.work.notified().await,
+            None => engine.job_submitted.notified().await,
         }
     }
 }
@@ -236,24 +240,24 @@
         .to_owned();
     let wants_stream = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
     let fault = engine.faults.next();
-    let record = engine.take_job(&id, &body);
+    let record = engine.start_job(&id, &body);
     match fault {
         StandinFault::Died => {
-            engine.drop_job(&id);
-            return cut_response(&id);
+            engine.cancel_job(&id);
+            return reset_response(&id);
         }
         StandinFault::Late(time) => tokio::time::sleep(time).await,
         _ => {}
     }
-    let echo = if fault == StandinFault::Crossed { "another-request".to_owned() } else { id };
+    let echoed_id = if fault == StandinFault::Crossed { "another-request".to_owned() } else { id };
     match wants_stream {
-        true => stream_response(record, echo, 0, fault),
-        false => whole_response(record, echo, fault).await,
+        true => stream_response(record, echoed_id, 0, fault),
+        false => whole_response(record, echoed_id, fault).await,
     }
 }
 
 /// A response whose body fails at once, which resets the connection.
-fn cut_response(id: &str) -> Response<Body> {
+fn reset_response(id: &str) -> Response<Body> {
     let frames = vec![Err::<Bytes, io::Error>(io::Error::from(io::ErrorKind::ConnectionReset))];
     let mut response = Response::new(Body::from_stream(tokio_stream::iter(frames)));
     response
@@ -286,7 +290,7 @@
 fn stream_response(
     record: watch::Receiver<AnswerRecord>,
     id: String,
-    after: u64,
+    last_event_id: u64,
     fault: StandinFault,
 ) -> Response<Body> {
     let (sender, receiver) = mpsc::channel(16);
@@ -295,21 +299,21 @@
         .headers_mut()
         .insert("content-type", http::HeaderValue::from_static("text/event-stream"));
     echo_id(&mut response, &id);
-    tokio::spawn(send_chunks(record, id, after, fault, sender));
+    tokio::spawn(send_chunks(record, id, last_event_id, fault, sender));
     response
 }
 
 async fn send_chunks(
     mut record: watch::Receiver<AnswerRecord>,
     id: String,
-    after: u64,
+    last_event_id: u64,
     fault: StandinFault,
     sender: mpsc::Sender<io::Result<Bytes>>,
 ) {
-    let mut sent = after;
+    let mut sent = last_event_id;
     loop {
         let state = record.borrow_and_update().clone();
-        while sent < u64::from(state.made) {
+        while sent < u64::from(state.emitted_tokens) {
             if fault == StandinFault::Truncated(sent) {
                 let _ = sender.send(Err(io::Error::from(io::ErrorKind::ConnectionReset))).await;
                 return;
@@ -349,7 +353,7 @@
         .map(|record| record.clone());
     let state = match done {
         Ok(state) if state.is_done() => state,
-        _ => return cut_response(&id),
+        _ => return reset_response(&id),
     };
     let text: String =
         (1..=state.output_tokens).map(|number| format!("{}:{number} ", state.nonce)).collect();
@@ -384,7 +388,7 @@
     Path(id): Path<String>,
     headers: HeaderMap,
 ) -> Response<Body> {
-    let record = locked(&engine.book).requests.get(&id).map(|known| known.record.subscribe());
+    let record = lock(&engine.registry).requests.get(&id).map(|known| known.record.subscribe());
     let Some(record) = record else {
         let mut response = Response::new(Body::empty());
         *response.status_mut() = StatusCode::NOT_FOUND;
@@ -392,17 +396,17 @@
     };
     let text =
         |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    let after = text("last-event-id").parse().unwrap_or(0);
+    let last_event_id = text("last-event-id").parse().unwrap_or(0);
     match text("accept") {
         "application/json" => whole_response(record, id, StandinFault::None).await,
-        _ => stream_response(record, id, after, StandinFault::None),
+        _ => stream_response(record, id, last_event_id, StandinFault::None),
     }
 }
 
 async fn cancel(State(engine): State<Arc<EngineStandin>>, Path(id): Path<String>) -> StatusCode {
-    if engine.drop_job(&id) { StatusCode::NO_CONTENT } else { StatusCode::NOT_FOUND }
+    if engine.cancel_job(&id) { StatusCode::NO_CONTENT } else { StatusCode::NOT_FOUND }
 }
 
 async fn load(State(engine): State<Arc<EngineStandin>>) -> Json<Value> {
-    Json(engine.lagging_report())
+    Json(engine.delayed_report())
 }
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -19,7 +19,7 @@
     Late(Duration),
     /// Every event is sent twice.
     Doubled,
-    /// The connection is reset before a response, and the job is cancelled.
+    /// The connection is reset before any of the body, and an engine cancels the job.
     Died,
 }
 
--- a/src/standin/plain_server.rs
+++ b/src/standin/plain_server.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainShape {
     /// Processing time of a request.
-    pub work: Duration,
+    pub processing_time: Duration,
 }
 
 /// A running stand-in service.
@@ -45,7 +45,7 @@
         running: AtomicU32::new(0),
         started: Instant::now(),
     });
-    let router = Router::new().fallback(answer).with_state(Arc::clone(&service));
+    let router = Router::new().fallback(handle_request).with_state(Arc::clone(&service));
     let listener = axum::serve::ListenerExt::tap_io(listener, |stream| {
         let _ = stream.set_nodelay(true);
     });
@@ -68,7 +68,10 @@
     }
 }
 
-async fn answer(State(service): State<Arc<PlainStandin>>, request: Request) -> Response<Body> {
+async fn handle_request(
+    State(service): State<Arc<PlainStandin>>,
+    request: Request,
+) -> Response<Body> {
     if request.uri().path() == "/load" {
         return service.report();
     }
@@ -87,9 +90,10 @@
         1;
     let fault = service.faults.next();
     service.running.fetch_add(1, Ordering::Relaxed);
-    let work = if let StandinFault::Late(time) = fault { time } else { service.shape.work };
-    if !work.is_zero() {
-        tokio::time::sleep(work).await;
+    let delay =
+        if let StandinFault::Late(time) = fault { time } else { service.shape.processing_time };
+    if !delay.is_zero() {
+        tokio::time::sleep(delay).await;
     }
     service.running.fetch_sub(1, Ordering::Relaxed);
     let text = json!({"method": method, "path": path, "body": String::from_utf8_lossy(&body), "request": id}).to_string();
@@ -107,10 +111,10 @@
         _ => Body::from(text),
     };
     let mut response = Response::new(body);
-    let echo = if fault == StandinFault::Crossed { "another-request" } else { id };
+    let echoed_id = if fault == StandinFault::Crossed { "another-request" } else { id };
     let headers = response.headers_mut();
     headers.insert("content-type", http::HeaderValue::from_static("application/json"));
-    if let Ok(value) = http::HeaderValue::from_str(echo) {
+    if let Ok(value) = http::HeaderValue::from_str(echoed_id) {
         headers.insert("x-request-id", value);
     }
     let report = format!("TEXT named_metrics.running={running}");
