--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -94,7 +94,7 @@
     let control = control_listener.local_addr().with_context(|_| bind(settings.control))?;
     let state = TrafficState::new(settings.daemon.clone(), log.clone(), seed);
     if settings.platform.is_some() {
-        state.set_interface(platform::manner());
+        state.set_interface(platform::interface());
         let now = state.clock.now();
         state.limits().start_empty(now);
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -17,6 +17,6 @@
 use std::sync::Arc;
 
 /// Returns the document reader and header dialect of the platform.
-pub fn manner() -> PlatformInterface {
+pub fn interface() -> PlatformInterface {
     PlatformInterface { reader: Arc::new(DocumentReader), dialect: Arc::new(HeaderDialect) }
 }
--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -293,7 +293,7 @@
     async fn of_pool(daemon: &str, pool: &'static str, engines: &[&ScriptedEngine]) -> Self {
         let log = Logger::root(Discard, o!());
         let state = TrafficState::new(daemon.into(), log, 7);
-        state.set_interface(platform::manner());
+        state.set_interface(platform::interface());
         state.allow_expired_table();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let front = start_frontend(Arc::clone(&state), listener, Duration::from_millis(10));
