--- a/src/standin/engine_server.rs
+++ b/src/standin/engine_server.rs
@@ -242,11 +242,11 @@
     let fault = engine.faults.next();
     let record = engine.start_job(&id, &body);
     match fault {
-        StandinFault::Died => {
+        StandinFault::Reset => {
             engine.cancel_job(&id);
             return reset_response(&id);
         }
-        StandinFault::Late(time) => tokio::time::sleep(time).await,
+        StandinFault::Delayed(time) => tokio::time::sleep(time).await,
         _ => {}
     }
     let echoed_id = if fault == StandinFault::Crossed { "another-request".to_owned() } else { id };
@@ -324,7 +324,7 @@
             }
             sent += 1;
             let text = Bytes::from(format!("id: {sent}\ndata: {}\n\n", chunk(&state, &id, sent)));
-            let copies = if fault == StandinFault::Doubled { 2 } else { 1 };
+            let copies = if fault == StandinFault::Duplicated { 2 } else { 1 };
             for _ in 0..copies {
                 if sender.send(Ok(text.clone())).await.is_err() {
                     return;
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -16,11 +16,11 @@
     /// The response carries the id of another request.
     Crossed,
     /// The response head is delayed by this time.
-    Late(Duration),
+    Delayed(Duration),
     /// Every event is sent twice.
-    Doubled,
+    Duplicated,
     /// The connection is reset before any of the body, and an engine cancels the job.
-    Died,
+    Reset,
 }
 
 /// Queue of faults for the next requests.
@@ -29,7 +29,7 @@
 
 impl FaultPlan {
     /// Queues a fault for the next request that has none assigned.
-    pub fn order(&self, fault: StandinFault) {
+    pub fn push(&self, fault: StandinFault) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push_back(fault);
     }
 
--- a/src/standin/plain_server.rs
+++ b/src/standin/plain_server.rs
@@ -91,7 +91,7 @@
     let fault = service.faults.next();
     service.running.fetch_add(1, Ordering::Relaxed);
     let delay =
-        if let StandinFault::Late(time) = fault { time } else { service.shape.processing_time };
+        if let StandinFault::Delayed(time) = fault { time } else { service.shape.processing_time };
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
@@ -103,7 +103,7 @@
 fn response(id: &str, text: Bytes, fault: StandinFault, running: u32) -> Response<Body> {
     let reset = || Err(io::Error::from(io::ErrorKind::ConnectionReset));
     let body = match fault {
-        StandinFault::Died => Body::from_stream(tokio_stream::iter(vec![reset()])),
+        StandinFault::Reset => Body::from_stream(tokio_stream::iter(vec![reset()])),
         StandinFault::Truncated(_) => {
             Body::from_stream(tokio_stream::iter(vec![Ok(text.slice(..text.len() / 2)), reset()]))
         }
--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -67,7 +67,7 @@
 #[tokio::test]
 async fn a_truncated_stream_is_resumed() {
     let bench = bench().await;
-    bench.fleet.engine.faults.order(StandinFault::Truncated(5));
+    bench.fleet.engine.faults.push(StandinFault::Truncated(5));
 
     let outcome = bench.call(1, "note", 20).await;
 
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn a_silent_stream_is_resumed() {
     let bench = bench().await;
-    bench.fleet.engine.faults.order(StandinFault::Silent(5));
+    bench.fleet.engine.faults.push(StandinFault::Silent(5));
 
     let outcome = bench.call(1, "note", 20).await;
 
@@ -90,13 +90,13 @@
 
 #[rstest::rstest]
 #[case::crossed(StandinFault::Crossed, CallOutcome::Refused(AnswerKind::UpstreamCrossed))]
-#[case::doubled(StandinFault::Doubled, CallOutcome::Whole)]
-#[case::late(StandinFault::Late(Duration::from_millis(30)), CallOutcome::Whole)]
-#[case::died(StandinFault::Died, CallOutcome::Refused(AnswerKind::UpstreamLost))]
+#[case::doubled(StandinFault::Duplicated, CallOutcome::Whole)]
+#[case::late(StandinFault::Delayed(Duration::from_millis(30)), CallOutcome::Whole)]
+#[case::died(StandinFault::Reset, CallOutcome::Refused(AnswerKind::UpstreamLost))]
 #[tokio::test]
 async fn engine_faults_end_truthfully(#[case] fault: StandinFault, #[case] expected: CallOutcome) {
     let bench = bench().await;
-    bench.fleet.engine.faults.order(fault);
+    bench.fleet.engine.faults.push(fault);
 
     let outcome = bench.call(1, "note", 10).await;
     let next = bench.call(2, "note", 10).await;
@@ -111,11 +111,11 @@
 // is not.
 #[case::truncated(StandinFault::Truncated(0), &[AnswerKind::UpstreamTruncated, AnswerKind::UpstreamLost])]
 #[case::crossed(StandinFault::Crossed, &[AnswerKind::UpstreamCrossed])]
-#[case::died(StandinFault::Died, &[AnswerKind::UpstreamLost])]
+#[case::died(StandinFault::Reset, &[AnswerKind::UpstreamLost])]
 #[tokio::test]
 async fn service_faults_end_truthfully(#[case] fault: StandinFault, #[case] kinds: &[AnswerKind]) {
     let bench = bench().await;
-    bench.fleet.service.faults.order(fault);
+    bench.fleet.service.faults.push(fault);
 
     let outcome = bench.call(1, "lookup", 1).await;
     let next = bench.call(2, "lookup", 1).await;
@@ -132,7 +132,7 @@
 #[tokio::test]
 async fn an_abandoned_connection_is_never_used_again() {
     let mut bench = bench().await;
-    bench.fleet.service.faults.order(StandinFault::Late(Duration::from_millis(150)));
+    bench.fleet.service.faults.push(StandinFault::Delayed(Duration::from_millis(150)));
     let lookup = bench
         .profile
         .classes
--- a/tests/test_fleet_processes.rs
+++ b/tests/test_fleet_processes.rs
@@ -340,7 +340,7 @@
     });
     let other_body = book_patiently(callers[second], "key-1", "van at ten").await.unwrap();
     let runs_before = service.runs().len();
-    service.faults.order(StandinFault::Late(Duration::from_secs(30)));
+    service.faults.push(StandinFault::Delayed(Duration::from_secs(30)));
     let dying = tokio::spawn(book_patiently(callers[first], "key-2", "van at noon"));
     wait_until("the second booking runs", || service.runs().len() > runs_before);
     let running = book_patiently(callers[second], "key-2", "van at noon").await.unwrap();
