--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a settings file, a table or a platform list and reports every fault.
+//! `check`: validates settings files, tables and platform lists and reports every fault.
 
 use super::CommandError;
 use crate::settings::DaemonSettings;
@@ -8,18 +8,18 @@
 use std::path::PathBuf;
 
 const HELP: &str = "\
-Checks a file without using it: the settings of a daemon, a table, or a platform list. The kind is told
-by the file's members. Every fault is printed at once, each with its JSON path, the value found there
-and what was expected. Unknown members are faults.";
+Validates files without applying them: daemon settings, tables and platform lists. The kind of a file is
+detected from its members. All faults are printed at once, each with its JSON path, the value found there
+and the expected value. Unknown members are faults.";
 
-/// Check a settings file, a table or a platform list.
+/// Validate settings files, tables and platform lists.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// The files.
+    /// Files to check.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Print faults as JSON.
+    /// Print the faults as JSON.
     #[arg(long)]
     json: bool,
 }
@@ -65,7 +65,9 @@
     Platform,
 }
 
-/// A settings file names a daemon, a platform list names VMs; anything else is held to be a table.
+/// Detects the kind from the top-level members: only settings have `daemon`, `callers` or
+/// `control`, and only a platform list has `vms`. Any other document, also one that isn't JSON,
+/// counts as a table.
 fn document_kind(text: &str) -> DocumentKind {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     let has = |names: &[&str]| names.iter().any(|name| value.get(name).is_some());
@@ -76,6 +78,7 @@
     }
 }
 
+/// Adds the detected kind to faults of the whole document.
 fn with_kind(faults: FaultList, kind: &str) -> FaultList {
     let mut faults = faults;
     for fault in &mut faults.0 {
