--- a/src/cmd/completion.rs
+++ b/src/cmd/completion.rs
@@ -1,21 +1,21 @@
-//! `completion`: prints a completion script for a shell.
+//! `completion`: prints a shell completion script.
 
 use super::CommandError;
 use clap::CommandFactory;
 use clap_complete::Shell;
 
 const HELP: &str = "\
-Prints a completion script. For bash: tarragonknot completion bash > ~/.local/share/bash-completion/completions/tarragonknot";
+Prints a shell completion script. For bash: tarragonknot completion bash > ~/.local/share/bash-completion/completions/tarragonknot";
 
 /// Print a shell completion script.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// The shell.
+    /// Shell to generate the script for.
     shell: Shell,
 }
 
-/// Runs the command for the command line `C`.
+/// Runs the command; `C` is the command-line parser that the script completes.
 pub fn run<C: CommandFactory>(args: &Args) -> Result<(), CommandError> {
     let mut script = Vec::new();
     clap_complete::generate(args.shell, &mut C::command(), "tarragonknot", &mut script);
