--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: one daemon, stand-in upstreams and a few callers in one process.
+//! `demo`: runs a daemon, stand-in upstreams and sample requests in one process.
 
 use super::CommandError;
 use super::load::LoadBench;
@@ -12,19 +12,19 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-Runs the whole path in one process: a daemon with an embedded voter, a table, stand-in engines and
-services on loopback. For each firm it sends requests of every tier, organisation and kind, a booking
-twice under one idempotency key, and one request that must be refused. It prints what became of them
-and ends by itself; it fails if an answer is missing, doubled or crossed.";
+Runs a complete system in one process: a daemon with an embedded voter, a table, and stand-in engines and
+services on loopback. For each firm, sends requests of every tier, organisation and kind, one booking
+twice with the same idempotency key, and one request that must be refused. Prints a summary of the
+results and exits; fails if an answer is missing, duplicated or belongs to another request.";
 
-/// Rounds of requests for each firm.
+/// Number of times that each traffic class of a firm's profile gets a request.
 const ROUNDS: u64 = 6;
 
-/// Run everything in one process and send a few requests.
+/// Run a complete system in one process and send sample requests.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// Keep everything up until interrupted, and print what to try.
+    /// Keep the system running until interrupted, and print an example request.
     #[arg(long)]
     stay: bool,
 }
@@ -71,12 +71,14 @@
     match whole == expected && summary.broken() == 0 && has_run_once && is_refused {
         true => Ok(()),
         false => Err(CommandError::Failed {
-            detail: format!("{whole} of {expected} answers are whole, or a check above failed"),
+            detail: format!(
+                "{whole} of {expected} answers were complete, or another check above failed"
+            ),
         }),
     }
 }
 
-/// Requests of every class and organisation.
+/// Plans requests for every traffic class and organisation, 10 ms apart.
 fn demo_plan(profile: &LoadProfile) -> Vec<PlannedRequest> {
     let classes = profile.classes.len() as u64;
     let request = |number: u64| {
@@ -94,6 +96,7 @@
     (0..ROUNDS * classes).map(request).collect()
 }
 
+/// Sends a request with a deadline of 1 ms, which the daemon must refuse as too short.
 async fn refused_call(caller: &LoadCaller, profile: &LoadProfile) -> CallOutcome {
     let mut hurried = profile.clone();
     hurried.classes[0].deadline = Duration::from_millis(1);
@@ -101,7 +104,8 @@
     caller.call(&hurried, &planned, 1).await.outcome
 }
 
-/// Sends one booking twice; returns how often the service ran it.
+/// Sends one booking twice with the same idempotency key. Returns how often the service executed
+/// it, or 0 if an answer was incomplete.
 async fn resent_booking(caller: &LoadCaller, profile: &LoadProfile, bench: &LoadBench) -> u32 {
     let planned = demo_plan(profile)
         .into_iter()
@@ -123,7 +127,7 @@
         profile.model
     );
     super::print_out(&format!(
-        "try: curl -N -H 'Authorization: Bearer {}' -d '{body}' http://{}/v1/chat/completions\nInterrupt to end.",
+        "Example: curl -N -H 'Authorization: Bearer {}' -d '{body}' http://{}/v1/chat/completions\nInterrupt to stop.",
         profile.key(0),
         bench.daemon.callers
     ));
