--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,13 +1,13 @@
-//! `drain`: asks a daemon to finish its work and end.
+//! `drain`: starts a graceful shutdown of a daemon.
 
 use super::CommandError;
 use super::operator::ControlTarget;
 use crate::control::{CallError, ControlApiClient};
 
 const HELP: &str = "\
-Begins the drain of one daemon, as SIGTERM does: it turns unready at once, keeps accepting until the
-balancer has had time to notice, finishes what waits and runs, hands back its shares, and ends. Nothing
-is cut short. The command returns once the drain has begun.";
+Starts a graceful shutdown of one daemon, as SIGTERM does. The daemon reports unready at once, accepts
+requests until the load balancer has had time to notice, completes all queued and running requests,
+returns its shares and exits. No request is aborted. The command returns once the drain has started.";
 
 /// Drain one daemon.
 #[derive(Debug, clap::Args)]
