--- a/src/cmd/experiment.rs
+++ b/src/cmd/experiment.rs
@@ -1,4 +1,4 @@
-//! `experiment`: compares the policy with its baselines in virtual time, over several seeds.
+//! `experiment`: compares scheduling policies in a virtual-time simulation over several seeds.
 
 use super::CommandError;
 use crate::experiment::{
@@ -12,41 +12,42 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-Runs the schedulers of several daemons before models of a firm's engines, in virtual time: the same seeds
-give the same figures on any machine. Arrivals begin 10 s before the measured time and end 10 s after it.
-Each line sums up one policy at one rate: the median over the seeds, and behind it the worst seed.
-\"answers\" is the good answers times their tiers' weights, \"tokens\" their tokens times the weights, each as
-a multiple of the best baseline's median in the same table; \"good\" is the part of each tier's requests that was answered whole and in time; \"ended\" are engines that ended under a request.";
+Simulates the schedulers of several daemons and a firm's engines in virtual time; the same seeds give the
+same results on any machine. Arrivals start 10 s before the measurement window and stop 10 s after it.
+Each row summarises one policy at one rate as the median over all seeds, followed by the worst seed in parentheses.
+\"answers\" is the number of good answers weighted by tier, and \"tokens\" the number of their tokens weighted by tier,
+both relative to the median of the best baseline in the same table. \"good\" is the percentage of each tier's requests that
+were answered completely and in time. \"ended\" is the number of engines that crashed while running a request.";
 
-/// Compare the policy with its baselines in virtual time.
+/// Compare scheduling policies in a virtual-time simulation.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// Whose requests; both firms by default.
+    /// Load profile to simulate; all profiles by default.
     #[arg(long, value_enum)]
     profile: Option<ProfileKind>,
-    /// Rates, as multiples of the engines' capacity.
+    /// Request rates as multiples of the engines' capacity.
     #[arg(long, value_delimiter = ',', default_value = "0.7,1.5,2")]
     times: Vec<f64>,
-    /// Policies; all by default.
+    /// Policies to compare; all by default.
     #[arg(long, value_enum, value_delimiter = ',')]
     policy: Vec<PolicyChoice>,
-    /// Runs for each line, each with its own seed.
+    /// Number of runs per row, each with its own seed.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..))]
     seeds: u64,
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=64))]
     daemons: u64,
-    /// Measured seconds.
+    /// Length of the measurement window in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..))]
     seconds: u64,
-    /// The number of requests per engine that the firm was given, instead of its own.
+    /// Configured number of concurrent requests per engine; overrides the profile's value.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..))]
     given: Option<u32>,
-    /// What goes wrong at a quarter of the measured time.
+    /// Fault to inject after a quarter of the measurement window.
     #[arg(long, value_enum, default_value = "none")]
     fault: FaultKind,
-    /// Instead of the baselines: the policy whole, and without each mechanism in turn.
+    /// Ablation study: run the weighted policy, then again with each mechanism disabled in turn.
     #[arg(long, conflicts_with = "policy")]
     ablation: bool,
     /// Print JSON.
@@ -54,7 +55,7 @@
     json: bool,
 }
 
-/// One line of the table: a policy at a rate.
+/// The policy, rate and disabled mechanism of one row.
 #[derive(Clone, Debug, Serialize)]
 struct ExperimentCase {
     profile: ProfileKind,
@@ -63,7 +64,7 @@
     without: Option<MechanismSwitch>,
 }
 
-/// A case and its results.
+/// A case and its results over all seeds.
 #[derive(Debug, Serialize)]
 struct CaseResult {
     #[serde(flatten)]
@@ -92,9 +93,9 @@
         .sum();
     match breaks == 0.0 {
         true => Ok(()),
-        false => {
-            Err(CommandError::Failed { detail: format!("{breaks} breaks of the shedding order") })
-        }
+        false => Err(CommandError::Failed {
+            detail: format!("{breaks} violations of the shedding order"),
+        }),
     }
 }
 
@@ -125,7 +126,7 @@
     cases
 }
 
-/// Runs every case with every seed, on half of the machine's cores.
+/// Runs every case with every seed, on half of the available cores.
 fn run_cases(args: &Args, cases: Vec<ExperimentCase>) -> Vec<CaseResult> {
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get() / 2).max(1);
     let next = AtomicUsize::new(0);
@@ -171,8 +172,8 @@
     }
 }
 
-/// The median weighted goodput to which a case is compared: the best baseline's at its rate, or, where no
-/// baseline ran, the whole policy's.
+/// The reference value of a median for the case's profile and rate: that of the best baseline or,
+/// if no baseline ran, that of the policy with all mechanisms enabled.
 fn reference(
     results: &[CaseResult],
     case: &ExperimentCase,
@@ -236,6 +237,7 @@
     grid.to_string()
 }
 
+/// Formats the median, followed by the worst seed in parentheses.
 fn cell(spread: SeedSpread, digits: usize) -> String {
     format!("{:.digits$} ({:.digits$})", spread.median, spread.worst)
 }
