--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: a request's way through the daemons, from their logs, with the cause of its end last.
+//! `explain`: traces a request through the logs of one or more daemons and reports why it ended.
 
 use super::CommandError;
 use crate::answer::ANSWER_TABLE;
@@ -9,18 +9,18 @@
 use std::path::{Path, PathBuf};
 
 const HELP: &str = "\
-Reads the logs of one or more daemons and prints what became of a request: each decision in the order in which its
-daemon made it, then the cause of its end. Lines that are not JSON are passed over. Clocks of different daemons
-differ, so times count from each daemon's first line about the request, and daemons are not set against each other.";
+Reads the logs of one or more daemons and prints the history of a request: each daemon's decisions in the order in which
+they were made, then the cause of the outcome. Lines that are not JSON are skipped. As clocks differ between daemons, times
+are relative to each daemon's first line about the request, and lines of different daemons are not ordered with each other.";
 
-/// Messages of lines that tell a request's end.
+/// Log messages that record the outcome of a request.
 const ENDS: [&str; 5] = ["answered", "refused", "stream cut", "caller left", "over the limit"];
 
-/// Explain what became of a request, from logs.
+/// Explain the outcome of a request from daemon logs.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// The request's id.
+    /// Request id.
     id: String,
     /// Log files; `-` reads standard input.
     #[arg(required = true)]
@@ -30,25 +30,25 @@
     json: bool,
 }
 
-/// A request's way through one daemon.
+/// The history of a request on one daemon.
 #[derive(Debug, Serialize)]
 pub struct DaemonWay {
-    /// The daemon.
+    /// The daemon's name.
     pub daemon: String,
-    /// Its lines about the request, in their order.
+    /// The daemon's log lines about the request, in log order.
     pub steps: Vec<WayStep>,
-    /// Why it ended as it did.
+    /// The cause of the outcome.
     pub cause: String,
 }
 
-/// One line about a request.
+/// One log line about a request.
 #[derive(Debug, Serialize)]
 pub struct WayStep {
-    /// Milliseconds since the daemon's first line about it.
+    /// Milliseconds since the daemon's first line about the request.
     pub after_ms: u64,
-    /// What was decided.
+    /// The log message, which names the decision.
     pub message: String,
-    /// What decided it.
+    /// The remaining fields of the line, which give the inputs of the decision.
     pub fields: Map<String, Value>,
 }
 
@@ -76,15 +76,15 @@
         std::io::stdin().read_to_string(&mut text).map_err(failed)?;
         return Ok(text);
     }
-    // Logs of a process that was killed may end within a character.
+    // The log of a killed process may end in the middle of a UTF-8 sequence.
     std::fs::read(path).map_err(failed).map(|bytes| String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// The request's way through each daemon whose lines are given.
+/// Returns the history of a request on each daemon that logged a line about it.
 pub fn explain<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Vec<DaemonWay> {
     let mut daemons: BTreeMap<String, Vec<Map<String, Value>>> = BTreeMap::new();
     for line in lines {
-        // What stands before the line's object, as some collectors put it, is passed over.
+        // Some log collectors put a prefix before the JSON object.
         let Some(start) = line.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { continue };
         if fields.get("request").and_then(Value::as_str) == Some(id) {
@@ -95,7 +95,8 @@
 }
 
 fn way(daemon: String, rows: Vec<Map<String, Value>>) -> DaemonWay {
-    // What is found out of a lost upstream comes after the end of some of its requests.
+    // The finding about a lost upstream may be logged after the outcome of its requests, so the
+    // last line isn't always the outcome.
     let end = rows.iter().rev().find(|row| ENDS.contains(&text(row, "message")));
     let cause = end.or(rows.last()).map(cause_of).unwrap_or_default();
     let time = |row: &Map<String, Value>| row.get("time").and_then(Value::as_u64).unwrap_or(0);
@@ -115,7 +116,7 @@
     row.get(name).and_then(Value::as_str).unwrap_or_default()
 }
 
-/// The cause that a request's last line tells.
+/// Derives the cause of the outcome from the line that records it.
 fn cause_of(row: &Map<String, Value>) -> String {
     let upstream = text(row, "upstream");
     let number = |name: &str| row.get(name).and_then(Value::as_u64).unwrap_or(0);
