--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `load`: sends a firm's requests to a daemon before stand-in upstreams, and sums up the answers.
+//! `load`: load test of one daemon with stand-in upstreams.
 
 use super::CommandError;
 use crate::control::FleetKey;
@@ -21,46 +21,46 @@
 use std::time::{Duration, Instant};
 
 const HELP: &str = "\
-Starts stand-in engines and services on loopback, one daemon with an embedded voter before them, and
-sends requests on an open loop: arrivals do not wait for answers. Every answer is checked piece by
-piece. The run ends by itself. With --times the rate is a multiple of what the engines can carry at
-most by their own model.";
+Starts stand-in engines and services on loopback and one daemon with an embedded voter that forwards to
+them, then sends requests in an open loop: arrivals do not wait for answers. Every chunk of every answer
+is checked. The command exits when the run is complete. With --times, the rate is a multiple of the
+maximum throughput of the engines according to their own model.";
 
-/// Load reports of the stand-ins are this old.
+/// Age of the load reports that the stand-in engines send.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// A daemon that is not ready by then has failed.
+/// Maximum time for a daemon to elect a leader or to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(15);
 
-/// Send a firm's requests and sum up the answers.
+/// Run a load test with a firm's requests and summarise the answers.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// Whose requests.
+    /// Load profile.
     #[arg(long, value_enum)]
     profile: ProfileKind,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, conflicts_with = "times")]
     rate: Option<f64>,
-    /// The rate as a multiple of the engines' capacity.
+    /// Request rate as a multiple of the engines' capacity.
     #[arg(long)]
     times: Option<f64>,
-    /// Seconds of arrivals.
+    /// Duration of the arrivals in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Seed of the requests.
+    /// Random seed of the requests.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The daemon's policy, or a baseline.
+    /// Scheduling policy of the daemon; may be a baseline.
     #[arg(long, value_enum, default_value = "weighted")]
     policy: PolicyChoice,
     /// Print JSON.
     #[arg(long)]
     json: bool,
-    /// Measure the daemon's added time instead: look-ups at --rate, in turn straight to a stand-in service
-    /// and through the daemon.
+    /// Measure the latency that the daemon adds: send look-ups at --rate both directly to a
+    /// stand-in service and through the daemon, at the same time.
     #[arg(long, requires = "rate")]
     overhead: bool,
-    /// Log the daemon to standard error.
+    /// Write the daemon's log to standard error.
     #[arg(long)]
     log: bool,
 }
@@ -84,7 +84,9 @@
     }
     match summary.broken() {
         0 => Ok(()),
-        broken => Err(CommandError::Failed { detail: format!("{broken} broken promises") }),
+        broken => Err(CommandError::Failed {
+            detail: format!("{broken} violations of delivery or shedding guarantees"),
+        }),
     }
 }
 
@@ -116,7 +118,7 @@
     Ok(summary)
 }
 
-/// The daemon's added time, in milliseconds.
+/// Latency percentiles (p50, p95, p99) without and with the daemon, in milliseconds.
 #[derive(Debug, Serialize)]
 struct AddedTime {
     requests: usize,
@@ -139,7 +141,8 @@
     }
 }
 
-/// Look-ups at the rate each way, at the same times, so that both meet the same noise.
+/// Sends the same look-ups directly and through the daemon, at the same time, so that both are
+/// subject to the same noise.
 async fn overhead(args: &Args) -> Result<AddedTime, CommandError> {
     let mut profile = LoadProfile::new(args.profile);
     profile.classes.retain(|class| class.tier == "lookup");
@@ -162,7 +165,7 @@
     if !whole(&through) || !whole(&straight) {
         return Err(CommandError::Failed {
             detail: format!(
-                "not every look-up was answered:\n{}\n{}",
+                "some look-ups were not answered correctly and in time:\n{}\n{}",
                 through.grid(),
                 straight.grid()
             ),
@@ -173,7 +176,7 @@
     Ok(AddedTime { requests: plan.len(), direct_ms: times(&straight), through_ms: times(&through) })
 }
 
-/// Sends every planned request at its time, and waits for all answers.
+/// Sends every planned request at its arrival time and waits for all answers.
 pub(super) async fn send_plan(
     profile: &Arc<LoadProfile>,
     plan: Vec<PlannedRequest>,
@@ -199,7 +202,7 @@
     results
 }
 
-/// Stand-ins and one daemon before them.
+/// One daemon and its stand-in upstreams.
 pub(super) struct LoadBench {
     pub(super) daemon: RunningDaemon,
     pub(super) ledger: Arc<PrefillLedger>,
@@ -209,7 +212,8 @@
 }
 
 impl LoadBench {
-    /// Starts everything and waits until the daemon is ready under the firm's table.
+    /// Starts the stand-ins and the daemon, applies the profile's table and waits until the daemon
+    /// is ready.
     pub(super) async fn start(
         profile: &LoadProfile,
         policy: PolicyChoice,
@@ -246,14 +250,14 @@
         Ok(LoadBench { daemon, ledger, engines, services, _folder: folder })
     }
 
-    /// The largest number of dispatches of one request.
+    /// The maximum number of dispatches of any request.
     pub(super) fn most_dispatches(&self) -> u32 {
         let engines = self.engines.iter().flat_map(|engine| engine.dispatches().into_values());
         let services = self.services.iter().flat_map(|service| service.runs().into_values());
         engines.chain(services).max().unwrap_or(0)
     }
 
-    /// Drains and stops the daemon.
+    /// Drains the daemon and stops it.
     pub(super) async fn stop(self) {
         self.daemon.drain();
         self.daemon.finished().await;
@@ -275,7 +279,7 @@
         .map_err(|faults| CommandError::Failed { detail: faults.to_string() })
 }
 
-/// Applies the first table of a new fleet.
+/// Applies the first table of a new fleet, retrying until a leader is elected.
 pub(super) async fn apply_first_table(
     control: SocketAddr,
     key: &FleetKey,
@@ -299,16 +303,16 @@
             return match answer.outcome {
                 EditOutcome::Accepted(_) => Ok(()),
                 EditOutcome::Conflict(_) => {
-                    Err(CommandError::Failed { detail: "the fleet has a table already".to_owned() })
+                    Err(CommandError::Failed { detail: "the fleet already has a table".to_owned() })
                 }
             };
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    Err(CommandError::Failed { detail: format!("no leader within {READY_LIMIT:?}") })
+    Err(CommandError::Failed { detail: format!("no leader elected within {READY_LIMIT:?}") })
 }
 
-/// Waits until a daemon admits requests.
+/// Waits until a daemon is ready and every pool has an upstream that may be given work.
 pub(super) async fn wait_ready(daemon: &RunningDaemon) -> Result<(), CommandError> {
     let until = Instant::now() + READY_LIMIT;
     while Instant::now() < until {
@@ -320,5 +324,5 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    Err(CommandError::Failed { detail: format!("not ready within {READY_LIMIT:?}") })
+    Err(CommandError::Failed { detail: format!("daemon not ready within {READY_LIMIT:?}") })
 }
