--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file for each subcommand: its help text, its `Args`, its `run`.
+//! Subcommands of the command line, one file each, with its help text, `Args` and `run`.
 
 pub mod check;
 pub mod completion;
@@ -22,58 +22,59 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What the exit codes mean.
-pub const EXIT_CODES: &str = "Exit codes: 0 done; 1 failed; 2 bad input or usage; 3 the edit lost to another one; \
-4 no leader or daemon could be reached, the outcome may be unknown.";
+/// Help text that lists the exit codes.
+pub const EXIT_CODES: &str = "Exit codes: 0 success; 1 failure; 2 invalid input or usage; 3 conflict with another change; \
+4 no leader or daemon could be reached, and the outcome may be unknown.";
 
-/// Why a command did not succeed.
+/// The error of a failed command; determines the exit code.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CommandError {
     /// A file could not be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The error.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A document has faults.
+    /// A document is invalid.
     #[snafu(display("{}:\n{faults}", path.display()))]
     Faults {
-        /// The document.
+        /// The path of the document.
         path: PathBuf,
-        /// Every fault.
+        /// All faults found in the document.
         faults: FaultList,
     },
-    /// The command line asks for something impossible.
+    /// The arguments are invalid or contradict each other.
     #[snafu(display("{detail}"))]
     Usage {
-        /// What.
+        /// Description of the error.
         detail: String,
     },
-    /// The edit was made from a version no longer in force.
+    /// The change conflicts with another one, such as an edit that is based on an older table
+    /// version.
     #[snafu(display("{detail}"))]
     Conflict {
-        /// The winner, and the difference.
+        /// The change that took precedence and, for a table edit, the differences.
         detail: String,
     },
     /// No daemon or leader answered.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
+        /// The error of the last call.
         source: CallError,
     },
     /// A daemon could not start.
     #[snafu(display("{source}"))]
     Start {
-        /// Why.
+        /// The start-up error.
         source: StartError,
     },
-    /// Something else failed.
+    /// Any other failure.
     #[snafu(display("{detail}"))]
     Failed {
-        /// What.
+        /// Description of the error.
         detail: String,
     },
 }
@@ -91,7 +92,7 @@
     }
 }
 
-/// Prints an error and gives its exit code.
+/// Prints the error, if any, to standard error and returns the exit code.
 pub fn exit_code(result: Result<(), CommandError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -102,13 +103,13 @@
     }
 }
 
-/// Runs a command's asynchronous part on a small runtime.
+/// Runs a future to completion on a single-threaded runtime.
 fn block_on<T>(work: impl Future<Output = Result<T, CommandError>>) -> Result<T, CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|error| CommandError::Failed { detail: error.to_string() })?.block_on(work)
 }
 
-/// Prints to standard output; a closed pipe is not an error.
+/// Prints a line to standard output. Write errors are ignored, so a closed pipe is not an error.
 fn print_out(text: &str) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{text}");
