--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -1,4 +1,4 @@
-//! What operators' commands share: where the daemons are, and finding the leader.
+//! Control-connection arguments shared by the operator commands, and calls to the fleet's leader.
 
 use super::CommandError;
 use crate::control::{CallError, FleetKey, LeaderAnswer, connect};
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time before the daemons are asked again.
+/// Delay before the daemons are tried again.
 const ASK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Where and with which key to ask.
+/// Control addresses and key of the fleet to connect to.
 #[derive(Debug, clap::Args)]
 pub struct ControlTarget {
-    /// Control address of a daemon; repeat it for others to be asked if the first does not answer.
+    /// Control address of a daemon; repeat for further daemons to try if the first does not answer.
     #[arg(
         long = "control",
         value_name = "ADDRESS",
@@ -25,22 +25,22 @@
         value_delimiter = ','
     )]
     pub addresses: Vec<SocketAddr>,
-    /// File that holds the fleet's key.
+    /// File that contains the fleet key.
     #[arg(long, value_name = "FILE", env = "TARRAGONKNOT_FLEET_KEY_FILE")]
     pub fleet_key_file: PathBuf,
-    /// How long to look for a leader, in seconds.
+    /// Maximum time to search for a leader, in seconds.
     #[arg(long, value_name = "SECONDS", default_value_t = 15)]
     pub patience: u64,
 }
 
 impl ControlTarget {
-    /// Reads the key.
+    /// Reads the fleet key.
     pub fn key(&self) -> Result<FleetKey, CommandError> {
         let path = &self.fleet_key_file;
         FleetKey::read(path).map_err(|source| CommandError::File { path: path.clone(), source })
     }
 
-    /// Opens a connection to the first daemon that answers.
+    /// Connects to the first daemon that answers.
     pub async fn any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
         let key = self.key()?;
         let mut last = CallError::NoLeader;
@@ -53,7 +53,8 @@
         Err(CommandError::Call { source: last })
     }
 
-    /// Makes a call until a leader answers it. Calls must be harmless to repeat.
+    /// Repeats a call, following redirects, until a leader answers it or the patience is used up.
+    /// The call must be idempotent. A refused key ends the search at once.
     pub async fn ask_leader<T, F>(
         &self,
         call: impl Fn(Arc<WsClient>) -> F,
