--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: shows which requests are held back and why, and lets one through.
+//! `quarantine`: lists quarantined requests and releases them.
 
 use super::CommandError;
 use super::operator::ControlTarget;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-A request under which three upstreams ended is held back on every daemon: its callers are refused with kind `quarantined`
-and no upstream is given it. The fingerprint stands for organisation, method, host, path and body, and is the one in the
-logs' lines `sent`, `lost with its upstream`, `request quarantined` and `held back`. A request that was held back is let
-through by itself after ten minutes, after twice as long for each further upstream, a day at most; one more upstream that
-ends under it holds it back again. `release` lets it through at once and forgets what it did.
+A request that has crashed three upstreams is quarantined on every daemon: it is refused with kind `quarantined` and not
+sent to any upstream. The fingerprint identifies the organisation, method, host, path and body; it also appears in the log
+messages `sent`, `lost with its upstream`, `request quarantined` and `held back`. The quarantine expires after ten minutes;
+each further crash doubles this time, up to one day. After it has expired, one more crash quarantines the request
+again. `release` ends the quarantine at once and clears the request's crash history.
 
   tarragonknot quarantine list --control 10.0.0.4:7600 --fleet-key-file key
   tarragonknot quarantine release 07e231c685114121 --control 10.0.0.4:7600 --fleet-key-file key";
 
-/// Show requests that are held back, or let one through.
+/// List or release quarantined requests.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
@@ -28,9 +28,9 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Show what is held back.
+    /// List quarantined requests.
     List(ListArgs),
-    /// Let a request through on every daemon.
+    /// Release a request on every daemon.
     Release(ReleaseArgs),
 }
 
@@ -45,7 +45,7 @@
 
 #[derive(Debug, clap::Args)]
 struct ReleaseArgs {
-    /// The request's fingerprint: 16 hexadecimal digits.
+    /// Fingerprint of the request: 16 hexadecimal digits.
     fingerprint: RequestFingerprint,
     #[command(flatten)]
     list: ListArgs,
