--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -1,4 +1,4 @@
-//! `rollout`: orders a new version of a service's upstreams, and shows how far it has come.
+//! `rollout`: starts a canary roll-out of a service's upstreams and shows its progress.
 
 use super::CommandError;
 use super::operator::ControlTarget;
@@ -10,18 +10,20 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-Upstreams of the new version start beside the old ones. A small share of the service's requests goes to them, then more,
-then all; once nothing runs on the old version any more, the roll-out is completed. A version that fails more often than
-the old one, or is several times slower, is rolled back, and so is one that nothing speaks for in time.
+Upstreams of the new version are started beside the old ones and receive a small share of the service's requests, then a
+larger one, then all. The roll-out is completed when no request runs on the old version any more. The new version is
+rolled back if it fails more often than the old one, if it is several times slower, or if there is too little evidence in
+its favour in time.
 
   tarragonknot rollout begin pack-llm v2 --seconds 60 --control 10.0.0.4:7600 --fleet-key-file key
   tarragonknot rollout watch pack-llm --control 10.0.0.4:7600 --fleet-key-file key
 
-`watch` ends with 0 for a roll-out that was completed, and with 1 for one that was rolled back.";
-/// Time between two looks of `watch`.
+`watch` exits with 0 if the roll-out was completed and with 1 if it was rolled back.";
+
+/// Polling interval of `watch`.
 const WATCH_PAUSE: Duration = Duration::from_millis(500);
 
-/// Order a roll-out, or show roll-outs.
+/// Start, list or watch roll-outs.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
@@ -31,21 +33,21 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Order a roll-out.
+    /// Start a roll-out.
     Begin(BeginArgs),
-    /// Show the newest roll-out of each service.
+    /// Show the latest roll-out of each service.
     Status(StatusArgs),
-    /// Wait until a service's roll-out has ended.
+    /// Wait until a service's roll-out is completed or rolled back.
     Watch(WatchArgs),
 }
 
 #[derive(Debug, clap::Args)]
 struct BeginArgs {
-    /// The service.
+    /// Name of the service.
     service: String,
-    /// The version that its upstreams are to have.
+    /// New version of the service's upstreams.
     version: String,
-    /// Seconds within which the roll-out is to end.
+    /// Time limit of the roll-out in seconds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=604_800))]
     seconds: u64,
     #[command(flatten)]
@@ -63,7 +65,7 @@
 
 #[derive(Debug, clap::Args)]
 struct WatchArgs {
-    /// The service.
+    /// Name of the service.
     service: String,
     #[command(flatten)]
     status: StatusArgs,
@@ -101,7 +103,8 @@
             Ok(())
         }
         RolloutReply::Busy(record) => {
-            let detail = format!("a roll-out to {} is under way", record.order.to);
+            let detail =
+                format!("a roll-out to version {} is already in progress", record.order.to);
             Err(CommandError::Conflict { detail })
         }
     }
@@ -113,14 +116,14 @@
         let record =
             records.into_iter().find(|record| record.order.service.as_str() == watch.service);
         let Some(record) = record else {
-            let detail = format!("no roll-out of {} was ordered", watch.service);
+            let detail = format!("service {} has no roll-out", watch.service);
             return Err(CommandError::Usage { detail });
         };
         if record.stage.is_final() {
             print_records(std::slice::from_ref(&record), watch.status.json);
             return match record.stage {
                 RolloutStage::RolledBack => Err(CommandError::Failed {
-                    detail: format!("{} was rolled back", record.order.to),
+                    detail: format!("version {} was rolled back", record.order.to),
                 }),
                 _ => Ok(()),
             };
