--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -12,15 +12,17 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How often the settings file is looked at.
+/// Polling interval of the settings file.
 const SETTINGS_PAUSE: Duration = Duration::from_secs(2);
 
 const HELP: &str = "\
-Runs one daemon until it is drained by SIGTERM, SIGINT or `tarragonknot drain`. Logs go to standard
-output as JSON lines; what is too much for it is dropped and counted, never waited for. A second signal changes nothing: it must not cut answers short. SIGHUP, or a change of the
-file, has the settings read again: seeds and tolerances take effect at once, addresses at the next start.";
+Runs one daemon until it is drained by SIGTERM, SIGINT or `tarragonknot drain`. A second signal has no
+effect, as it must not cut answers short. Logs are written to standard output as JSON lines; records that
+it cannot take fast enough are dropped and counted, as the daemon never waits for them. The settings are
+reloaded on SIGHUP and when the file changes: seeds and tolerances take effect at once, addresses at the
+next start.";
 
-/// How much is logged.
+/// Minimum level of logged records.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogLevel {
     Error,
@@ -33,10 +35,10 @@
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// The settings file; see `check`.
+    /// Settings file; `check` validates it.
     #[arg(long, value_name = "FILE")]
     settings: PathBuf,
-    /// Log records of this level and above.
+    /// Minimum level of the records to log.
     #[arg(long, value_enum, default_value = "info")]
     log_level: LogLevel,
 }
@@ -87,7 +89,7 @@
             _ = terminate.recv() => daemon.drain(),
             _ = interrupt.recv() => daemon.drain(),
             _ = hangup.recv() => reloader.reload(&daemon, true),
-            // The file may also change without a signal.
+            // Detects changes of the file that come without a SIGHUP.
             () = tokio::time::sleep(SETTINGS_PAUSE) => reloader.reload(&daemon, false),
         }
     }
@@ -96,7 +98,7 @@
     Ok(())
 }
 
-/// Reads the settings again.
+/// Reloads the settings file and applies changes.
 struct SettingsReloader {
     path: PathBuf,
     settings: DaemonSettings,
@@ -104,12 +106,13 @@
 }
 
 impl SettingsReloader {
-    /// Settings that cannot be read leave the last ones in force: a daemon must not end because of a file.
+    /// Keeps the previous settings if the file cannot be read or is invalid, as a bad file must not
+    /// stop a running daemon.
     fn reload(&mut self, daemon: &RunningDaemon, was_asked: bool) {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
             Err(error) => {
-                return warn!(self.log, "settings not read"; "error" => error.to_string());
+                return warn!(self.log, "settings not readable; keeping the previous settings"; "error" => error.to_string());
             }
         };
         match DaemonSettings::read(&text) {
@@ -120,7 +123,7 @@
                 self.settings = settings;
             }
             Err(faults) => {
-                warn!(self.log, "settings have faults; the last ones stay"; "faults" => faults.to_string());
+                warn!(self.log, "settings have faults; keeping the previous settings"; "faults" => faults.to_string());
             }
         }
     }
