--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows daemons as they see themselves, and the fleet as the leader sees it.
+//! `status`: shows the status of daemons, and the leader's view of the fleet.
 
 use super::CommandError;
 use super::operator::ControlTarget;
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 
 const HELP: &str = "\
-Asks the named daemons, and the leader if one of them knows it, for their status. A daemon that does not
-answer is listed as unreachable. Members are shown as the leader sees them: a member whose lease has run
-out admits nothing. The last table tells how far the newest table has come: how many daemons have which
-version in force, and for how long the others have lagged.
+Queries the given daemons, and the leader and the members that they name, for their status. A daemon that
+does not answer is listed as unreachable. Members are shown as the leader sees them; a member whose lease
+has expired admits no requests. The last table shows how far the newest operator table has been
+distributed: how many daemons have each version in force, and for how long the others have lagged.
 
 Example: tarragonknot status --control 10.1.0.14:7600";
 
-/// Show daemons and the fleet.
+/// Show the status of daemons and of the fleet.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
@@ -26,7 +26,7 @@
     json: bool,
 }
 
-/// One daemon's answer.
+/// The status of one daemon, or the error of the query.
 #[derive(Debug, Serialize)]
 struct StatusRow {
     control: SocketAddr,
@@ -51,6 +51,7 @@
     Ok(())
 }
 
+/// Queries the given daemons, and every leader and member that their answers name.
 async fn ask_all(target: &ControlTarget) -> Result<Vec<StatusRow>, CommandError> {
     let key = target.key()?;
     let mut addresses = target.addresses.clone();
