--- a/src/cmd/voter.rs
+++ b/src/cmd/voter.rs
@@ -1,4 +1,4 @@
-//! `voter`: lists the voters, lets a daemon become one, removes one.
+//! `voter`: lists the voters of the fleet and sets which daemons may vote.
 
 use super::CommandError;
 use super::operator::ControlTarget;
@@ -8,8 +8,9 @@
 use comfy_table::{Table, presets};
 
 const HELP: &str = "\
-A daemon with a data folder asks to become a voter by itself: it catches up as a learner first. `remove`
-takes its vote away and keeps it from coming back; `add` lets it come back. Voters change one at a time.";
+A daemon with a data folder requests to become a voter by itself, and first catches up as a learner. `remove`
+removes a voter and prevents it from joining again; `add` allows it to join again. Voters are added and
+removed one at a time.";
 
 /// List, add or remove voters.
 #[derive(Debug, clap::Args)]
@@ -21,11 +22,11 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Show voters and learners.
+    /// List voters and learners.
     List(ListArgs),
-    /// Let a daemon with a data folder become a voter.
+    /// Allow a daemon with a data folder to become a voter.
     Add(RuleArgs),
-    /// Take a daemon's vote away.
+    /// Remove a voter and prevent it from joining again.
     Remove(RuleArgs),
 }
 
@@ -40,7 +41,7 @@
 
 #[derive(Debug, clap::Args)]
 struct RuleArgs {
-    /// The daemon's name.
+    /// Name of the daemon.
     daemon: String,
     #[command(flatten)]
     list: ListArgs,
