--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -29,7 +29,7 @@
     let mut first = None;
     for path in &args.files {
         match check_file(path) {
-            Ok(kind) => super::print_out(&format!("{}: good {kind}", path.display())),
+            Ok(kind) => super::print_line(&format!("{}: good {kind}", path.display())),
             Err(CommandError::Faults { path, faults }) if args.json => {
                 super::print_json(&faults);
                 first.get_or_insert(CommandError::Usage {
--- a/src/cmd/completion.rs
+++ b/src/cmd/completion.rs
@@ -19,6 +19,6 @@
 pub fn run<C: CommandFactory>(args: &Args) -> Result<(), CommandError> {
     let mut script = Vec::new();
     clap_complete::generate(args.shell, &mut C::command(), "tarragonknot", &mut script);
-    super::print_out(&String::from_utf8_lossy(&script));
+    super::print_line(&String::from_utf8_lossy(&script));
     Ok(())
 }
--- a/src/cmd/operator.rs
+++ b/src/cmd/control_target.rs
@@ -41,7 +41,7 @@
     }
 
     /// Connects to the first daemon that answers.
-    pub async fn any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
+    pub async fn connect_any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
         let key = self.key()?;
         let mut last = CallError::NoLeader;
         for address in &self.addresses {
@@ -55,7 +55,7 @@
 
     /// Repeats a call, following redirects, until a leader answers it or the patience is used up.
     /// The call must be idempotent. A refused key ends the search at once.
-    pub async fn ask_leader<T, F>(
+    pub async fn call_leader<T, F>(
         &self,
         call: impl Fn(Arc<WsClient>) -> F,
     ) -> Result<T, CommandError>
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,7 +1,7 @@
 //! `demo`: runs a daemon, stand-in upstreams and sample requests in one process.
 
 use super::CommandError;
-use super::load::LoadBench;
+use super::load::LoadTestbed;
 use crate::answer::AnswerKind;
 use crate::load::{
     CallOutcome, CallResult, LoadCaller, LoadProfile, LoadSummary, PlannedRequest, PolicyChoice,
@@ -42,8 +42,8 @@
 async fn demo(kind: ProfileKind, stay: bool) -> Result<(), CommandError> {
     let profile = Arc::new(LoadProfile::new(kind));
     let bench =
-        LoadBench::start(&profile, PolicyChoice::Weighted, Logger::root(Discard, o!())).await?;
-    super::print_out(&format!(
+        LoadTestbed::start(&profile, PolicyChoice::Weighted, Logger::root(Discard, o!())).await?;
+    super::print_line(&format!(
         "{kind:?}: callers at {}, operators at {}",
         bench.daemon.callers, bench.daemon.control
     ));
@@ -57,8 +57,8 @@
     summary.prefill_tokens = bench.ledger.computed_tokens();
     summary.wasted_tokens = bench.ledger.wasted_tokens();
     summary.most_dispatches = bench.most_dispatches();
-    super::print_out(&summary.grid());
-    super::print_out(&format!(
+    super::print_line(&summary.grid());
+    super::print_line(&format!(
         "a deadline of 1 ms: {refusal:?}; one booking sent twice: {resend} run\n"
     ));
     let whole = results.iter().filter(|(_, result)| result.outcome == CallOutcome::Whole).count();
@@ -106,7 +106,7 @@
 
 /// Sends one booking twice with the same idempotency key. Returns how often the service executed
 /// it, or 0 if an answer was incomplete.
-async fn resent_booking(caller: &LoadCaller, profile: &LoadProfile, bench: &LoadBench) -> u32 {
+async fn resent_booking(caller: &LoadCaller, profile: &LoadProfile, bench: &LoadTestbed) -> u32 {
     let planned = demo_plan(profile)
         .into_iter()
         .find(|planned| profile.classes[planned.class].tier.starts_with(['b', 'h']));
@@ -121,12 +121,12 @@
     if are_whole { runs() - before } else { 0 }
 }
 
-async fn wait_for_interrupt(bench: &LoadBench, profile: &LoadProfile) {
+async fn wait_for_interrupt(bench: &LoadTestbed, profile: &LoadProfile) {
     let body = format!(
         r#"{{"model":"{}","stream":true,"max_tokens":12,"messages":[{{"role":"user","content":"hello"}}]}}"#,
         profile.model
     );
-    super::print_out(&format!(
+    super::print_line(&format!(
         "Example: curl -N -H 'Authorization: Bearer {}' -d '{body}' http://{}/v1/chat/completions\nInterrupt to stop.",
         profile.key(0),
         bench.daemon.callers
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,7 +1,7 @@
 //! `drain`: starts a graceful shutdown of a daemon.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{CallError, ControlApiClient};
 
 const HELP: &str = "\
@@ -20,13 +20,13 @@
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
     super::block_on(async {
-        let (address, client) = args.target.any().await?;
+        let (address, client) = args.target.connect_any().await?;
         let failed = |error: jsonrpsee::core::ClientError| CallError::Failed {
             address,
             detail: error.to_string(),
         };
         client.drain().await.map_err(|error| CommandError::Call { source: failed(error) })?;
-        super::print_out(&format!("{address}: draining"));
+        super::print_line(&format!("{address}: draining"));
         Ok(())
     })
 }
--- a/src/cmd/experiment.rs
+++ b/src/cmd/experiment.rs
@@ -82,7 +82,7 @@
     let results = run_cases(args, cases(args));
     match args.json {
         true => super::print_json(&results),
-        false => super::print_out(&grid(&results)),
+        false => super::print_line(&grid(&results)),
     }
     let breaks: f64 = results
         .iter()
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -149,19 +149,19 @@
 }
 
 fn print_way(way: &DaemonWay) {
-    super::print_out(&format!("daemon {}", way.daemon));
+    super::print_line(&format!("daemon {}", way.daemon));
     for step in &way.steps {
         let fields = step.fields.iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         });
         let fields: Vec<String> = fields.collect();
-        super::print_out(&format!(
+        super::print_line(&format!(
             "  +{:>6} ms  {:<16} {}",
             step.after_ms,
             step.message,
             fields.join(" ")
         ));
     }
-    super::print_out(&format!("  cause: {}", way.cause));
+    super::print_line(&format!("  cause: {}", way.cause));
 }
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -29,7 +29,7 @@
 /// Age of the load reports that the stand-in engines send.
 const REPORT_LAG: Duration = Duration::from_millis(200);
 /// Maximum time for a daemon to elect a leader or to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Run a load test with a firm's requests and summarise the answers.
 #[derive(Debug, clap::Args)]
@@ -73,14 +73,14 @@
         let added = runtime.block_on(overhead(args))?;
         match args.json {
             true => super::print_json(&added),
-            false => super::print_out(&added.grid()),
+            false => super::print_line(&added.grid()),
         }
         return Ok(());
     }
     let summary = runtime.block_on(load(args))?;
     match args.json {
         true => super::print_json(&summary),
-        false => super::print_out(&summary.grid()),
+        false => super::print_line(&summary.grid()),
     }
     match summary.broken() {
         0 => Ok(()),
@@ -97,11 +97,11 @@
     } else {
         Logger::root(Discard, o!())
     };
-    let bench = LoadBench::start(&profile, args.policy, log).await?;
+    let bench = LoadTestbed::start(&profile, args.policy, log).await?;
     let rate = args.rate.unwrap_or_else(|| profile.capacity() * args.times.unwrap_or(0.5));
     let plan = profile.plan(rate, Duration::from_secs(args.seconds), args.seed);
     if !args.json {
-        super::print_out(&format!(
+        super::print_line(&format!(
             "{} requests at {rate:.0}/s, capacity {:.0}/s",
             plan.len(),
             profile.capacity()
@@ -148,7 +148,7 @@
     profile.classes.retain(|class| class.tier == "lookup");
     profile.classes.iter_mut().for_each(|class| class.share = 1.0);
     let profile = Arc::new(profile);
-    let bench = LoadBench::start(&profile, args.policy, Logger::root(Discard, o!())).await?;
+    let bench = LoadTestbed::start(&profile, args.policy, Logger::root(Discard, o!())).await?;
     let plan =
         profile.plan(args.rate.unwrap_or(1_000.0), Duration::from_secs(args.seconds), args.seed);
     let direct = bench.services.first().map(|service| service.address);
@@ -203,7 +203,7 @@
 }
 
 /// One daemon and its stand-in upstreams.
-pub(super) struct LoadBench {
+pub(super) struct LoadTestbed {
     pub(super) daemon: RunningDaemon,
     pub(super) ledger: Arc<PrefillLedger>,
     pub(super) engines: Vec<Arc<EngineStandin>>,
@@ -211,7 +211,7 @@
     _folder: tempfile::TempDir,
 }
 
-impl LoadBench {
+impl LoadTestbed {
     /// Starts the stand-ins and the daemon, applies the profile's table and waits until the daemon
     /// is ready.
     pub(super) async fn start(
@@ -247,7 +247,7 @@
         let table = profile.table(&engine_addresses, &service_addresses, policy);
         apply_first_table(daemon.control, &key, table).await?;
         wait_ready(&daemon).await?;
-        Ok(LoadBench { daemon, ledger, engines, services, _folder: folder })
+        Ok(LoadTestbed { daemon, ledger, engines, services, _folder: folder })
     }
 
     /// The maximum number of dispatches of any request.
@@ -286,7 +286,7 @@
     table: OperatorTable,
 ) -> Result<(), CommandError> {
     use crate::control::{ControlApiClient, EditOutcome, LeaderAnswer, TableEdit, connect};
-    let until = Instant::now() + READY_LIMIT;
+    let until = Instant::now() + READY_TIMEOUT;
     let empty = crate::table::VersionedTable::new(0, OperatorTable::default());
     let edit = TableEdit {
         edit_id: "first".to_owned(),
@@ -309,12 +309,12 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    Err(CommandError::Failed { detail: format!("no leader elected within {READY_LIMIT:?}") })
+    Err(CommandError::Failed { detail: format!("no leader elected within {READY_TIMEOUT:?}") })
 }
 
 /// Waits until a daemon is ready and every pool has an upstream that may be given work.
 pub(super) async fn wait_ready(daemon: &RunningDaemon) -> Result<(), CommandError> {
-    let until = Instant::now() + READY_LIMIT;
+    let until = Instant::now() + READY_TIMEOUT;
     while Instant::now() < until {
         let has_share = daemon.state.pools().values().all(|pool| {
             pool.inspect(|scheduler| !scheduler.upstreams().open(CapacityClass::Regular).is_empty())
@@ -324,5 +324,5 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    Err(CommandError::Failed { detail: format!("daemon not ready within {READY_LIMIT:?}") })
+    Err(CommandError::Failed { detail: format!("daemon not ready within {READY_TIMEOUT:?}") })
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod check;
 pub mod completion;
+mod control_target;
 pub mod demo;
 pub mod drain;
 pub mod experiment;
 pub mod explain;
 pub mod load;
-mod operator;
 pub mod quarantine;
 pub mod rollout;
 pub mod serve;
@@ -110,12 +110,12 @@
 }
 
 /// Prints a line to standard output. Write errors are ignored, so a closed pipe is not an error.
-fn print_out(text: &str) {
+fn print_line(text: &str) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
 /// Prints a value as indented JSON.
 fn print_json<T: serde::Serialize>(value: &T) {
-    print_out(&serde_json::to_string_pretty(value).unwrap_or_default());
+    print_line(&serde_json::to_string_pretty(value).unwrap_or_default());
 }
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -1,7 +1,7 @@
 //! `quarantine`: lists quarantined requests and releases them.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{ControlApiClient, QuarantineRow};
 use crate::quarantine::RequestFingerprint;
 use clap::Subcommand;
@@ -56,14 +56,14 @@
     let (rows, json) = match &args.action {
         Action::List(list) => {
             let rows = super::block_on(
-                list.target.ask_leader(|client| async move { client.quarantine().await }),
+                list.target.call_leader(|client| async move { client.quarantine().await }),
             )?;
             (rows, list.json)
         }
         Action::Release(ReleaseArgs { fingerprint, list }) => {
             let request = *fingerprint;
             let rows = super::block_on(
-                list.target.ask_leader(|client| async move { client.release(request).await }),
+                list.target.call_leader(|client| async move { client.release(request).await }),
             )?;
             (rows, list.json)
         }
@@ -84,7 +84,7 @@
         let held = seconds(row.held_for_ms);
         grid.add_row([row.fingerprint.clone(), row.upstreams_ended.to_string(), ended, held]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
 
 fn seconds(millis: u64) -> String {
--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -1,7 +1,7 @@
 //! `rollout`: starts a canary roll-out of a service's upstreams and shows its progress.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::ControlApiClient;
 use crate::rollout::{RolloutOrder, RolloutRecord, RolloutReply, RolloutStage};
 use clap::Subcommand;
@@ -84,7 +84,7 @@
 }
 
 fn records(target: &ControlTarget) -> Result<Vec<RolloutRecord>, CommandError> {
-    super::block_on(target.ask_leader(|client| async move { client.rollouts().await }))
+    super::block_on(target.call_leader(|client| async move { client.rollouts().await }))
 }
 
 fn order(begin: &BeginArgs) -> Result<(), CommandError> {
@@ -93,7 +93,7 @@
         to: begin.version.as_str().into(),
         duration_ms: begin.seconds * 1_000,
     };
-    let reply = super::block_on(begin.status.target.ask_leader(|client| {
+    let reply = super::block_on(begin.status.target.call_leader(|client| {
         let order = order.clone();
         async move { client.rollout(order).await }
     }))?;
@@ -162,5 +162,5 @@
             seconds(record.order.duration_ms),
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,7 +1,7 @@
 //! `status`: shows the status of daemons, and the leader's view of the fleet.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{ControlApiClient, DaemonStatus, MemberView, connect, table_versions};
 use comfy_table::{Table, presets};
 use serde::Serialize;
@@ -99,7 +99,7 @@
             None => grid.add_row(["?", &control, row.fault.as_deref().unwrap_or("unreachable")]),
         };
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
     let members =
         rows.iter().filter_map(|row| row.status.as_ref()).flat_map(|status| &status.members);
     let members: Vec<MemberView> = members.cloned().collect();
@@ -122,7 +122,7 @@
             lease.to_owned(),
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
 
 fn print_table_versions(members: &[MemberView]) {
@@ -141,5 +141,5 @@
             format!("{}{more}", named.join(" ")),
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -1,7 +1,7 @@
 //! `table`: shows, applies and compares versions of the operator table.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{ApplyAnswer, ControlApiClient, EditOutcome, HistoryRow, TableEdit};
 use crate::table::{CellChange, OperatorTable, VersionedTable, diff_tables, read_table};
 use clap::Subcommand;
@@ -113,7 +113,7 @@
     target: &ControlTarget,
     version: Option<u64>,
 ) -> Result<VersionedTable, CommandError> {
-    let table = target.ask_leader(|client| async move { client.table(version).await }).await?;
+    let table = target.call_leader(|client| async move { client.table(version).await }).await?;
     table.ok_or_else(|| CommandError::Usage {
         detail: format!("version {} is not stored", version.unwrap_or_default()),
     })
@@ -189,7 +189,7 @@
 async fn send(args: &ApplyArgs, edit: &TableEdit) -> Result<ApplyAnswer, CommandError> {
     let call =
         |client: Arc<WsClient>| async move { client.apply(edit.clone(), !args.no_wait).await };
-    args.target.ask_leader(call).await
+    args.target.call_leader(call).await
 }
 
 fn report(args: &ApplyArgs, edit: &TableEdit, answer: &ApplyAnswer) -> Result<(), CommandError> {
@@ -206,7 +206,7 @@
                 (false, false) => format!("accepted; still not in force on: {}", lagging.join(" ")),
             };
             if !args.json {
-                super::print_out(&format!(
+                super::print_line(&format!(
                     "version {}: {progress} (edit {})",
                     record.version, edit.edit_id
                 ));
@@ -237,7 +237,7 @@
 async fn history(args: &HistoryArgs) -> Result<(), CommandError> {
     let most = args.most;
     let rows: Vec<HistoryRow> =
-        args.target.ask_leader(|client| async move { client.history(most).await }).await?;
+        args.target.call_leader(|client| async move { client.history(most).await }).await?;
     if args.json {
         super::print_json(&rows);
         return Ok(());
@@ -253,7 +253,7 @@
             hash,
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
     Ok(())
 }
 
@@ -266,7 +266,7 @@
             };
             let call = |client: Arc<WsClient>| async move { client.diff(before, after).await };
             args.target
-                .ask_leader(call)
+                .call_leader(call)
                 .await?
                 .ok_or_else(|| usage("one of the versions is not stored"))?
         }
@@ -278,7 +278,7 @@
     };
     match args.json {
         true => super::print_json(&difference),
-        false => difference.iter().for_each(|change| super::print_out(&change_line(change))),
+        false => difference.iter().for_each(|change| super::print_line(&change_line(change))),
     }
     Ok(())
 }
@@ -301,7 +301,7 @@
 
 /// Prints one grid for each part of the table, with the JSON member names as columns.
 fn print_table(versioned: &VersionedTable) {
-    super::print_out(&format!("version {} hash {}", versioned.version, versioned.hash));
+    super::print_line(&format!("version {} hash {}", versioned.version, versioned.hash));
     let Ok(Value::Object(parts)) = serde_json::to_value(&versioned.table) else { return };
     for (part, rows) in &parts {
         let rows: Vec<&Value> = rows.as_array().into_iter().flatten().collect();
@@ -316,7 +316,7 @@
         for row in rows {
             grid.add_row(columns.iter().map(|column| cell_text(row.get(*column))));
         }
-        super::print_out(&format!("\n{part}\n{grid}"));
+        super::print_line(&format!("\n{part}\n{grid}"));
     }
 }
 
--- a/src/cmd/voter.rs
+++ b/src/cmd/voter.rs
@@ -1,7 +1,7 @@
 //! `voter`: lists the voters of the fleet and sets which daemons may vote.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{ControlApiClient, VoterRow};
 use crate::table::DaemonName;
 use clap::Subcommand;
@@ -52,7 +52,7 @@
     match &args.action {
         Action::List(list) => {
             let rows = super::block_on(
-                list.target.ask_leader(|client| async move { client.voters().await }),
+                list.target.call_leader(|client| async move { client.voters().await }),
             )?;
             print_rows(&rows, list.json);
         }
@@ -68,7 +68,7 @@
         let daemon = daemon.clone();
         async move { client.voter_rule(daemon, allowed).await }
     };
-    let rows = super::block_on(rule.list.target.ask_leader(call))?;
+    let rows = super::block_on(rule.list.target.call_leader(call))?;
     print_rows(&rows, rule.list.json);
     Ok(())
 }
@@ -85,5 +85,5 @@
         let votes = if row.votes { "yes" } else { "not yet" };
         grid.add_row([row.voter.to_string(), row.control.to_string(), votes.to_owned(), matched]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
