--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -26,21 +26,21 @@
 
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
-    let mut first = None;
+    let mut first_error = None;
     for path in &args.files {
         match check_file(path) {
             Ok(kind) => super::print_line(&format!("{}: good {kind}", path.display())),
             Err(CommandError::Faults { path, faults }) if args.json => {
                 super::print_json(&faults);
-                first.get_or_insert(CommandError::Usage {
+                first_error.get_or_insert(CommandError::Usage {
                     detail: format!("{}: {} faults", path.display(), faults.0.len()),
                 });
             }
-            Err(error) if first.is_none() => first = Some(error),
+            Err(error) if first_error.is_none() => first_error = Some(error),
             Err(error) => eprintln!("tarragonknot: {error}"),
         }
     }
-    first.map_or(Ok(()), Err)
+    first_error.map_or(Ok(()), Err)
 }
 
 fn check_file(path: &PathBuf) -> Result<&'static str, CommandError> {
@@ -54,7 +54,7 @@
     match faults {
         None => Ok(kind),
         Some(faults) => {
-            Err(CommandError::Faults { path: path.clone(), faults: with_kind(faults, kind) })
+            Err(CommandError::Faults { path: path.clone(), faults: add_kind(faults, kind) })
         }
     }
 }
@@ -70,16 +70,16 @@
 /// counts as a table.
 fn document_kind(text: &str) -> DocumentKind {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
-    let has = |names: &[&str]| names.iter().any(|name| value.get(name).is_some());
+    let has_any = |names: &[&str]| names.iter().any(|name| value.get(name).is_some());
     match () {
-        () if has(&["daemon", "callers", "control"]) => DocumentKind::Settings,
-        () if has(&["vms"]) => DocumentKind::Platform,
+        () if has_any(&["daemon", "callers", "control"]) => DocumentKind::Settings,
+        () if has_any(&["vms"]) => DocumentKind::Platform,
         () => DocumentKind::Table,
     }
 }
 
 /// Adds the detected kind to faults of the whole document.
-fn with_kind(faults: FaultList, kind: &str) -> FaultList {
+fn add_kind(faults: FaultList, kind: &str) -> FaultList {
     let mut faults = faults;
     for fault in &mut faults.0 {
         if fault.path == "/" {
