--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -104,9 +104,9 @@
 }
 
 /// Runs a future to completion on a single-threaded runtime.
-fn block_on<T>(work: impl Future<Output = Result<T, CommandError>>) -> Result<T, CommandError> {
+fn block_on<T>(future: impl Future<Output = Result<T, CommandError>>) -> Result<T, CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| CommandError::Failed { detail: error.to_string() })?.block_on(work)
+    runtime.map_err(|error| CommandError::Failed { detail: error.to_string() })?.block_on(future)
 }
 
 /// Prints a line to standard output. Write errors are ignored, so a closed pipe is not an error.
