--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -18,7 +18,7 @@
 results and exits; fails if an answer is missing, duplicated or belongs to another request.";
 
 /// Number of times that each traffic class of a firm's profile gets a request.
-const ROUNDS: u64 = 6;
+const REQUESTS_PER_CLASS: u64 = 6;
 
 /// Run a complete system in one process and send sample requests.
 #[derive(Debug, clap::Args)]
@@ -34,40 +34,40 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|error| CommandError::Failed { detail: error.to_string() })?;
     runtime.block_on(async {
-        demo(ProfileKind::Lodgeframe, false).await?;
-        demo(ProfileKind::Wrekin, args.stay).await
+        run_demo(ProfileKind::Lodgeframe, false).await?;
+        run_demo(ProfileKind::Wrekin, args.stay).await
     })
 }
 
-async fn demo(kind: ProfileKind, stay: bool) -> Result<(), CommandError> {
+async fn run_demo(kind: ProfileKind, stay: bool) -> Result<(), CommandError> {
     let profile = Arc::new(LoadProfile::new(kind));
-    let bench =
+    let testbed =
         LoadTestbed::start(&profile, PolicyChoice::Weighted, Logger::root(Discard, o!())).await?;
     super::print_line(&format!(
         "{kind:?}: callers at {}, operators at {}",
-        bench.daemon.callers, bench.daemon.control
+        testbed.daemon.callers, testbed.daemon.control
     ));
-    let caller = LoadCaller::new(bench.daemon.callers);
+    let caller = LoadCaller::new(testbed.daemon.callers);
     let plan = demo_plan(&profile);
     let expected = plan.len();
-    let results = super::load::send_plan(&profile, plan, bench.daemon.callers, 1).await;
-    let refusal = refused_call(&caller, &profile).await;
-    let resend = resent_booking(&caller, &profile, &bench).await;
+    let results = super::load::send_plan(&profile, plan, testbed.daemon.callers, 1).await;
+    let refusal_outcome = send_refused_request(&caller, &profile).await;
+    let booking_runs = send_booking_twice(&caller, &profile, &testbed).await;
     let mut summary = LoadSummary::of(&profile, &results);
-    summary.prefill_tokens = bench.ledger.computed_tokens();
-    summary.wasted_tokens = bench.ledger.wasted_tokens();
-    summary.most_dispatches = bench.most_dispatches();
+    summary.prefill_tokens = testbed.ledger.computed_tokens();
+    summary.wasted_tokens = testbed.ledger.wasted_tokens();
+    summary.most_dispatches = testbed.most_dispatches();
     super::print_line(&summary.grid());
     super::print_line(&format!(
-        "a deadline of 1 ms: {refusal:?}; one booking sent twice: {resend} run\n"
+        "a deadline of 1 ms: {refusal_outcome:?}; one booking sent twice: {booking_runs} run\n"
     ));
     let whole = results.iter().filter(|(_, result)| result.outcome == CallOutcome::Whole).count();
-    let has_run_once = resend == 1;
-    let is_refused = refusal == CallOutcome::Refused(AnswerKind::DeadlineTooShort);
+    let has_run_once = booking_runs == 1;
+    let is_refused = refusal_outcome == CallOutcome::Refused(AnswerKind::DeadlineTooShort);
     if stay {
-        wait_for_interrupt(&bench, &profile).await;
+        wait_for_interrupt(&testbed, &profile).await;
     }
-    bench.stop().await;
+    testbed.stop().await;
     match whole == expected && summary.broken() == 0 && has_run_once && is_refused {
         true => Ok(()),
         false => Err(CommandError::Failed {
@@ -93,35 +93,39 @@
             template: number % 3,
         }
     };
-    (0..ROUNDS * classes).map(request).collect()
+    (0..REQUESTS_PER_CLASS * classes).map(request).collect()
 }
 
 /// Sends a request with a deadline of 1 ms, which the daemon must refuse as too short.
-async fn refused_call(caller: &LoadCaller, profile: &LoadProfile) -> CallOutcome {
-    let mut hurried = profile.clone();
-    hurried.classes[0].deadline = Duration::from_millis(1);
+async fn send_refused_request(caller: &LoadCaller, profile: &LoadProfile) -> CallOutcome {
+    let mut short_deadline_profile = profile.clone();
+    short_deadline_profile.classes[0].deadline = Duration::from_millis(1);
     let planned = PlannedRequest { number: 1_000, ..demo_plan(profile)[0].clone() };
-    caller.call(&hurried, &planned, 1).await.outcome
+    caller.call(&short_deadline_profile, &planned, 1).await.outcome
 }
 
 /// Sends one booking twice with the same idempotency key. Returns how often the service executed
 /// it, or 0 if an answer was incomplete.
-async fn resent_booking(caller: &LoadCaller, profile: &LoadProfile, bench: &LoadTestbed) -> u32 {
+async fn send_booking_twice(
+    caller: &LoadCaller,
+    profile: &LoadProfile,
+    testbed: &LoadTestbed,
+) -> u32 {
     let planned = demo_plan(profile)
         .into_iter()
         .find(|planned| profile.classes[planned.class].tier.starts_with(['b', 'h']));
     let Some(planned) = planned else { return 0 };
     let planned = PlannedRequest { number: 2_000, ..planned };
     let runs =
-        || bench.services.iter().flat_map(|service| service.runs().into_values()).sum::<u32>();
-    let before = runs();
+        || testbed.services.iter().flat_map(|service| service.runs().into_values()).sum::<u32>();
+    let runs_before = runs();
     let first: CallResult = caller.call(profile, &planned, 1).await;
     let second: CallResult = caller.call(profile, &planned, 1).await;
     let are_whole = [first, second].iter().all(|result| result.outcome == CallOutcome::Whole);
-    if are_whole { runs() - before } else { 0 }
+    if are_whole { runs() - runs_before } else { 0 }
 }
 
-async fn wait_for_interrupt(bench: &LoadTestbed, profile: &LoadProfile) {
+async fn wait_for_interrupt(testbed: &LoadTestbed, profile: &LoadProfile) {
     let body = format!(
         r#"{{"model":"{}","stream":true,"max_tokens":12,"messages":[{{"role":"user","content":"hello"}}]}}"#,
         profile.model
@@ -129,7 +133,7 @@
     super::print_line(&format!(
         "Example: curl -N -H 'Authorization: Bearer {}' -d '{body}' http://{}/v1/chat/completions\nInterrupt to stop.",
         profile.key(0),
-        bench.daemon.callers
+        testbed.daemon.callers
     ));
     let _ = tokio::signal::ctrl_c().await;
 }
