--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -21,11 +21,11 @@
 pub fn run(args: &Args) -> Result<(), CommandError> {
     super::block_on(async {
         let (address, client) = args.target.connect_any().await?;
-        let failed = |error: jsonrpsee::core::ClientError| CallError::Failed {
+        let call_error = |error: jsonrpsee::core::ClientError| CallError::Failed {
             address,
             detail: error.to_string(),
         };
-        client.drain().await.map_err(|error| CommandError::Call { source: failed(error) })?;
+        client.drain().await.map_err(|error| CommandError::Call { source: call_error(error) })?;
         super::print_line(&format!("{address}: draining"));
         Ok(())
     })
