--- a/src/cmd/experiment.rs
+++ b/src/cmd/experiment.rs
@@ -79,27 +79,27 @@
         let detail = format!("--times: found {times}; expected 0.01 to 20");
         return Err(CommandError::Usage { detail });
     }
-    let results = run_cases(args, cases(args));
+    let results = run_cases(args, expand_cases(args));
     match args.json {
         true => super::print_json(&results),
-        false => super::print_line(&grid(&results)),
+        false => super::print_line(&format_grid(&results)),
     }
-    let breaks: f64 = results
+    let violations: f64 = results
         .iter()
         .filter(|result| {
             result.case.policy == PolicyChoice::Weighted && result.case.without.is_none()
         })
         .map(|result| result.summary.order_breaks.worst)
         .sum();
-    match breaks == 0.0 {
+    match violations == 0.0 {
         true => Ok(()),
-        false => Err(CommandError::Failed {
-            detail: format!("{breaks} violations of the shedding order"),
-        }),
+        false => {
+            Err(CommandError::Failed { detail: format!("{violations} shedding order violations") })
+        }
     }
 }
 
-fn cases(args: &Args) -> Vec<ExperimentCase> {
+fn expand_cases(args: &Args) -> Vec<ExperimentCase> {
     let profiles = args.profile.map_or(ProfileKind::value_variants().to_vec(), |kind| vec![kind]);
     let policies = match (args.ablation, args.policy.is_empty()) {
         (true, _) => vec![PolicyChoice::Weighted],
@@ -129,35 +129,35 @@
 /// Runs every case with every seed, on half of the available cores.
 fn run_cases(args: &Args, cases: Vec<ExperimentCase>) -> Vec<CaseResult> {
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get() / 2).max(1);
-    let next = AtomicUsize::new(0);
+    let next_job = AtomicUsize::new(0);
     let jobs = cases.len() * args.seeds as usize;
-    let work = || {
+    let run_jobs = || {
         let mut done = Vec::new();
         loop {
-            let job = next.fetch_add(1, Ordering::Relaxed);
+            let job = next_job.fetch_add(1, Ordering::Relaxed);
             if job >= jobs {
                 return done;
             }
             let case = &cases[job / args.seeds as usize];
-            let plan = plan(args, case, job as u64 % args.seeds + 1);
+            let plan = experiment_plan(args, case, job as u64 % args.seeds + 1);
             done.push((job, run_experiment(&plan)));
         }
     };
     let mut runs: Vec<_> = std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
+        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(run_jobs)).collect();
         workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect()
     });
     runs.sort_by_key(|(job, _)| *job);
     let runs: Vec<_> = runs.into_iter().map(|(_, run)| run).collect();
-    let sums = runs.chunks(args.seeds as usize).map(SpreadSummary::of);
+    let summaries = runs.chunks(args.seeds as usize).map(SpreadSummary::of);
     cases
         .iter()
-        .zip(sums)
+        .zip(summaries)
         .map(|(case, summary)| CaseResult { case: case.clone(), fault: args.fault, summary })
         .collect()
 }
 
-fn plan(args: &Args, case: &ExperimentCase, seed: u64) -> ExperimentPlan {
+fn experiment_plan(args: &Args, case: &ExperimentCase, seed: u64) -> ExperimentPlan {
     let mut profile = LoadProfile::new(case.profile);
     profile.given_limit = args.given.unwrap_or(profile.given_limit);
     ExperimentPlan {
@@ -174,24 +174,24 @@
 
 /// The reference value of a median for the case's profile and rate: that of the best baseline or,
 /// if no baseline ran, that of the policy with all mechanisms enabled.
-fn reference(
+fn reference_median(
     results: &[CaseResult],
     case: &ExperimentCase,
-    number: impl Fn(&SpreadSummary) -> f64,
+    metric: impl Fn(&SpreadSummary) -> f64,
 ) -> f64 {
-    let alike = || {
+    let same_setup = || {
         results
             .iter()
             .filter(|other| other.case.profile == case.profile && other.case.times == case.times)
     };
-    let baselines = alike().filter(|other| other.case.policy != PolicyChoice::Weighted);
-    let best = baselines.map(|other| number(&other.summary)).fold(0.0, f64::max);
-    let whole = alike().find(|other| other.case.without.is_none());
-    let whole = whole.map_or(1.0, |other| number(&other.summary));
-    if best > 0.0 { best } else { whole.max(1.0) }
+    let baselines = same_setup().filter(|other| other.case.policy != PolicyChoice::Weighted);
+    let best = baselines.map(|other| metric(&other.summary)).fold(0.0, f64::max);
+    let full_policy = same_setup().find(|other| other.case.without.is_none());
+    let full_policy = full_policy.map_or(1.0, |other| metric(&other.summary));
+    if best > 0.0 { best } else { full_policy.max(1.0) }
 }
 
-fn grid(results: &[CaseResult]) -> String {
+fn format_grid(results: &[CaseResult]) -> String {
     let mut grid = Table::new();
     grid.load_preset(presets::ASCII_MARKDOWN);
     grid.set_header([
@@ -210,38 +210,39 @@
     ]);
     for result in results {
         let (case, summary) = (&result.case, &result.summary);
-        let answers = reference(results, case, |summary| summary.weighted.median);
-        let tokens = reference(results, case, |summary| summary.weighted_tokens.median);
+        let answers = reference_median(results, case, |summary| summary.weighted.median);
+        let tokens = reference_median(results, case, |summary| summary.weighted_tokens.median);
         let scaled = |spread: SeedSpread, factor: f64| SeedSpread {
             median: spread.median * factor,
             worst: spread.worst * factor,
         };
         let good = summary.good.iter().filter(|spread| spread.median > 0.0 || spread.worst > 0.0);
-        let good: Vec<String> = good.map(|spread| cell(scaled(*spread, 100.0), 1)).collect();
+        let good: Vec<String> =
+            good.map(|spread| format_spread(scaled(*spread, 100.0), 1)).collect();
         grid.add_row([
-            name(&case.profile),
+            label(&case.profile),
             case.times.to_string(),
             case.without
-                .map_or(name(&case.policy), |without| format!("without {}", name(&without))),
-            cell(scaled(summary.weighted, 1.0 / answers), 2),
-            cell(scaled(summary.weighted_tokens, 1.0 / tokens), 2),
+                .map_or(label(&case.policy), |without| format!("without {}", label(&without))),
+            format_spread(scaled(summary.weighted, 1.0 / answers), 2),
+            format_spread(scaled(summary.weighted_tokens, 1.0 / tokens), 2),
             good.join(", "),
-            cell(summary.first_ms, 0),
-            cell(summary.top_first_ms, 0),
-            cell(scaled(summary.wasted, 100.0), 1),
-            cell(summary.refusals, 0),
-            cell(summary.order_breaks, 0),
-            cell(summary.engines_ended, 0),
+            format_spread(summary.first_ms, 0),
+            format_spread(summary.top_first_ms, 0),
+            format_spread(scaled(summary.wasted, 100.0), 1),
+            format_spread(summary.refusals, 0),
+            format_spread(summary.order_breaks, 0),
+            format_spread(summary.engines_ended, 0),
         ]);
     }
     grid.to_string()
 }
 
 /// Formats the median, followed by the worst seed in parentheses.
-fn cell(spread: SeedSpread, digits: usize) -> String {
+fn format_spread(spread: SeedSpread, digits: usize) -> String {
     format!("{:.digits$} ({:.digits$})", spread.median, spread.worst)
 }
 
-fn name(value: &impl ValueEnum) -> String {
+fn label(value: &impl ValueEnum) -> String {
     value.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
 }
