--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -14,7 +14,8 @@
 are relative to each daemon's first line about the request, and lines of different daemons are not ordered with each other.";
 
 /// Log messages that record the outcome of a request.
-const ENDS: [&str; 5] = ["answered", "refused", "stream cut", "caller left", "over the limit"];
+const OUTCOME_MESSAGES: [&str; 5] =
+    ["answered", "refused", "stream cut", "caller left", "over the limit"];
 
 /// Explain the outcome of a request from daemon logs.
 #[derive(Debug, clap::Args)]
@@ -32,18 +33,18 @@
 
 /// The history of a request on one daemon.
 #[derive(Debug, Serialize)]
-pub struct DaemonWay {
+pub struct DaemonTrace {
     /// The daemon's name.
     pub daemon: String,
     /// The daemon's log lines about the request, in log order.
-    pub steps: Vec<WayStep>,
+    pub steps: Vec<TraceStep>,
     /// The cause of the outcome.
     pub cause: String,
 }
 
 /// One log line about a request.
 #[derive(Debug, Serialize)]
-pub struct WayStep {
+pub struct TraceStep {
     /// Milliseconds since the daemon's first line about the request.
     pub after_ms: u64,
     /// The log message, which names the decision.
@@ -56,15 +57,15 @@
 pub fn run(args: &Args) -> Result<(), CommandError> {
     let texts: Result<Vec<String>, CommandError> =
         args.files.iter().map(|path| read_log(path)).collect();
-    let ways = explain(&args.id, texts?.iter().flat_map(|text| text.lines()));
-    if ways.is_empty() {
+    let traces = explain(&args.id, texts?.iter().flat_map(|text| text.lines()));
+    if traces.is_empty() {
         let detail = format!("no line of these logs names request {}", args.id);
         return Err(CommandError::Failed { detail });
     }
     if args.json {
-        super::print_json(&ways);
+        super::print_json(&traces);
     } else {
-        ways.iter().for_each(print_way);
+        traces.iter().for_each(print_trace);
     }
     Ok(())
 }
@@ -81,52 +82,53 @@
 }
 
 /// Returns the history of a request on each daemon that logged a line about it.
-pub fn explain<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Vec<DaemonWay> {
+pub fn explain<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Vec<DaemonTrace> {
     let mut daemons: BTreeMap<String, Vec<Map<String, Value>>> = BTreeMap::new();
     for line in lines {
         // Some log collectors put a prefix before the JSON object.
         let Some(start) = line.find('{') else { continue };
         let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { continue };
         if fields.get("request").and_then(Value::as_str) == Some(id) {
-            daemons.entry(text(&fields, "daemon").to_owned()).or_default().push(fields);
+            daemons.entry(text_field(&fields, "daemon").to_owned()).or_default().push(fields);
         }
     }
-    daemons.into_iter().map(|(daemon, rows)| way(daemon, rows)).collect()
+    daemons.into_iter().map(|(daemon, rows)| daemon_trace(daemon, rows)).collect()
 }
 
-fn way(daemon: String, rows: Vec<Map<String, Value>>) -> DaemonWay {
+fn daemon_trace(daemon: String, rows: Vec<Map<String, Value>>) -> DaemonTrace {
     // The finding about a lost upstream may be logged after the outcome of its requests, so the
     // last line isn't always the outcome.
-    let end = rows.iter().rev().find(|row| ENDS.contains(&text(row, "message")));
-    let cause = end.or(rows.last()).map(cause_of).unwrap_or_default();
+    let outcome_row =
+        rows.iter().rev().find(|row| OUTCOME_MESSAGES.contains(&text_field(row, "message")));
+    let cause = outcome_row.or(rows.last()).map(outcome_cause).unwrap_or_default();
     let time = |row: &Map<String, Value>| row.get("time").and_then(Value::as_u64).unwrap_or(0);
     let first = rows.first().map_or(0, time);
     let step = |mut row: Map<String, Value>| {
         let after_ms = time(&row).saturating_sub(first);
-        let message = text(&row, "message").to_owned();
+        let message = text_field(&row, "message").to_owned();
         ["time", "message", "daemon", "level", "request"].iter().for_each(|name| {
             row.remove(*name);
         });
-        WayStep { after_ms, message, fields: row }
+        TraceStep { after_ms, message, fields: row }
     };
-    DaemonWay { daemon, steps: rows.into_iter().map(step).collect(), cause }
+    DaemonTrace { daemon, steps: rows.into_iter().map(step).collect(), cause }
 }
 
-fn text<'a>(row: &'a Map<String, Value>, name: &str) -> &'a str {
+fn text_field<'a>(row: &'a Map<String, Value>, name: &str) -> &'a str {
     row.get(name).and_then(Value::as_str).unwrap_or_default()
 }
 
 /// Derives the cause of the outcome from the line that records it.
-fn cause_of(row: &Map<String, Value>) -> String {
-    let upstream = text(row, "upstream");
+fn outcome_cause(row: &Map<String, Value>) -> String {
+    let upstream = text_field(row, "upstream");
     let number = |name: &str| row.get(name).and_then(Value::as_u64).unwrap_or(0);
-    match text(row, "message") {
+    match text_field(row, "message") {
         "answered" if number("status") >= 500 => {
             format!("upstream {upstream} answered {} itself", number("status"))
         }
         "answered" => format!("answered by upstream {upstream} with status {}", number("status")),
         "refused" => {
-            let kind = text(row, "kind");
+            let kind = text_field(row, "kind");
             let known = ANSWER_TABLE.iter().find(|row| row.name == kind);
             let title = known.map_or("a kind that this version does not know", |row| row.title);
             let ran = known.map_or_else(String::new, |row| format!("; ran: {:?}", row.ran));
@@ -135,9 +137,9 @@
         "stream cut" => format!(
             "upstream {upstream} stopped after {} events and {}",
             number("events"),
-            text(row, "detail")
+            text_field(row, "detail")
         ),
-        "caller left" => match text(row, "stage") {
+        "caller left" => match text_field(row, "stage") {
             "Waiting" => "the caller left while the request waited for a place".to_owned(),
             "Sent" => "the caller left before an answer began; whether the upstream ran it is not known here"
                 .to_owned(),
@@ -148,9 +150,9 @@
     }
 }
 
-fn print_way(way: &DaemonWay) {
-    super::print_line(&format!("daemon {}", way.daemon));
-    for step in &way.steps {
+fn print_trace(trace: &DaemonTrace) {
+    super::print_line(&format!("daemon {}", trace.daemon));
+    for step in &trace.steps {
         let fields = step.fields.iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
@@ -163,5 +165,5 @@
             fields.join(" ")
         ));
     }
-    super::print_line(&format!("  cause: {}", way.cause));
+    super::print_line(&format!("  cause: {}", trace.cause));
 }
