--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -27,7 +27,7 @@
 maximum throughput of the engines according to their own model.";
 
 /// Age of the load reports that the stand-in engines send.
-const REPORT_LAG: Duration = Duration::from_millis(200);
+const REPORT_DELAY: Duration = Duration::from_millis(200);
 /// Maximum time for a daemon to elect a leader or to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
@@ -70,14 +70,14 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|error| CommandError::Failed { detail: error.to_string() })?;
     if args.overhead {
-        let added = runtime.block_on(overhead(args))?;
+        let added = runtime.block_on(measure_overhead(args))?;
         match args.json {
             true => super::print_json(&added),
             false => super::print_line(&added.grid()),
         }
         return Ok(());
     }
-    let summary = runtime.block_on(load(args))?;
+    let summary = runtime.block_on(run_load(args))?;
     match args.json {
         true => super::print_json(&summary),
         false => super::print_line(&summary.grid()),
@@ -90,14 +90,14 @@
     }
 }
 
-async fn load(args: &Args) -> Result<LoadSummary, CommandError> {
+async fn run_load(args: &Args) -> Result<LoadSummary, CommandError> {
     let profile = Arc::new(LoadProfile::new(args.profile));
     let log = if args.log {
         json_logger(std::io::stderr(), Level::Info, "load")
     } else {
         Logger::root(Discard, o!())
     };
-    let bench = LoadTestbed::start(&profile, args.policy, log).await?;
+    let testbed = LoadTestbed::start(&profile, args.policy, log).await?;
     let rate = args.rate.unwrap_or_else(|| profile.capacity() * args.times.unwrap_or(0.5));
     let plan = profile.plan(rate, Duration::from_secs(args.seconds), args.seed);
     if !args.json {
@@ -107,31 +107,31 @@
             profile.capacity()
         ));
     }
-    let results = send_plan(&profile, plan, bench.daemon.callers, args.seed).await;
+    let results = send_plan(&profile, plan, testbed.daemon.callers, args.seed).await;
     let mut summary = LoadSummary::of(&profile, &results);
-    summary.prefill_tokens = bench.ledger.computed_tokens();
-    summary.wasted_tokens = bench.ledger.wasted_tokens();
-    summary.most_dispatches = bench.most_dispatches();
+    summary.prefill_tokens = testbed.ledger.computed_tokens();
+    summary.wasted_tokens = testbed.ledger.wasted_tokens();
+    summary.most_dispatches = testbed.most_dispatches();
     summary.order_breaks =
-        bench.daemon.state.pools().values().map(|pool| pool.shed_order_violations()).sum();
-    bench.stop().await;
+        testbed.daemon.state.pools().values().map(|pool| pool.shed_order_violations()).sum();
+    testbed.stop().await;
     Ok(summary)
 }
 
 /// Latency percentiles (p50, p95, p99) without and with the daemon, in milliseconds.
 #[derive(Debug, Serialize)]
-struct AddedTime {
+struct AddedLatency {
     requests: usize,
     direct_ms: [f64; 3],
     through_ms: [f64; 3],
 }
 
-impl AddedTime {
+impl AddedLatency {
     fn grid(&self) -> String {
         let line = |name: &str, ms: [f64; 3]| {
             format!("{name:<10} p50 {:.3} ms  p95 {:.3} ms  p99 {:.3} ms", ms[0], ms[1], ms[2])
         };
-        let added = [0, 1, 2].map(|position| self.through_ms[position] - self.direct_ms[position]);
+        let added = [0, 1, 2].map(|idx| self.through_ms[idx] - self.direct_ms[idx]);
         let lines = [
             line("direct", self.direct_ms),
             line("through", self.through_ms),
@@ -143,37 +143,42 @@
 
 /// Sends the same look-ups directly and through the daemon, at the same time, so that both are
 /// subject to the same noise.
-async fn overhead(args: &Args) -> Result<AddedTime, CommandError> {
+async fn measure_overhead(args: &Args) -> Result<AddedLatency, CommandError> {
     let mut profile = LoadProfile::new(args.profile);
     profile.classes.retain(|class| class.tier == "lookup");
     profile.classes.iter_mut().for_each(|class| class.share = 1.0);
     let profile = Arc::new(profile);
-    let bench = LoadTestbed::start(&profile, args.policy, Logger::root(Discard, o!())).await?;
+    let testbed = LoadTestbed::start(&profile, args.policy, Logger::root(Discard, o!())).await?;
     let plan =
         profile.plan(args.rate.unwrap_or(1_000.0), Duration::from_secs(args.seconds), args.seed);
-    let direct = bench.services.first().map(|service| service.address);
-    let direct =
-        direct.ok_or_else(|| CommandError::Failed { detail: "no stand-in service".to_owned() })?;
-    let (through, straight) = tokio::join!(
-        send_plan(&profile, plan.clone(), bench.daemon.callers, args.seed),
-        send_plan(&profile, plan.clone(), direct, args.seed)
+    let service_address = testbed.services.first().map(|service| service.address);
+    let service_address = service_address
+        .ok_or_else(|| CommandError::Failed { detail: "no stand-in service".to_owned() })?;
+    let (through, direct) = tokio::join!(
+        send_plan(&profile, plan.clone(), testbed.daemon.callers, args.seed),
+        send_plan(&profile, plan.clone(), service_address, args.seed)
     );
-    bench.stop().await;
-    let (through, straight) =
-        (LoadSummary::of(&profile, &through), LoadSummary::of(&profile, &straight));
-    let whole = |summary: &LoadSummary| summary.tiers.iter().all(|tier| tier.good == tier.offered);
-    if !whole(&through) || !whole(&straight) {
+    testbed.stop().await;
+    let (through, direct) =
+        (LoadSummary::of(&profile, &through), LoadSummary::of(&profile, &direct));
+    let is_complete =
+        |summary: &LoadSummary| summary.tiers.iter().all(|tier| tier.good == tier.offered);
+    if !is_complete(&through) || !is_complete(&direct) {
         return Err(CommandError::Failed {
             detail: format!(
                 "some look-ups were not answered correctly and in time:\n{}\n{}",
                 through.grid(),
-                straight.grid()
+                direct.grid()
             ),
         });
     }
     let times =
         |summary: &LoadSummary| summary.tiers.first().map_or([0.0; 3], |tier| tier.total_ms);
-    Ok(AddedTime { requests: plan.len(), direct_ms: times(&straight), through_ms: times(&through) })
+    Ok(AddedLatency {
+        requests: plan.len(),
+        direct_ms: times(&direct),
+        through_ms: times(&through),
+    })
 }
 
 /// Sends every planned request at its arrival time and waits for all answers.
@@ -225,7 +230,7 @@
         let mut engines = Vec::new();
         for _ in 0..profile.engines {
             engines.push(
-                start_engine(profile.shape, Arc::clone(&ledger), REPORT_LAG)
+                start_engine(profile.shape, Arc::clone(&ledger), REPORT_DELAY)
                     .await
                     .map_err(failed)?,
             );
@@ -235,7 +240,7 @@
             services.push(start_plain(PlainShape::default()).await.map_err(failed)?);
         }
         let folder = tempfile::tempdir().map_err(failed)?;
-        let settings = single_settings(folder.path())?;
+        let settings = single_daemon_settings(folder.path())?;
         let key = FleetKey::from_text("load");
         let daemon = start_daemon(&settings, key.clone(), log, 1)
             .await
@@ -264,7 +269,7 @@
     }
 }
 
-fn single_settings(folder: &Path) -> Result<DaemonSettings, CommandError> {
+fn single_daemon_settings(folder: &Path) -> Result<DaemonSettings, CommandError> {
     let text = serde_json::json!({
         "daemon": "entry-1",
         "data_centre": "hall-a",
@@ -286,7 +291,7 @@
     table: OperatorTable,
 ) -> Result<(), CommandError> {
     use crate::control::{ControlApiClient, EditOutcome, LeaderAnswer, TableEdit, connect};
-    let until = Instant::now() + READY_TIMEOUT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     let empty = crate::table::VersionedTable::new(0, OperatorTable::default());
     let edit = TableEdit {
         edit_id: "first".to_owned(),
@@ -296,7 +301,7 @@
         base_hash: empty.hash,
         table,
     };
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         if let Ok(client) = connect(control, key).await
             && let Ok(LeaderAnswer::Done(answer)) = client.apply(edit.clone(), true).await
         {
@@ -314,8 +319,8 @@
 
 /// Waits until a daemon is ready and every pool has an upstream that may be given work.
 pub(super) async fn wait_ready(daemon: &RunningDaemon) -> Result<(), CommandError> {
-    let until = Instant::now() + READY_TIMEOUT;
-    while Instant::now() < until {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while Instant::now() < deadline {
         let has_share = daemon.state.pools().values().all(|pool| {
             pool.inspect(|scheduler| !scheduler.upstreams().open(CapacityClass::Regular).is_empty())
         });
