--- a/src/cmd/control_target.rs
+++ b/src/cmd/control_target.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Delay before the daemons are tried again.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Control addresses and key of the fleet to connect to.
 #[derive(Debug, clap::Args)]
@@ -43,14 +43,14 @@
     /// Connects to the first daemon that answers.
     pub async fn connect_any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
         let key = self.key()?;
-        let mut last = CallError::NoLeader;
+        let mut last_error = CallError::NoLeader;
         for address in &self.addresses {
             match connect(*address, &key).await {
                 Ok(client) => return Ok((*address, Arc::new(client))),
-                Err(fault) => last = fault,
+                Err(fault) => last_error = fault,
             }
         }
-        Err(CommandError::Call { source: last })
+        Err(CommandError::Call { source: last_error })
     }
 
     /// Repeats a call, following redirects, until a leader answers it or the patience is used up.
@@ -63,34 +63,34 @@
         F: Future<Output = Result<LeaderAnswer<T>, ClientError>>,
     {
         let key = self.key()?;
-        let until = Instant::now() + Duration::from_secs(self.patience);
-        let mut last = CallError::NoLeader;
+        let deadline = Instant::now() + Duration::from_secs(self.patience);
+        let mut last_error = CallError::NoLeader;
         loop {
             let mut addresses: VecDeque<SocketAddr> = self.addresses.iter().copied().collect();
-            let mut asked = Vec::new();
+            let mut tried = Vec::new();
             while let Some(address) = addresses.pop_front() {
-                if asked.contains(&address) {
+                if tried.contains(&address) {
                     continue;
                 }
-                asked.push(address);
-                match ask_one(address, &key, &call).await {
-                    Ok(LeaderAnswer::Done(done)) => return Ok(done),
+                tried.push(address);
+                match call_daemon(address, &key, &call).await {
+                    Ok(LeaderAnswer::Done(answer)) => return Ok(answer),
                     Ok(LeaderAnswer::Elsewhere(leader)) => addresses.extend(leader),
                     Err(fault @ CallError::KeyRefused { .. }) => {
                         return Err(CommandError::Call { source: fault });
                     }
-                    Err(fault) => last = fault,
+                    Err(fault) => last_error = fault,
                 }
             }
-            if Instant::now() >= until {
-                return Err(CommandError::Call { source: last });
+            if Instant::now() >= deadline {
+                return Err(CommandError::Call { source: last_error });
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-async fn ask_one<T, F>(
+async fn call_daemon<T, F>(
     address: SocketAddr,
     key: &FleetKey,
     call: &impl Fn(Arc<WsClient>) -> F,
