--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -80,13 +80,13 @@
     grid.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     grid.set_header(["fingerprint", "upstreams ended", "last ended", "let through in"]);
     for row in rows {
-        let ended = format!("{} ago", seconds(row.last_ended_ms));
-        let held = seconds(row.held_for_ms);
-        grid.add_row([row.fingerprint.clone(), row.upstreams_ended.to_string(), ended, held]);
+        let ended = format!("{} ago", format_seconds(row.last_ended_ms));
+        let remaining = format_seconds(row.held_for_ms);
+        grid.add_row([row.fingerprint.clone(), row.upstreams_ended.to_string(), ended, remaining]);
     }
     super::print_line(&grid.to_string());
 }
 
-fn seconds(millis: u64) -> String {
+fn format_seconds(millis: u64) -> String {
     format!("{:?}", Duration::from_secs(millis / 1_000))
 }
