--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -21,7 +21,7 @@
 `watch` exits with 0 if the roll-out was completed and with 1 if it was rolled back.";
 
 /// Polling interval of `watch`.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Start, list or watch roll-outs.
 #[derive(Debug, clap::Args)]
@@ -74,20 +74,20 @@
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
     match &args.action {
-        Action::Begin(begin) => order(begin),
+        Action::Begin(begin) => begin_rollout(begin),
         Action::Status(status) => {
-            print_records(&records(&status.target)?, status.json);
+            print_records(&fetch_records(&status.target)?, status.json);
             Ok(())
         }
         Action::Watch(watch) => watch_until_end(watch),
     }
 }
 
-fn records(target: &ControlTarget) -> Result<Vec<RolloutRecord>, CommandError> {
+fn fetch_records(target: &ControlTarget) -> Result<Vec<RolloutRecord>, CommandError> {
     super::block_on(target.call_leader(|client| async move { client.rollouts().await }))
 }
 
-fn order(begin: &BeginArgs) -> Result<(), CommandError> {
+fn begin_rollout(begin: &BeginArgs) -> Result<(), CommandError> {
     let order = RolloutOrder {
         service: begin.service.as_str().into(),
         to: begin.version.as_str().into(),
@@ -112,7 +112,7 @@
 
 fn watch_until_end(watch: &WatchArgs) -> Result<(), CommandError> {
     loop {
-        let records = records(&watch.status.target)?;
+        let records = fetch_records(&watch.status.target)?;
         let record =
             records.into_iter().find(|record| record.order.service.as_str() == watch.service);
         let Some(record) = record else {
@@ -131,7 +131,7 @@
         if std::io::stderr().is_terminal() {
             eprint!("\r{} {:>6.1} s", stage_name(record.stage), record.elapsed_ms as f64 / 1_000.0);
         }
-        std::thread::sleep(WATCH_PAUSE);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
@@ -153,13 +153,13 @@
     grid.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     grid.set_header(["service", "version", "stage", "since its order", "time ordered"]);
     for record in records {
-        let seconds = |millis: u64| format!("{:?}", Duration::from_millis(millis));
+        let format_millis = |millis: u64| format!("{:?}", Duration::from_millis(millis));
         grid.add_row([
             record.order.service.to_string(),
             record.order.to.to_string(),
             stage_name(record.stage).to_owned(),
-            seconds(record.elapsed_ms),
-            seconds(record.order.duration_ms),
+            format_millis(record.elapsed_ms),
+            format_millis(record.order.duration_ms),
         ]);
     }
     super::print_line(&grid.to_string());
