--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Polling interval of the settings file.
-const SETTINGS_PAUSE: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 const HELP: &str = "\
 Runs one daemon until it is drained by SIGTERM, SIGINT or `tarragonknot drain`. A second signal has no
@@ -90,7 +90,7 @@
             _ = interrupt.recv() => daemon.drain(),
             _ = hangup.recv() => reloader.reload(&daemon, true),
             // Detects changes of the file that come without a SIGHUP.
-            () = tokio::time::sleep(SETTINGS_PAUSE) => reloader.reload(&daemon, false),
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => reloader.reload(&daemon, false),
         }
     }
     drop(ended);
@@ -108,7 +108,7 @@
 impl SettingsReloader {
     /// Keeps the previous settings if the file cannot be read or is invalid, as a bad file must not
     /// stop a running daemon.
-    fn reload(&mut self, daemon: &RunningDaemon, was_asked: bool) {
+    fn reload(&mut self, daemon: &RunningDaemon, is_requested: bool) {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
             Err(error) => {
@@ -116,9 +116,9 @@
             }
         };
         match DaemonSettings::read(&text) {
-            Ok(settings) if settings == self.settings && !was_asked => {}
+            Ok(settings) if settings == self.settings && !is_requested => {}
             Ok(settings) => {
-                info!(self.log, "settings read again"; "changed" => settings != self.settings, "by_signal" => was_asked);
+                info!(self.log, "settings read again"; "changed" => settings != self.settings, "by_signal" => is_requested);
                 daemon.apply_settings(&settings);
                 self.settings = settings;
             }
