--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -38,7 +38,7 @@
 
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
-    let rows = super::block_on(ask_all(&args.target))?;
+    let rows = super::block_on(query_daemons(&args.target))?;
     if rows.iter().all(|row| row.status.is_none()) {
         let detail =
             rows.into_iter().filter_map(|row| row.fault).collect::<Vec<String>>().join("\n");
@@ -52,7 +52,7 @@
 }
 
 /// Queries the given daemons, and every leader and member that their answers name.
-async fn ask_all(target: &ControlTarget) -> Result<Vec<StatusRow>, CommandError> {
+async fn query_daemons(target: &ControlTarget) -> Result<Vec<StatusRow>, CommandError> {
     let key = target.key()?;
     let mut addresses = target.addresses.clone();
     let mut rows: Vec<StatusRow> = Vec::new();
@@ -63,8 +63,8 @@
         };
         if let Ok(status) = &answer {
             let members = status.members.iter().filter_map(|member| member.control);
-            let known: Vec<SocketAddr> = status.leader.into_iter().chain(members).collect();
-            known.into_iter().for_each(|address| {
+            let discovered: Vec<SocketAddr> = status.leader.into_iter().chain(members).collect();
+            discovered.into_iter().for_each(|address| {
                 if !addresses.contains(&address) {
                     addresses.push(address)
                 }
