--- a/src/cmd/table.rs
+++ b/src/cmd/table.rs
@@ -109,7 +109,7 @@
     }
 }
 
-async fn fetch(
+async fn fetch_table(
     target: &ControlTarget,
     version: Option<u64>,
 ) -> Result<VersionedTable, CommandError> {
@@ -120,7 +120,7 @@
 }
 
 async fn show(args: &ShowArgs) -> Result<(), CommandError> {
-    let versioned = fetch(&args.target, args.version).await?;
+    let versioned = fetch_table(&args.target, args.version).await?;
     match args.json {
         true => super::print_json(&versioned),
         false => print_table(&versioned),
@@ -135,7 +135,7 @@
     base: Option<(u64, String)>,
 }
 
-fn read_edited(path: &Path) -> Result<EditedTable, CommandError> {
+fn read_edited_table(path: &Path) -> Result<EditedTable, CommandError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| CommandError::File { path: path.to_owned(), source })?;
     let value: Value = serde_json::from_str(&text).unwrap_or_default();
@@ -151,18 +151,18 @@
 }
 
 async fn apply(args: &ApplyArgs) -> Result<(), CommandError> {
-    let edited = read_edited(&args.file)?;
+    let edited = read_edited_table(&args.file)?;
     let (base_version, base_hash) = match (edited.base, args.base) {
         (Some(base), None) => base,
         (None, Some(version)) => {
-            let table = fetch(&args.target, Some(version)).await?;
+            let table = fetch_table(&args.target, Some(version)).await?;
             (table.version, table.hash)
         }
         (Some(_), Some(_)) => {
-            return Err(usage("the file already contains its base version; omit --base"));
+            return Err(usage_error("the file already contains its base version; omit --base"));
         }
         (None, None) => {
-            return Err(usage("the file contains no base version; specify it with --base"));
+            return Err(usage_error("the file contains no base version; specify it with --base"));
         }
     };
     let edit = TableEdit {
@@ -173,26 +173,30 @@
         base_hash,
         table: edited.table,
     };
-    let answer = send(args, &edit).await.inspect_err(|_| {
+    let answer = send_edit(args, &edit).await.inspect_err(|_| {
         eprintln!(
             "tarragonknot: the outcome of the edit is unknown; send it again with --edit-id {}",
             edit.edit_id
         );
     })?;
-    report(args, &edit, &answer)
+    report_outcome(args, &edit, &answer)
 }
 
-fn usage(detail: &str) -> CommandError {
+fn usage_error(detail: &str) -> CommandError {
     CommandError::Usage { detail: detail.to_owned() }
 }
 
-async fn send(args: &ApplyArgs, edit: &TableEdit) -> Result<ApplyAnswer, CommandError> {
+async fn send_edit(args: &ApplyArgs, edit: &TableEdit) -> Result<ApplyAnswer, CommandError> {
     let call =
         |client: Arc<WsClient>| async move { client.apply(edit.clone(), !args.no_wait).await };
     args.target.call_leader(call).await
 }
 
-fn report(args: &ApplyArgs, edit: &TableEdit, answer: &ApplyAnswer) -> Result<(), CommandError> {
+fn report_outcome(
+    args: &ApplyArgs,
+    edit: &TableEdit,
+    answer: &ApplyAnswer,
+) -> Result<(), CommandError> {
     if args.json {
         super::print_json(answer);
     }
@@ -223,7 +227,7 @@
                     )
                 },
             );
-            let difference: Vec<String> = conflict.difference.iter().map(change_line).collect();
+            let difference: Vec<String> = conflict.difference.iter().map(format_change).collect();
             let detail = format!(
                 "edit not applied: based on version {}; {winner}\n{}",
                 edit.base_version,
@@ -242,7 +246,7 @@
         super::print_json(&rows);
         return Ok(());
     }
-    let mut grid = grid(&["version", "operator", "unix ms", "edit", "hash"]);
+    let mut grid = new_grid(&["version", "operator", "unix ms", "edit", "hash"]);
     for row in rows {
         let hash = row.hash.chars().take(12).collect();
         grid.add_row([
@@ -262,28 +266,28 @@
         Ok(before) => {
             let after = match args.after {
                 Some(after) => after,
-                None => fetch(&args.target, None).await?.version,
+                None => fetch_table(&args.target, None).await?.version,
             };
             let call = |client: Arc<WsClient>| async move { client.diff(before, after).await };
             args.target
                 .call_leader(call)
                 .await?
-                .ok_or_else(|| usage("one of the versions is not stored"))?
+                .ok_or_else(|| usage_error("one of the versions is not stored"))?
         }
         Err(_) => {
-            let edited = read_edited(Path::new(&args.before))?;
-            let other = fetch(&args.target, args.after).await?;
+            let edited = read_edited_table(Path::new(&args.before))?;
+            let other = fetch_table(&args.target, args.after).await?;
             diff_tables(&other.table, &edited.table)
         }
     };
     match args.json {
         true => super::print_json(&difference),
-        false => difference.iter().for_each(|change| super::print_line(&change_line(change))),
+        false => difference.iter().for_each(|change| super::print_line(&format_change(change))),
     }
     Ok(())
 }
 
-fn change_line(change: &CellChange) -> String {
+fn format_change(change: &CellChange) -> String {
     match (&change.before, &change.after) {
         (Some(before), Some(after)) => format!("~ {}: {before} -> {after}", change.cell),
         (None, Some(after)) => format!("+ {}: {after}", change.cell),
@@ -292,7 +296,7 @@
     }
 }
 
-fn grid(header: &[&str]) -> Table {
+fn new_grid(header: &[&str]) -> Table {
     let mut grid = Table::new();
     grid.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     grid.set_header(header.iter().copied());
@@ -312,16 +316,16 @@
                 columns.push(name)
             }
         });
-        let mut grid = grid(&columns);
+        let mut grid = new_grid(&columns);
         for row in rows {
-            grid.add_row(columns.iter().map(|column| cell_text(row.get(*column))));
+            grid.add_row(columns.iter().map(|column| format_cell(row.get(*column))));
         }
         super::print_line(&format!("\n{part}\n{grid}"));
     }
 }
 
 /// Formats a cell; strings of more than 20 characters, such as digests, are cut to 12.
-fn cell_text(value: Option<&Value>) -> String {
+fn format_cell(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => String::new(),
         Some(Value::String(text)) if text.len() > 20 => {
@@ -329,7 +333,7 @@
         }
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(values)) => {
-            values.iter().map(|value| cell_text(Some(value))).collect::<Vec<String>>().join(" ")
+            values.iter().map(|value| format_cell(Some(value))).collect::<Vec<String>>().join(" ")
         }
         Some(other) => other.to_string(),
     }
