--- a/src/cmd/voter.rs
+++ b/src/cmd/voter.rs
@@ -25,9 +25,9 @@
     /// List voters and learners.
     List(ListArgs),
     /// Allow a daemon with a data folder to become a voter.
-    Add(RuleArgs),
+    Add(VoterArgs),
     /// Remove a voter and prevent it from joining again.
-    Remove(RuleArgs),
+    Remove(VoterArgs),
 }
 
 #[derive(Debug, clap::Args)]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, clap::Args)]
-struct RuleArgs {
+struct VoterArgs {
     /// Name of the daemon.
     daemon: String,
     #[command(flatten)]
@@ -56,17 +56,17 @@
             )?;
             print_rows(&rows, list.json);
         }
-        Action::Add(rule) => set_rule(rule, true)?,
-        Action::Remove(rule) => set_rule(rule, false)?,
+        Action::Add(rule) => set_voter_rule(rule, true)?,
+        Action::Remove(rule) => set_voter_rule(rule, false)?,
     }
     Ok(())
 }
 
-fn set_rule(rule: &RuleArgs, allowed: bool) -> Result<(), CommandError> {
+fn set_voter_rule(rule: &VoterArgs, is_allowed: bool) -> Result<(), CommandError> {
     let daemon = DaemonName::from(rule.daemon.as_str());
     let call = |client: std::sync::Arc<jsonrpsee::ws_client::WsClient>| {
         let daemon = daemon.clone();
-        async move { client.voter_rule(daemon, allowed).await }
+        async move { client.voter_rule(daemon, is_allowed).await }
     };
     let rows = super::block_on(rule.list.target.call_leader(call))?;
     print_rows(&rows, rule.list.json);
