--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -26,7 +26,7 @@
 is checked. The command exits when the run is complete. With --times, the rate is a multiple of the
 maximum throughput of the engines according to their own model.";
 
-/// Age of the load reports that the stand-in engines send.
+/// Minimum age of the load reports that the stand-in engines send.
 const REPORT_DELAY: Duration = Duration::from_millis(200);
 /// Maximum time for a daemon to elect a leader or to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
