--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a settings file, a table or a platform list and reports every fault.
+//! `check`: validates settings files, tables and platform lists and reports every fault.
 
 use super::CommandError;
 use crate::settings::DaemonSettings;
@@ -8,39 +8,39 @@
 use std::path::PathBuf;
 
 const HELP: &str = "\
-Checks a file without using it: the settings of a daemon, a table, or a platform list. The kind is told
-by the file's members. Every fault is printed at once, each with its JSON path, the value found there
-and what was expected. Unknown members are faults.";
+Validates files without applying them: daemon settings, tables and platform lists. The kind of a file is
+detected from its members. All faults are printed at once, each with its JSON path, the value found there
+and the expected value. Unknown members are faults.";
 
-/// Check a settings file, a table or a platform list.
+/// Validate settings files, tables and platform lists.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
-    /// The files.
+    /// Files to check.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Print faults as JSON.
+    /// Print the faults as JSON.
     #[arg(long)]
     json: bool,
 }
 
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
-    let mut first = None;
+    let mut first_error = None;
     for path in &args.files {
         match check_file(path) {
-            Ok(kind) => super::print_out(&format!("{}: good {kind}", path.display())),
+            Ok(kind) => super::print_line(&format!("{}: good {kind}", path.display())),
             Err(CommandError::Faults { path, faults }) if args.json => {
                 super::print_json(&faults);
-                first.get_or_insert(CommandError::Usage {
+                first_error.get_or_insert(CommandError::Usage {
                     detail: format!("{}: {} faults", path.display(), faults.0.len()),
                 });
             }
-            Err(error) if first.is_none() => first = Some(error),
+            Err(error) if first_error.is_none() => first_error = Some(error),
             Err(error) => eprintln!("tarragonknot: {error}"),
         }
     }
-    first.map_or(Ok(()), Err)
+    first_error.map_or(Ok(()), Err)
 }
 
 fn check_file(path: &PathBuf) -> Result<&'static str, CommandError> {
@@ -54,7 +54,7 @@
     match faults {
         None => Ok(kind),
         Some(faults) => {
-            Err(CommandError::Faults { path: path.clone(), faults: with_kind(faults, kind) })
+            Err(CommandError::Faults { path: path.clone(), faults: add_kind(faults, kind) })
         }
     }
 }
@@ -65,18 +65,21 @@
     Platform,
 }
 
-/// A settings file names a daemon, a platform list names VMs; anything else is held to be a table.
+/// Detects the kind from the top-level members: only settings have `daemon`, `callers` or
+/// `control`, and only a platform list has `vms`. Any other document, also one that isn't JSON,
+/// counts as a table.
 fn document_kind(text: &str) -> DocumentKind {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
-    let has = |names: &[&str]| names.iter().any(|name| value.get(name).is_some());
+    let has_any = |names: &[&str]| names.iter().any(|name| value.get(name).is_some());
     match () {
-        () if has(&["daemon", "callers", "control"]) => DocumentKind::Settings,
-        () if has(&["vms"]) => DocumentKind::Platform,
+        () if has_any(&["daemon", "callers", "control"]) => DocumentKind::Settings,
+        () if has_any(&["vms"]) => DocumentKind::Platform,
         () => DocumentKind::Table,
     }
 }
 
-fn with_kind(faults: FaultList, kind: &str) -> FaultList {
+/// Adds the detected kind to faults of the whole document.
+fn add_kind(faults: FaultList, kind: &str) -> FaultList {
     let mut faults = faults;
     for fault in &mut faults.0 {
         if fault.path == "/" {
--- a/src/cmd/operator.rs
+++ b/src/cmd/control_target.rs
@@ -1,4 +1,4 @@
-//! What operators' commands share: where the daemons are, and finding the leader.
+//! Control-connection arguments shared by the operator commands, and calls to the fleet's leader.
 
 use super::CommandError;
 use crate::control::{CallError, FleetKey, LeaderAnswer, connect};
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time before the daemons are asked again.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the daemons are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Where and with which key to ask.
+/// Control addresses and key of the fleet to connect to.
 #[derive(Debug, clap::Args)]
 pub struct ControlTarget {
-    /// Control address of a daemon; repeat it for others to be asked if the first does not answer.
+    /// Control address of a daemon; repeat for further daemons to try if the first does not answer.
     #[arg(
         long = "control",
         value_name = "ADDRESS",
@@ -25,36 +25,37 @@
         value_delimiter = ','
     )]
     pub addresses: Vec<SocketAddr>,
-    /// File that holds the fleet's key.
+    /// File that contains the fleet key.
     #[arg(long, value_name = "FILE", env = "TARRAGONKNOT_FLEET_KEY_FILE")]
     pub fleet_key_file: PathBuf,
-    /// How long to look for a leader, in seconds.
+    /// Maximum time to search for a leader, in seconds.
     #[arg(long, value_name = "SECONDS", default_value_t = 15)]
     pub patience: u64,
 }
 
 impl ControlTarget {
-    /// Reads the key.
+    /// Reads the fleet key.
     pub fn key(&self) -> Result<FleetKey, CommandError> {
         let path = &self.fleet_key_file;
         FleetKey::read(path).map_err(|source| CommandError::File { path: path.clone(), source })
     }
 
-    /// Opens a connection to the first daemon that answers.
-    pub async fn any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
+    /// Connects to the first daemon that answers.
+    pub async fn connect_any(&self) -> Result<(SocketAddr, Arc<WsClient>), CommandError> {
         let key = self.key()?;
-        let mut last = CallError::NoLeader;
+        let mut last_error = CallError::NoLeader;
         for address in &self.addresses {
             match connect(*address, &key).await {
                 Ok(client) => return Ok((*address, Arc::new(client))),
-                Err(fault) => last = fault,
+                Err(fault) => last_error = fault,
             }
         }
-        Err(CommandError::Call { source: last })
+        Err(CommandError::Call { source: last_error })
     }
 
-    /// Makes a call until a leader answers it. Calls must be harmless to repeat.
-    pub async fn ask_leader<T, F>(
+    /// Repeats a call, following redirects, until a leader answers it or the patience is used up.
+    /// The call must be idempotent. A refused key ends the search at once.
+    pub async fn call_leader<T, F>(
         &self,
         call: impl Fn(Arc<WsClient>) -> F,
     ) -> Result<T, CommandError>
@@ -62,34 +63,34 @@
         F: Future<Output = Result<LeaderAnswer<T>, ClientError>>,
     {
         let key = self.key()?;
-        let until = Instant::now() + Duration::from_secs(self.patience);
-        let mut last = CallError::NoLeader;
+        let deadline = Instant::now() + Duration::from_secs(self.patience);
+        let mut last_error = CallError::NoLeader;
         loop {
             let mut addresses: VecDeque<SocketAddr> = self.addresses.iter().copied().collect();
-            let mut asked = Vec::new();
+            let mut tried = Vec::new();
             while let Some(address) = addresses.pop_front() {
-                if asked.contains(&address) {
+                if tried.contains(&address) {
                     continue;
                 }
-                asked.push(address);
-                match ask_one(address, &key, &call).await {
-                    Ok(LeaderAnswer::Done(done)) => return Ok(done),
+                tried.push(address);
+                match call_daemon(address, &key, &call).await {
+                    Ok(LeaderAnswer::Done(answer)) => return Ok(answer),
                     Ok(LeaderAnswer::Elsewhere(leader)) => addresses.extend(leader),
                     Err(fault @ CallError::KeyRefused { .. }) => {
                         return Err(CommandError::Call { source: fault });
                     }
-                    Err(fault) => last = fault,
+                    Err(fault) => last_error = fault,
                 }
             }
-            if Instant::now() >= until {
-                return Err(CommandError::Call { source: last });
+            if Instant::now() >= deadline {
+                return Err(CommandError::Call { source: last_error });
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-async fn ask_one<T, F>(
+async fn call_daemon<T, F>(
     address: SocketAddr,
     key: &FleetKey,
     call: &impl Fn(Arc<WsClient>) -> F,
--- a/src/cmd/rollout.rs
+++ b/src/cmd/rollout.rs
@@ -1,7 +1,7 @@
-//! `rollout`: orders a new version of a service's upstreams, and shows how far it has come.
+//! `rollout`: starts a canary roll-out of a service's upstreams and shows its progress.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::ControlApiClient;
 use crate::rollout::{RolloutOrder, RolloutRecord, RolloutReply, RolloutStage};
 use clap::Subcommand;
@@ -10,18 +10,20 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-Upstreams of the new version start beside the old ones. A small share of the service's requests goes to them, then more,
-then all; once nothing runs on the old version any more, the roll-out is completed. A version that fails more often than
-the old one, or is several times slower, is rolled back, and so is one that nothing speaks for in time.
+Upstreams of the new version are started beside the old ones and receive a small share of the service's requests, then a
+larger one, then all. The roll-out is completed when no request runs on the old version any more. The new version is
+rolled back if it fails more often than the old one, if it is several times slower, or if there is too little evidence in
+its favour in time.
 
   tarragonknot rollout begin pack-llm v2 --seconds 60 --control 10.0.0.4:7600 --fleet-key-file key
   tarragonknot rollout watch pack-llm --control 10.0.0.4:7600 --fleet-key-file key
 
-`watch` ends with 0 for a roll-out that was completed, and with 1 for one that was rolled back.";
-/// Time between two looks of `watch`.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+`watch` exits with 0 if the roll-out was completed and with 1 if it was rolled back.";
 
-/// Order a roll-out, or show roll-outs.
+/// Polling interval of `watch`.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Start, list or watch roll-outs.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
@@ -31,21 +33,21 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Order a roll-out.
+    /// Start a roll-out.
     Begin(BeginArgs),
-    /// Show the newest roll-out of each service.
+    /// Show the latest roll-out of each service.
     Status(StatusArgs),
-    /// Wait until a service's roll-out has ended.
+    /// Wait until a service's roll-out is completed or rolled back.
     Watch(WatchArgs),
 }
 
 #[derive(Debug, clap::Args)]
 struct BeginArgs {
-    /// The service.
+    /// Name of the service.
     service: String,
-    /// The version that its upstreams are to have.
+    /// New version of the service's upstreams.
     version: String,
-    /// Seconds within which the roll-out is to end.
+    /// Time limit of the roll-out in seconds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=604_800))]
     seconds: u64,
     #[command(flatten)]
@@ -63,7 +65,7 @@
 
 #[derive(Debug, clap::Args)]
 struct WatchArgs {
-    /// The service.
+    /// Name of the service.
     service: String,
     #[command(flatten)]
     status: StatusArgs,
@@ -72,26 +74,26 @@
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
     match &args.action {
-        Action::Begin(begin) => order(begin),
+        Action::Begin(begin) => begin_rollout(begin),
         Action::Status(status) => {
-            print_records(&records(&status.target)?, status.json);
+            print_records(&fetch_records(&status.target)?, status.json);
             Ok(())
         }
         Action::Watch(watch) => watch_until_end(watch),
     }
 }
 
-fn records(target: &ControlTarget) -> Result<Vec<RolloutRecord>, CommandError> {
-    super::block_on(target.ask_leader(|client| async move { client.rollouts().await }))
+fn fetch_records(target: &ControlTarget) -> Result<Vec<RolloutRecord>, CommandError> {
+    super::block_on(target.call_leader(|client| async move { client.rollouts().await }))
 }
 
-fn order(begin: &BeginArgs) -> Result<(), CommandError> {
+fn begin_rollout(begin: &BeginArgs) -> Result<(), CommandError> {
     let order = RolloutOrder {
         service: begin.service.as_str().into(),
         to: begin.version.as_str().into(),
         duration_ms: begin.seconds * 1_000,
     };
-    let reply = super::block_on(begin.status.target.ask_leader(|client| {
+    let reply = super::block_on(begin.status.target.call_leader(|client| {
         let order = order.clone();
         async move { client.rollout(order).await }
     }))?;
@@ -101,7 +103,8 @@
             Ok(())
         }
         RolloutReply::Busy(record) => {
-            let detail = format!("a roll-out to {} is under way", record.order.to);
+            let detail =
+                format!("a roll-out to version {} is already in progress", record.order.to);
             Err(CommandError::Conflict { detail })
         }
     }
@@ -109,18 +112,18 @@
 
 fn watch_until_end(watch: &WatchArgs) -> Result<(), CommandError> {
     loop {
-        let records = records(&watch.status.target)?;
+        let records = fetch_records(&watch.status.target)?;
         let record =
             records.into_iter().find(|record| record.order.service.as_str() == watch.service);
         let Some(record) = record else {
-            let detail = format!("no roll-out of {} was ordered", watch.service);
+            let detail = format!("service {} has no roll-out", watch.service);
             return Err(CommandError::Usage { detail });
         };
         if record.stage.is_final() {
             print_records(std::slice::from_ref(&record), watch.status.json);
             return match record.stage {
                 RolloutStage::RolledBack => Err(CommandError::Failed {
-                    detail: format!("{} was rolled back", record.order.to),
+                    detail: format!("version {} was rolled back", record.order.to),
                 }),
                 _ => Ok(()),
             };
@@ -128,7 +131,7 @@
         if std::io::stderr().is_terminal() {
             eprint!("\r{} {:>6.1} s", stage_name(record.stage), record.elapsed_ms as f64 / 1_000.0);
         }
-        std::thread::sleep(WATCH_PAUSE);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
@@ -150,14 +153,14 @@
     grid.load_preset(presets::UTF8_HORIZONTAL_ONLY);
     grid.set_header(["service", "version", "stage", "since its order", "time ordered"]);
     for record in records {
-        let seconds = |millis: u64| format!("{:?}", Duration::from_millis(millis));
+        let format_millis = |millis: u64| format!("{:?}", Duration::from_millis(millis));
         grid.add_row([
             record.order.service.to_string(),
             record.order.to.to_string(),
             stage_name(record.stage).to_owned(),
-            seconds(record.elapsed_ms),
-            seconds(record.order.duration_ms),
+            format_millis(record.elapsed_ms),
+            format_millis(record.order.duration_ms),
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,21 +1,21 @@
-//! `status`: shows daemons as they see themselves, and the fleet as the leader sees it.
+//! `status`: shows the status of daemons, and the leader's view of the fleet.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{ControlApiClient, DaemonStatus, MemberView, connect, table_versions};
 use comfy_table::{Table, presets};
 use serde::Serialize;
 use std::net::SocketAddr;
 
 const HELP: &str = "\
-Asks the named daemons, and the leader if one of them knows it, for their status. A daemon that does not
-answer is listed as unreachable. Members are shown as the leader sees them: a member whose lease has run
-out admits nothing. The last table tells how far the newest table has come: how many daemons have which
-version in force, and for how long the others have lagged.
+Queries the given daemons, and the leader and the members that they name, for their status. A daemon that
+does not answer is listed as unreachable. Members are shown as the leader sees them; a member whose lease
+has expired admits no requests. The last table shows how far the newest operator table has been
+distributed: how many daemons have each version in force, and for how long the others have lagged.
 
 Example: tarragonknot status --control 10.1.0.14:7600";
 
-/// Show daemons and the fleet.
+/// Show the status of daemons and of the fleet.
 #[derive(Debug, clap::Args)]
 #[command(long_about = HELP)]
 pub struct Args {
@@ -26,7 +26,7 @@
     json: bool,
 }
 
-/// One daemon's answer.
+/// The status of one daemon, or the error of the query.
 #[derive(Debug, Serialize)]
 struct StatusRow {
     control: SocketAddr,
@@ -38,7 +38,7 @@
 
 /// Runs the command.
 pub fn run(args: &Args) -> Result<(), CommandError> {
-    let rows = super::block_on(ask_all(&args.target))?;
+    let rows = super::block_on(query_daemons(&args.target))?;
     if rows.iter().all(|row| row.status.is_none()) {
         let detail =
             rows.into_iter().filter_map(|row| row.fault).collect::<Vec<String>>().join("\n");
@@ -51,7 +51,8 @@
     Ok(())
 }
 
-async fn ask_all(target: &ControlTarget) -> Result<Vec<StatusRow>, CommandError> {
+/// Queries the given daemons, and every leader and member that their answers name.
+async fn query_daemons(target: &ControlTarget) -> Result<Vec<StatusRow>, CommandError> {
     let key = target.key()?;
     let mut addresses = target.addresses.clone();
     let mut rows: Vec<StatusRow> = Vec::new();
@@ -62,8 +63,8 @@
         };
         if let Ok(status) = &answer {
             let members = status.members.iter().filter_map(|member| member.control);
-            let known: Vec<SocketAddr> = status.leader.into_iter().chain(members).collect();
-            known.into_iter().for_each(|address| {
+            let discovered: Vec<SocketAddr> = status.leader.into_iter().chain(members).collect();
+            discovered.into_iter().for_each(|address| {
                 if !addresses.contains(&address) {
                     addresses.push(address)
                 }
@@ -98,7 +99,7 @@
             None => grid.add_row(["?", &control, row.fault.as_deref().unwrap_or("unreachable")]),
         };
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
     let members =
         rows.iter().filter_map(|row| row.status.as_ref()).flat_map(|status| &status.members);
     let members: Vec<MemberView> = members.cloned().collect();
@@ -121,7 +122,7 @@
             lease.to_owned(),
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
 
 fn print_table_versions(members: &[MemberView]) {
@@ -140,5 +141,5 @@
             format!("{}{more}", named.join(" ")),
         ]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
--- a/src/cmd/voter.rs
+++ b/src/cmd/voter.rs
@@ -1,15 +1,16 @@
-//! `voter`: lists the voters, lets a daemon become one, removes one.
+//! `voter`: lists the voters of the fleet and sets which daemons may vote.
 
 use super::CommandError;
-use super::operator::ControlTarget;
+use super::control_target::ControlTarget;
 use crate::control::{ControlApiClient, VoterRow};
 use crate::table::DaemonName;
 use clap::Subcommand;
 use comfy_table::{Table, presets};
 
 const HELP: &str = "\
-A daemon with a data folder asks to become a voter by itself: it catches up as a learner first. `remove`
-takes its vote away and keeps it from coming back; `add` lets it come back. Voters change one at a time.";
+A daemon with a data folder requests to become a voter by itself, and first catches up as a learner. `remove`
+removes a voter and prevents it from joining again; `add` allows it to join again. Voters are added and
+removed one at a time.";
 
 /// List, add or remove voters.
 #[derive(Debug, clap::Args)]
@@ -21,12 +22,12 @@
 
 #[derive(Debug, Subcommand)]
 enum Action {
-    /// Show voters and learners.
+    /// List voters and learners.
     List(ListArgs),
-    /// Let a daemon with a data folder become a voter.
-    Add(RuleArgs),
-    /// Take a daemon's vote away.
-    Remove(RuleArgs),
+    /// Allow a daemon with a data folder to become a voter.
+    Add(VoterArgs),
+    /// Remove a voter and prevent it from joining again.
+    Remove(VoterArgs),
 }
 
 #[derive(Debug, clap::Args)]
@@ -39,8 +40,8 @@
 }
 
 #[derive(Debug, clap::Args)]
-struct RuleArgs {
-    /// The daemon's name.
+struct VoterArgs {
+    /// Name of the daemon.
     daemon: String,
     #[command(flatten)]
     list: ListArgs,
@@ -51,23 +52,23 @@
     match &args.action {
         Action::List(list) => {
             let rows = super::block_on(
-                list.target.ask_leader(|client| async move { client.voters().await }),
+                list.target.call_leader(|client| async move { client.voters().await }),
             )?;
             print_rows(&rows, list.json);
         }
-        Action::Add(rule) => set_rule(rule, true)?,
-        Action::Remove(rule) => set_rule(rule, false)?,
+        Action::Add(rule) => set_voter_rule(rule, true)?,
+        Action::Remove(rule) => set_voter_rule(rule, false)?,
     }
     Ok(())
 }
 
-fn set_rule(rule: &RuleArgs, allowed: bool) -> Result<(), CommandError> {
+fn set_voter_rule(rule: &VoterArgs, is_allowed: bool) -> Result<(), CommandError> {
     let daemon = DaemonName::from(rule.daemon.as_str());
     let call = |client: std::sync::Arc<jsonrpsee::ws_client::WsClient>| {
         let daemon = daemon.clone();
-        async move { client.voter_rule(daemon, allowed).await }
+        async move { client.voter_rule(daemon, is_allowed).await }
     };
-    let rows = super::block_on(rule.list.target.ask_leader(call))?;
+    let rows = super::block_on(rule.list.target.call_leader(call))?;
     print_rows(&rows, rule.list.json);
     Ok(())
 }
@@ -84,5 +85,5 @@
         let votes = if row.votes { "yes" } else { "not yet" };
         grid.add_row([row.voter.to_string(), row.control.to_string(), votes.to_owned(), matched]);
     }
-    super::print_out(&grid.to_string());
+    super::print_line(&grid.to_string());
 }
