--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -1,9 +1,9 @@
-//! Experiments in virtual time: the schedulers of several daemons before models of engines.
+//! Experiments in virtual time: the schedulers of several daemons in front of engine models.
 //!
-//! The decisions under measurement are the product's own ([`crate::policy`], and the leader's book of
-//! shares and floors); the engines are the stand-in's model. Around them stands one event loop, from a
-//! seed, with nothing of machines or networks but one fixed delay: the same seed gives the same run on
-//! any machine, however busy.
+//! The decisions under measurement are made by the production code ([`crate::policy`], and the
+//! leader's registry of shares and floors); the engines are the stand-in's model. A seeded event
+//! loop drives them. Machines and networks are not simulated apart from one fixed delay, so a seed
+//! gives the same run on any machine, whatever its load.
 
 mod engine;
 mod plan;
