--- a/src/experiment/engine.rs
+++ b/src/experiment/engine.rs
@@ -1,12 +1,12 @@
-//! One engine of an experiment: the stand-in's model, run step by step by the event loop.
+//! A simulated engine: the stand-in's engine model, stepped by the event loop.
 
 use crate::policy::LoadReport;
 use crate::standin::{EngineJob, EngineModel, EngineShape, EngineStep, JobId, PrefillLedger};
 
-/// How much slower a straggler is.
+/// Factor on the step times of a straggler.
 const STRAGGLER_SLOWNESS: f64 = 3.0;
 
-/// One engine.
+/// A simulated engine.
 pub struct SimulatedEngine {
     model: EngineModel,
     step: Option<EngineStep>,
@@ -15,34 +15,34 @@
 }
 
 impl SimulatedEngine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(shape: EngineShape) -> Self {
         let model = EngineModel::new(shape);
         SimulatedEngine { model, step: None, is_dead: false, is_leaving: false }
     }
 
-    /// Makes it a straggler.
+    /// Turns the engine into a straggler.
     pub fn slow_down(&mut self) {
         self.model.slowness = STRAGGLER_SLOWNESS;
     }
 
-    /// Ends it, with all the work on it.
+    /// Crashes the engine; all jobs on it are lost.
     pub fn die(&mut self) {
         self.is_dead = true;
         self.step = None;
     }
 
-    /// True until it ends.
+    /// True until the engine crashes.
     pub fn lives(&self) -> bool {
         !self.is_dead
     }
 
-    /// Makes it say that it is leaving.
+    /// Makes the engine's load reports announce that it is leaving.
     pub fn leave(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Takes a job; false if the engine is dead and took nothing.
+    /// Submits a job. Returns false, without accepting it, if the engine has crashed.
     pub fn submit(&mut self, job: EngineJob) -> bool {
         if !self.is_dead {
             self.model.submit(job);
@@ -50,12 +50,13 @@
         !self.is_dead
     }
 
-    /// Drops a job.
+    /// Cancels a job.
     pub fn cancel(&mut self, id: JobId, ledger: &PrefillLedger) {
         self.model.cancel(id, ledger);
     }
 
-    /// Begins a step unless one is under way; its length in microseconds, or none if there is nothing to do.
+    /// Starts a step unless one is in progress. Returns its duration in microseconds, or none if no
+    /// step was started.
     pub fn begin_step(&mut self, ledger: &PrefillLedger) -> Option<u64> {
         if self.is_dead || self.step.is_some() {
             return None;
@@ -64,12 +65,13 @@
         self.step.as_ref().map(|step| step.micros)
     }
 
-    /// What the step that is now over has made; none if the engine died in it.
+    /// Finishes the current step and returns its results, or none if the engine crashed during it.
     pub fn end_step(&mut self) -> Option<EngineStep> {
         self.step.take()
     }
 
-    /// Its load now, by its own clock; none if it is dead.
+    /// Returns the current load, stamped with the engine's own clock, or none if the engine has
+    /// crashed.
     pub fn report(&self, stamp: u64) -> Option<LoadReport> {
         let report = LoadReport {
             stamp,
