--- a/src/experiment/plan.rs
+++ b/src/experiment/plan.rs
@@ -1,4 +1,4 @@
-//! What one experiment is.
+//! The definition of an experiment.
 
 use crate::load::{LoadProfile, PolicyChoice};
 use crate::policy::{PoolPlan, TierRank, TierShare};
@@ -7,104 +7,105 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Arrivals before the measured time, so that queues and learned numbers have settled.
+/// Time of arrivals before the measurement window, in which queues and learned values settle.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// Arrivals after the measured time, so that the last measured requests meet the same load as the first.
+/// Time of arrivals after the measurement window, so that its last requests meet the same load as
+/// its first.
 const TAIL: Duration = Duration::from_secs(10);
-/// Bursts come this often, and last a fifth of that time.
+/// Time from the start of one burst to the next.
 const BURST_PERIOD: Duration = Duration::from_secs(5);
-/// A burst multiplies the rate; between bursts it is lower by as much, so that the mean stays.
+/// Factor on the mean rate during a burst. Between bursts the rate is lowered to keep the mean.
 const BURST_FACTOR: f64 = 3.0;
-/// The part of the time that is burst.
+/// Fraction of the time that is in a burst.
 const BURST_PART: f64 = 0.2;
 
-/// What goes wrong in the middle of the measured time.
+/// Fault injected during the measurement window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     None,
     /// One engine becomes three times slower.
     Straggler,
-    /// One engine dies with the work on it.
+    /// One engine crashes and loses its requests.
     LostEngine,
-    /// One engine says that it is leaving, and finishes what it has.
+    /// One engine announces that it is leaving, and finishes its requests.
     LeavingEngine,
     /// Arrivals come in bursts of three times the mean rate.
     Bursts,
-    /// A caller sends a request again and again under which each engine that begins to run it ends.
+    /// A caller repeatedly sends a request that crashes every engine that starts to run it.
     PoisonRequest,
 }
 
-/// A mechanism that is switched off, to see what it is worth.
+/// Mechanism disabled to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MechanismSwitch {
-    /// Prefix affinity: the least reported load instead.
+    /// Prefix affinity; replaced by placement on the least reported load.
     Affinity,
-    /// The learned limit: the number that was given instead.
+    /// The learned limit; replaced by the configured limit.
     LearnedLimit,
-    /// The refusal of requests whose deadline cannot be met.
+    /// Refusal of requests whose deadline cannot be met.
     DeadlineRefusal,
-    /// Shares of the engines' limits: every daemon uses the whole.
+    /// Shares of the engines' limits; every daemon uses the full limits instead.
     Shares,
-    /// Room at each engine for the highest tier alone.
+    /// Headroom at each engine that is reserved for the highest tier.
     Headroom,
-    /// The straggler's price in placement.
+    /// Penalty for stragglers in placement.
     StragglerRule,
-    /// The quarantine of requests under which engines end.
+    /// Quarantine of requests that engines crashed on.
     Quarantine,
 }
 
-/// One experiment.
+/// Parameters of an experiment.
 #[derive(Clone, Debug)]
 pub struct ExperimentPlan {
-    /// Whose requests and engines.
+    /// Requests and engines.
     pub profile: LoadProfile,
-    /// The rate as a multiple of the engines' capacity.
+    /// Request rate as a multiple of the engines' capacity.
     pub times: f64,
-    /// The measured time.
+    /// Length of the measurement window.
     pub window: Duration,
-    /// Daemons; arrivals are spread over them evenly at random.
+    /// Number of daemons; each arrival goes to one of them, uniformly at random.
     pub daemons: usize,
-    /// The daemons' policy.
+    /// Policy of the daemons.
     pub policy: PolicyChoice,
-    /// What is switched off.
+    /// Disabled mechanism.
     pub without: Option<MechanismSwitch>,
-    /// What goes wrong.
+    /// Injected fault.
     pub fault: FaultKind,
-    /// The seed of arrivals, lengths and choices.
+    /// Seed of the arrivals, request lengths and random choices.
     pub seed: u64,
 }
 
 impl ExperimentPlan {
-    /// Mean requests a second.
+    /// Mean request rate per second.
     pub fn rate(&self) -> f64 {
         self.profile.capacity() * self.times
     }
 
-    /// The time of all arrivals.
+    /// Time span of all arrivals.
     pub fn length(&self) -> Duration {
         WARM_UP + self.window + TAIL
     }
 
-    /// True if a request that arrives at `at` is measured.
+    /// True if a request arriving at `at` falls into the measurement window.
     pub fn measures(&self, at: Duration) -> bool {
         (WARM_UP..WARM_UP + self.window).contains(&at)
     }
 
-    /// When the fault strikes.
+    /// Time at which the fault is injected.
     pub fn fault_at(&self) -> Duration {
         WARM_UP + self.window / 4
     }
 
-    /// When a fault that lasts is over.
+    /// Time at which a repeated fault ends.
     pub fn fault_end(&self) -> Duration {
         WARM_UP + self.window * 3 / 4
     }
 
-    /// Moves an arrival of an even stream into bursts. Within a period, the time that the mean rate
-    /// needs for a part of the arrivals is pressed together or drawn out.
+    /// Maps an arrival time of a stream without bursts to one with bursts, if the fault is bursts.
+    /// Within each period, time is compressed for the arrivals in the burst and stretched for the rest.
     pub fn arrival(&self, at: Duration) -> Duration {
         if self.fault != FaultKind::Bursts {
             return at;
@@ -120,7 +121,7 @@
         Duration::from_secs_f64((whole + moved) * period)
     }
 
-    /// The model pool's plan under the policy, without what is switched off.
+    /// Plan of the model pool under the policy, without the disabled mechanism.
     pub fn pool_plan(&self) -> PoolPlan {
         let row = self.profile.service(self.profile.model, ServiceKind::Model, self.policy);
         let tiers = self.profile.classes.iter();
