--- a/src/experiment/poison.rs
+++ b/src/experiment/poison.rs
@@ -1,43 +1,44 @@
-//! A request under which engines end, and what daemons know of it.
+//! The poison request, which crashes engines, and the daemons' crash tables.
 
 use crate::policy::{Moment, UpstreamHash};
 use crate::quarantine::{CrashTable, RequestFingerprint};
 use crate::table::DaemonName;
 use std::time::Duration;
 
-/// The caller tries again after this long, at the next daemon.
+/// Delay before the caller sends the poison request again, to the next daemon.
 pub const ATTEMPT_PAUSE: Duration = Duration::from_millis(200);
-/// Sends of one attempt: the first, and the rest of its stream at another engine.
+/// Dispatches per attempt: the first, and one that resumes the stream at another engine.
 pub const SENDS: usize = 2;
-/// An engine that ended is back after this long.
+/// Time from an engine's crash until it is available again.
 pub const RESTART_TIME: Duration = Duration::from_secs(3);
-/// Daemons tell each other news this often.
+/// Interval between the daemons' exchanges of crash records.
 pub const NEWS_PAUSE: Duration = Duration::from_millis(50);
-/// The content; those of other requests are numbered from 1.
+/// Fingerprint of the poison request; those of other requests start at 1.
 const POISON: RequestFingerprint = RequestFingerprint(0);
 
-/// What the daemons of an experiment know of engines' ends.
+/// Crash tables of the daemons in an experiment.
 pub struct CrashKnowledge {
     tables: Vec<(DaemonName, CrashTable)>,
-    /// Starts of each engine, as its incarnation.
+    /// Incarnation of each engine: its number of starts.
     lives: Vec<u64>,
-    /// False where the quarantine is switched off.
+    /// False if the quarantine is disabled.
     is_on: bool,
 }
 
 impl CrashKnowledge {
-    /// Daemons that know nothing yet.
+    /// Creates an empty table for each daemon.
     pub fn new(daemons: impl Iterator<Item = DaemonName>, engines: usize, is_on: bool) -> Self {
         let tables = daemons.map(|daemon| (daemon, CrashTable::default())).collect();
         CrashKnowledge { tables, lives: vec![1; engines], is_on }
     }
 
-    /// True if a daemon may send the poison request.
+    /// Returns whether a daemon may send the poison request.
     pub fn may_send(&self, daemon: usize, now: Moment) -> bool {
         !self.is_on || self.tables[daemon].1.held_for(POISON, now).is_none()
     }
 
-    /// An engine ended under the poison request of one daemon and under others' requests, by daemon.
+    /// Records that an engine crashed while it ran the poison request, sent by `daemon`, and the
+    /// requests in `others`, given as pairs of daemon and request.
     pub fn note_end(
         &mut self,
         engine: usize,
@@ -54,12 +55,12 @@
         }
     }
 
-    /// A request was answered whole.
+    /// Records that a request was answered completely.
     pub fn note_answer(&mut self, daemon: usize, request: usize, now: Moment) {
         self.tables[daemon].1.record_answer(content(request), now);
     }
 
-    /// Every daemon tells the others.
+    /// Sends every daemon's update to all others.
     pub fn exchange(&mut self, now: Moment) {
         let news: Vec<_> = self
             .tables
