--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -1,4 +1,4 @@
-//! The event loop of one experiment.
+//! The event loop of an experiment.
 
 use super::engine::SimulatedEngine;
 use super::plan::{ExperimentPlan, FaultKind, MechanismSwitch};
@@ -20,28 +20,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// There and back between a daemon and an engine.
+/// Network delay of a request, there and back, added on the way from the daemon to the engine.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
-/// Daemons poll load reports this often.
+/// Interval at which daemons poll load reports.
 const POLL_PAUSE: Duration = Duration::from_millis(100);
-/// A report is this old when it is read.
+/// Age of a load report when a daemon reads it.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// A daemon looks after its queue this often.
+/// Interval between the ticks of a daemon's scheduler.
 const TICK: Duration = Duration::from_millis(10);
-/// A daemon reports to the leader this often, and at once if its floor has changed at a tick.
+/// Interval between a daemon's reports to the leader. A changed floor is reported at the next tick.
 const FLEET_PAUSE: Duration = Duration::from_millis(100);
-/// The term of the one leader.
+/// Term of the only leader.
 const TERM: u64 = 1;
-/// The lease on reports to the leader.
+/// Lease granted to a daemon that reports to the leader.
 const FLEET_LEASE: Duration = Duration::from_secs(3);
-/// Token gaps are told to the scheduler once in this many tokens, as by the product's relay.
+/// Number of tokens over which a token gap is averaged for the scheduler, as in the production
+/// relay.
 const GAP_STRETCH: u32 = 16;
-/// The engine that the faults strike.
+/// Index of the engine that faults of a single engine affect.
 const STRUCK: usize = 1;
-/// The seed of the daemons' choices, apart from the arrivals'.
+/// Keeps the random numbers of the daemons' choices apart from those of the arrivals.
 const CHOICE_SEED: u64 = 0x5eed;
 
-/// What happens, and when.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum RunEvent {
     Arrive(usize),
@@ -55,7 +56,7 @@
     Reports(usize),
     Tick(usize),
     Fault,
-    /// An attempt of the caller with the poison request.
+    /// An attempt, by its number, of the caller that sends the poison request.
     Poison(usize),
     Restart(usize),
     News,
@@ -69,7 +70,7 @@
     Ended,
 }
 
-/// One request on its way.
+/// A request and its progress.
 struct SimulatedRequest {
     planned: PlannedRequest,
     at: Duration,
@@ -82,7 +83,7 @@
     gap_from: (u32, Moment),
 }
 
-/// One daemon: its scheduler, and its place in the fleet.
+/// A daemon: its scheduler and its fleet membership.
 struct SimulatedDaemon {
     name: DaemonName,
     scheduler: PoolScheduler,
@@ -92,7 +93,7 @@
     floor_before: (Option<TierRank>, Option<TierRank>),
 }
 
-/// Runs one experiment to its end.
+/// Runs an experiment until every request has ended.
 pub fn run_experiment(plan: &ExperimentPlan) -> RunSummary {
     let mut run = ExperimentRun::new(plan);
     run.run();
@@ -194,7 +195,7 @@
             self.daemons.iter().map(|daemon| daemon.scheduler.shed_order_violations()).sum();
     }
 
-    /// Tells a daemon's scheduler something, and does what it says.
+    /// Passes an event to a daemon's scheduler and executes the resulting actions.
     fn tell(&mut self, number: usize, event: PoolEvent) {
         let mut actions = Vec::new();
         let daemon = &mut self.daemons[number];
@@ -318,7 +319,7 @@
         self.tell(self.requests[request].daemon, event);
     }
 
-    /// Counts a request's one end.
+    /// Marks a request as ended and counts it in the summary; called once per request.
     fn end(&mut self, request: usize, is_whole: bool) {
         let ended = &mut self.requests[request];
         ended.phase = RequestPhase::Ended;
@@ -334,7 +335,7 @@
         self.summary.ended(ended.planned.class, is_good.then_some(tokens), first);
     }
 
-    /// A caller that has seen nothing by its deadline is refused, and its work cancelled.
+    /// Cancels and fails a running request that has not received a token by its deadline.
     fn deadline(&mut self, request: usize) {
         let RequestPhase::Running(engine) = self.requests[request].phase else { return };
         if self.requests[request].first_at.is_none() {
@@ -372,7 +373,8 @@
         self.push(TICK, RunEvent::Tick(number));
     }
 
-    /// One report to the leader, and its orders; on the wire both take less than a tick.
+    /// Sends a report to the leader and applies its orders, without a delay: over a network both take
+    /// less than a tick.
     fn agree(&mut self, number: usize) {
         let now = self.now;
         let daemon = &mut self.daemons[number];
@@ -427,7 +429,8 @@
         }
     }
 
-    /// The daemons see their streams end and cannot resume them on a new connection.
+    /// Marks an engine as unreachable at all daemons and fails the requests that it was running. Their
+    /// streams broke and cannot be resumed on a new connection.
     fn lose_work(&mut self, engine: usize) {
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
@@ -441,7 +444,7 @@
         }
     }
 
-    /// One attempt: the poison request reaches an engine that lives, and another one after it has ended.
+    /// Dispatches the poison request to a running engine, which crashes, and then to a second one.
     fn attempt_poison(&mut self, attempt: usize) {
         let daemon = attempt % self.daemons.len();
         for send in 0..SENDS {
@@ -513,7 +516,7 @@
     (0..engines).map(source).collect()
 }
 
-/// The model requests of the plan, each at the door of one daemon.
+/// Creates the model requests of the plan, each assigned to a random daemon.
 fn requests(plan: &ExperimentPlan) -> Vec<SimulatedRequest> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ CHOICE_SEED);
     let planned = plan.profile.plan(plan.rate(), plan.length(), plan.seed);
