--- a/src/experiment/summary.rs
+++ b/src/experiment/summary.rs
@@ -1,4 +1,4 @@
-//! What a run gave, and how much runs with other seeds differ.
+//! Results of a run, and their spread over several seeds.
 
 use crate::answer::AnswerKind;
 use crate::load::{LoadProfile, RequestKind};
@@ -7,43 +7,43 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One class of requests in the measured time.
+/// Counts of one traffic class in the measurement window.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassCount {
-    /// The tier.
+    /// Name of the tier.
     pub tier: &'static str,
-    /// The tier's weight.
+    /// Weight of the tier.
     pub weight: u32,
-    /// Requests made.
+    /// Number of requests sent.
     pub offered: u64,
-    /// Whole answers in time.
+    /// Number of complete answers within the deadline.
     pub good: u64,
-    /// Their prompt and output tokens.
+    /// Prompt and output tokens of these answers.
     pub good_tokens: u64,
     /// Times to the first token, in microseconds.
     #[serde(skip)]
     pub first: Histogram<u64>,
 }
 
-/// The results of one run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunSummary {
-    /// By class, highest tier first.
+    /// Counts by class, highest tier first.
     pub classes: Vec<ClassCount>,
     /// Refusals by kind.
     pub refused: BTreeMap<&'static str, u64>,
-    /// Prompt tokens that engines computed, in the whole run.
+    /// Prompt tokens computed by engines, over the whole run.
     pub prefill_tokens: u64,
-    /// Of these, computed again or thrown away.
+    /// Of these, tokens computed repeatedly or discarded.
     pub wasted_tokens: u64,
-    /// Breaks of the shedding order, as each daemon sees them.
+    /// Violations of the shedding order, counted at each daemon separately.
     pub order_breaks: u64,
-    /// Engines that ended under a request.
+    /// Engines that crashed on a request.
     pub engines_ended: u64,
 }
 
 impl RunSummary {
-    /// Nothing yet.
+    /// Creates an empty summary.
     pub fn new(profile: &LoadProfile) -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
         let classes = profile.classes.iter().map(|class| ClassCount {
@@ -69,14 +69,14 @@
         self.classes[class].offered += 1;
     }
 
-    /// Counts a refusal by the scheduler, if it is measured.
+    /// Counts a refusal by the scheduler if the request is measured.
     pub fn refused(&mut self, kind: AnswerKind, is_measured: bool) {
         if is_measured {
             *self.refused.entry(kind.row().name).or_default() += 1;
         }
     }
 
-    /// Counts a measured request's end.
+    /// Counts the end of a measured request.
     pub fn ended(&mut self, class: usize, good_tokens: Option<u32>, first: Option<Duration>) {
         let count = &mut self.classes[class];
         count.good += u64::from(good_tokens.is_some());
@@ -87,28 +87,28 @@
         }
     }
 
-    /// Refusals of all kinds.
+    /// Total number of refusals.
     pub fn refusals(&self) -> u64 {
         self.refused.values().sum()
     }
 
-    /// Good answers times their tiers' weights.
+    /// Number of good answers, weighted by tier.
     pub fn weighted_goodput(&self) -> f64 {
         self.classes.iter().map(|class| class.good as f64 * f64::from(class.weight)).sum()
     }
 
-    /// The same in tokens, which is what the weights divide.
+    /// Tokens of good answers, weighted by tier. The weights divide the capacity in tokens.
     pub fn weighted_tokens(&self) -> f64 {
         self.classes.iter().map(|class| class.good_tokens as f64 * f64::from(class.weight)).sum()
     }
 
-    /// The part of a class's requests that was answered whole and in time.
+    /// Fraction of a class's requests that were answered completely and within the deadline.
     pub fn good_share(&self, class: usize) -> f64 {
         let count = &self.classes[class];
         count.good as f64 / count.offered.max(1) as f64
     }
 
-    /// 95th percentile of the time to the first token, in milliseconds, of all classes together.
+    /// 95th percentile of the time to the first token over all classes, in milliseconds.
     pub fn first_ms(&self) -> f64 {
         let mut all: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
         self.classes.iter().for_each(|class| {
@@ -117,23 +117,23 @@
         all.value_at_quantile(0.95) as f64 / 1_000.0
     }
 
-    /// The same of the top tier alone.
+    /// 95th percentile of the time to the first token in the highest tier, in milliseconds.
     pub fn top_first_ms(&self) -> f64 {
         self.classes[0].first.value_at_quantile(0.95) as f64 / 1_000.0
     }
 
-    /// The part of computed prompt tokens that was computed again or thrown away.
+    /// Fraction of computed prompt tokens that were computed repeatedly or discarded.
     pub fn wasted_share(&self) -> f64 {
         self.wasted_tokens as f64 / self.prefill_tokens.max(1) as f64
     }
 }
 
-/// One number over several seeds.
+/// Median and worst value of a metric over several seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct SeedSpread {
-    /// The middle one.
+    /// Median value.
     pub median: f64,
-    /// The worst one.
+    /// Worst value.
     pub worst: f64,
 }
 
@@ -146,31 +146,31 @@
     }
 }
 
-/// The results of the same experiment over several seeds.
+/// Results of the same experiment over several seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct SpreadSummary {
-    /// Good answers times weights.
+    /// Number of good answers, weighted by tier.
     pub weighted: SeedSpread,
-    /// Tokens of good answers times weights.
+    /// Tokens of good answers, weighted by tier.
     pub weighted_tokens: SeedSpread,
-    /// Good part by class, in the profile's order.
+    /// Fraction of good answers by class, in the profile's order.
     pub good: Vec<SeedSpread>,
-    /// Time to the first token, p95 over all classes, in milliseconds.
+    /// 95th percentile of the time to the first token over all classes, in milliseconds.
     pub first_ms: SeedSpread,
-    /// The same of the top tier.
+    /// 95th percentile of the time to the first token in the highest tier, in milliseconds.
     pub top_first_ms: SeedSpread,
-    /// Wasted part of the prefill.
+    /// Fraction of computed prompt tokens that were wasted.
     pub wasted: SeedSpread,
-    /// Refusals.
+    /// Number of refusals.
     pub refusals: SeedSpread,
-    /// Breaks of the shedding order.
+    /// Violations of the shedding order.
     pub order_breaks: SeedSpread,
-    /// Engines that ended under a request.
+    /// Engines that crashed on a request.
     pub engines_ended: SeedSpread,
 }
 
 impl SpreadSummary {
-    /// Sums up runs that differ by their seeds only.
+    /// Summarises runs that differ only in their seeds.
     pub fn of(runs: &[RunSummary]) -> Self {
         let spread = |more_is_better: bool, number: &dyn Fn(&RunSummary) -> f64| {
             SeedSpread::of(runs.iter().map(number).collect(), more_is_better)
