--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: models of the two firms' requests, callers that check every answer, and a summary.
+//! Load generator: models of two firms' requests, a caller that checks every answer, and a summary.
 
 mod caller;
 mod profile;
