--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that make planned requests over HTTP and check every answer.
+//! HTTP caller that sends planned requests and checks every answer.
 
 use super::profile::{LoadProfile, PlannedRequest, RequestKind, nonce};
 use crate::answer::{AnswerKind, ProblemBody};
@@ -16,40 +16,40 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How one call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
-    /// The whole answer, and the caller's own.
+    /// The complete answer to this caller's request.
     Whole,
-    /// A refusal before or after dispatch.
+    /// Refused, before or after dispatch.
     Refused(AnswerKind),
-    /// The answer was visibly cut.
+    /// The answer was visibly cut off.
     Cut,
-    /// The answer ended as if complete but was not whole, or held pieces twice.
+    /// The answer ended as if complete but was not, or contained duplicate pieces.
     Wrong(String),
-    /// Pieces of another caller's answer.
+    /// The answer contained pieces of another caller's answer.
     Crossed,
-    /// No HTTP answer.
+    /// No HTTP response, or an error status without a problem document.
     NoAnswer(String),
 }
 
-/// One call's end and its times.
+/// Outcome and times of a call.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
-    /// Time to the first piece of the answer.
+    /// Time to the first piece of the answer; for a plain service, to its end.
     pub first: Option<Duration>,
     /// Mean time between pieces.
     pub gap: Option<Duration>,
-    /// Time to the end.
+    /// Time to the end of the call.
     pub total: Duration,
-    /// `Retry-After`, in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
 }
 
-/// Makes calls to a front.
+/// Sends calls to a daemon.
 #[derive(Clone, Debug)]
 pub struct LoadCaller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -57,7 +57,7 @@
 }
 
 impl LoadCaller {
-    /// A caller of the front at `address`.
+    /// Creates a caller of the daemon whose caller port is `address`.
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -66,7 +66,7 @@
         LoadCaller { client, address }
     }
 
-    /// Makes one planned request and checks its answer.
+    /// Sends a planned request and checks its answer.
     pub async fn call(
         &self,
         profile: &LoadProfile,
@@ -169,8 +169,8 @@
     if text.contains(nonce) { CallOutcome::Whole } else { CallOutcome::Crossed }
 }
 
-/// Reads a stream piece by piece: each must carry the nonce and the next number, and the end mark must
-/// come after the last.
+/// Reads a stream piece by piece. Each piece must contain the nonce and the next number, and
+/// `[DONE]` must follow the last one.
 async fn read_stream(
     response: Response<Incoming>,
     nonce: &str,
