--- a/src/load/profile.rs
+++ b/src/load/profile.rs
@@ -1,4 +1,4 @@
-//! Models of Lodgeframe's and Wrekin's requests: pure, from a seed.
+//! Load profiles: models of Lodgeframe's and Wrekin's requests, deterministic for a given seed.
 
 use crate::standin::EngineShape;
 use crate::table::{
@@ -13,20 +13,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of prompt per token, as the stand-in engine counts.
+/// Bytes of prompt per token, as in the stand-in engine.
 const BYTES_PER_TOKEN: usize = 4;
-/// Sequences in a batch when an engine is well used.
+/// Number of sequences in the batch of a well-utilised engine.
 const TYPICAL_BATCH: f64 = 32.0;
-/// The part of shared prompt tokens that a well-used cache holds.
+/// Fraction of shared prompt tokens that a well-utilised prefix cache holds.
 const TYPICAL_HITS: f64 = 0.5;
-/// Requests at an engine at once where nothing should bound them.
+/// Concurrency limit of an engine that is high enough to have no effect.
 const NO_LIMIT: u32 = 10_000;
-/// Every firm has this many organisations; the first are large.
+/// Number of organisations of each firm.
 const ORGANISATIONS: usize = 5;
-/// Shares of requests by organisation.
+/// Share of all requests by organisation; the first ones are the largest.
 const ORGANISATION_SHARES: [f64; ORGANISATIONS] = [0.4, 0.3, 0.1, 0.1, 0.1];
 
-/// Whose requests.
+/// Firm whose requests are modelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProfileKind {
@@ -36,28 +36,28 @@
     Wrekin,
 }
 
-/// What kind of request.
+/// Kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
-    /// To the model, streamed.
+    /// Streamed request to the model service.
     Model,
-    /// To the plain service, repeatable.
+    /// Idempotent request to the plain service.
     Lookup,
-    /// To the plain service, with an idempotency key.
+    /// Request to the plain service with an idempotency key.
     Booking,
 }
 
-/// One class of requests, which is also a tier.
+/// A class of requests with a tier of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficClass {
-    /// The tier's name, and the purpose that callers give.
+    /// Name of the tier, which is also the purpose stated by callers.
     pub tier: &'static str,
-    /// The tier's rank.
+    /// Rank of the tier.
     pub rank: u8,
-    /// The tier's weight.
+    /// Weight of the tier.
     pub weight: u32,
-    /// What kind of request.
+    /// Kind of request.
     pub kind: RequestKind,
     /// Share of all requests.
     pub share: f64,
@@ -65,60 +65,61 @@
     pub prompt_tokens: f64,
     /// Median output tokens.
     pub output_tokens: f64,
-    /// Spread of lengths: the standard deviation of their logarithm.
+    /// Standard deviation of the logarithm of the lengths.
     pub spread: f64,
-    /// Prompts share their first part with others of the same template; how many templates there are.
+    /// Number of prompt templates; prompts of the same template share a prefix.
     pub templates: u64,
-    /// The part of a prompt that its template gives.
+    /// Fraction of a prompt that comes from its template.
     pub shared_part: f64,
-    /// The caller's deadline.
+    /// Deadline stated by the caller.
     pub deadline: Duration,
 }
 
-/// One firm's deployment and requests.
+/// Deployment and requests of a firm.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Whose.
+    /// The firm.
     pub kind: ProfileKind,
-    /// The model service's name.
+    /// Name of the model service.
     pub model: &'static str,
-    /// The plain service's name.
+    /// Name of the plain service.
     pub plain: &'static str,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Instances of the plain service.
+    /// Number of instances of the plain service.
     pub services: usize,
-    /// The engines' speed.
+    /// Speed and size of an engine.
     pub shape: EngineShape,
-    /// The number of requests per engine that the firm was given.
+    /// Concurrency limit per engine as configured by the firm, in requests; the learned limit starts
+    /// from it.
     pub given_limit: u32,
-    /// Data centres.
+    /// Names of the data centres.
     pub data_centres: [&'static str; 3],
     /// Classes of requests.
     pub classes: Vec<TrafficClass>,
 }
 
-/// One request to be made.
+/// A request to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// Its number.
+    /// Number of the request within its plan.
     pub number: u64,
-    /// When, since the start.
+    /// Time of arrival, relative to the start.
     pub at: Duration,
-    /// Its class, by position.
+    /// Index of the class in the profile.
     pub class: usize,
-    /// Whose, by position.
+    /// Index of the organisation.
     pub organisation: usize,
     /// Prompt tokens.
     pub prompt_tokens: u32,
     /// Output tokens.
     pub output_tokens: u32,
-    /// Its template.
+    /// Number of the prompt template.
     pub template: u64,
 }
 
 impl LoadProfile {
-    /// The profile of a firm.
+    /// Creates the profile of a firm.
     pub fn new(kind: ProfileKind) -> Self {
         match kind {
             ProfileKind::Lodgeframe => lodgeframe(),
@@ -126,12 +127,12 @@
         }
     }
 
-    /// The bearer key of an organisation.
+    /// Returns the bearer key of an organisation.
     pub fn key(&self, organisation: usize) -> String {
         format!("{}-org-{organisation}-key", self.model)
     }
 
-    /// Mean engine time of a request in seconds, with well-filled batches and caches.
+    /// Mean engine time per request in seconds, with the typical batch and cache utilisation.
     fn engine_seconds(&self) -> f64 {
         let shape = &self.shape;
         let per_token = shape.step_micros as f64 / TYPICAL_BATCH + shape.sequence_micros as f64;
@@ -149,12 +150,12 @@
         micros / 1e6
     }
 
-    /// Requests a second, of all kinds, that the engines can carry at most.
+    /// Maximum rate that the engines can sustain, in requests of all kinds per second.
     pub fn capacity(&self) -> f64 {
         self.engines as f64 / self.engine_seconds()
     }
 
-    /// Requests at `rate` a second for `length`, Poisson in time, from a seed.
+    /// Generates requests for the time `length` as a Poisson process of `rate` requests per second.
     pub fn plan(&self, rate: f64, length: Duration, seed: u64) -> Vec<PlannedRequest> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let Ok(gaps) = Exp::new(rate.max(1e-6)) else { return Vec::new() };
@@ -192,7 +193,7 @@
         }
     }
 
-    /// The prompt of a request: its template's text, then its own, ending in its nonce.
+    /// Builds the prompt of a request: the text of its template, then its own text and its nonce.
     pub fn prompt(&self, request: &PlannedRequest, seed: u64) -> String {
         let class = &self.classes[request.class];
         let bytes = request.prompt_tokens as usize * BYTES_PER_TOKEN;
@@ -206,7 +207,7 @@
         text
     }
 
-    /// The firm's table, with upstreams at the given addresses.
+    /// Builds the firm's table with upstreams at the given addresses.
     pub fn table(
         &self,
         engines: &[SocketAddr],
@@ -262,7 +263,7 @@
         }
     }
 
-    /// A service's row under the policy.
+    /// Builds the row of a service under a policy.
     pub fn service(&self, name: &str, kind: ServiceKind, choice: PolicyChoice) -> ServiceRow {
         let lowest =
             self.classes.iter().max_by_key(|class| class.rank).map_or("", |class| class.tier);
@@ -293,17 +294,17 @@
     }
 }
 
-/// Which policy a run uses: ours, or a baseline.
+/// Policy of a run: Tarragonknot's own, or a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyChoice {
     /// Weighted queue, affinity placement, learned limit.
     Weighted,
-    /// First in, first out; least reported load; the given limit.
+    /// First in, first out; least reported load; the configured limit.
     Fifo,
-    /// First in, first out; each engine in turn; the given limit.
+    /// First in, first out; round-robin placement; the configured limit.
     RoundRobin,
-    /// First in, first out; least reported load; no limit to speak of.
+    /// First in, first out; least reported load; no effective limit.
     LeastReported,
 }
 
@@ -327,7 +328,7 @@
     }
 }
 
-/// The word that every piece of a request's answer must repeat.
+/// Returns the word that every piece of the answer to a request must repeat.
 pub fn nonce(request: &PlannedRequest, seed: u64) -> String {
     format!("n{seed:x}x{:x}", request.number)
 }
@@ -394,7 +395,7 @@
     }
 }
 
-/// 12 engines at a 6 ms step and 3 services; long inventories weigh most.
+/// 12 engines with a step time of 6 ms and 3 plain instances; inventories have the highest weight.
 fn lodgeframe() -> LoadProfile {
     LoadProfile {
         kind: ProfileKind::Lodgeframe,
@@ -415,7 +416,7 @@
     }
 }
 
-/// 18 engines at a 4 ms step and 3 services; proposals weigh most.
+/// 18 engines with a step time of 4 ms and 3 plain instances; proposals have the highest weight.
 fn wrekin() -> LoadProfile {
     LoadProfile {
         kind: ProfileKind::Wrekin,
