--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! Sums up a run: goodput by tier, refusals by kind, times as HDR histograms.
+//! Summary of a run: goodput by tier, refusals by kind, and times from HDR histograms.
 
 use super::caller::{CallOutcome, CallResult};
 use super::profile::{LoadProfile, PlannedRequest};
@@ -8,44 +8,44 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One tier's results.
+/// Results of one tier.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TierSummary {
-    /// The tier.
+    /// Name of the tier.
     pub tier: String,
-    /// Requests made.
+    /// Number of requests sent.
     pub offered: u64,
-    /// Whole answers within the deadline.
+    /// Complete answers within the deadline.
     pub good: u64,
-    /// Whole answers after the deadline.
+    /// Complete answers after the deadline.
     pub late: u64,
     /// Refusals by kind.
     pub refused: BTreeMap<String, u64>,
-    /// Visibly cut answers, and calls without any answer.
+    /// Answers that were visibly cut off, and calls without an answer.
     pub cut: u64,
-    /// Answers that were doubled, crossed, or truncated as if complete. Must be 0.
+    /// Answers that were duplicated, crossed, or truncated without a visible error. Must be 0.
     pub wrong: u64,
-    /// Percentiles of the time to the first piece, in milliseconds: 50, 95, 99.
+    /// 50th, 95th and 99th percentile of the time to the first piece, in milliseconds.
     pub first_ms: [f64; 3],
-    /// Percentiles of the time between pieces, in milliseconds: 50, 95, 99.
+    /// 50th, 95th and 99th percentile of the mean time between pieces, in milliseconds.
     pub gap_ms: [f64; 3],
-    /// Percentiles of the whole time, in milliseconds: 50, 95, 99.
+    /// 50th, 95th and 99th percentile of the total time of complete answers, in milliseconds.
     pub total_ms: [f64; 3],
 }
 
-/// A run's results.
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadSummary {
-    /// By tier, highest first.
+    /// Results by tier, highest first.
     pub tiers: Vec<TierSummary>,
-    /// Prompt tokens that engines computed.
+    /// Prompt tokens computed by engines.
     pub prefill_tokens: u64,
-    /// Of these, computed again or thrown away.
+    /// Of these, tokens computed repeatedly or discarded.
     pub wasted_tokens: u64,
-    /// Higher-tier requests shed while a lower tier of the same pool was admitted later in the same
-    /// episode. Must be 0.
+    /// Violations of the shedding order: higher-tier requests that were shed although a lower tier of
+    /// the same pool was admitted later in the same overload. Must be 0.
     pub order_breaks: u64,
-    /// The largest number of dispatches of one request. Must be at most 1.
+    /// Largest number of dispatches of one request. Must be at most 1.
     pub most_dispatches: u32,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl LoadSummary {
-    /// Sums up the results of planned requests.
+    /// Summarises the results of planned requests.
     pub fn of(profile: &LoadProfile, results: &[(PlannedRequest, CallResult)]) -> Self {
         let mut tiers = Vec::new();
         for (position, class) in profile.classes.iter().enumerate() {
@@ -98,14 +98,14 @@
         LoadSummary { tiers, ..LoadSummary::default() }
     }
 
-    /// Answers that break a promise.
+    /// Number of violated guarantees.
     pub fn broken(&self) -> u64 {
         self.tiers.iter().map(|tier| tier.wrong).sum::<u64>()
             + self.order_breaks
             + u64::from(self.most_dispatches > 1)
     }
 
-    /// The summary as an aligned table.
+    /// Formats the summary as an aligned table.
     pub fn grid(&self) -> String {
         let mut grid = Table::new();
         grid.load_preset(presets::UTF8_HORIZONTAL_ONLY);
