--- a/src/experiment/plan.rs
+++ b/src/experiment/plan.rs
@@ -105,7 +105,7 @@
     }
 
     /// Maps an arrival time of a stream without bursts to one with bursts, if the fault is bursts.
-    /// Within each period, time is compressed for the arrivals in the burst and stretched for the rest.
+    /// In each period, time is compressed for the arrivals of the burst and stretched for the rest.
     pub fn arrival(&self, at: Duration) -> Duration {
         if self.fault != FaultKind::Bursts {
             return at;
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -373,7 +373,7 @@
         self.push(TICK, RunEvent::Tick(number));
     }
 
-    /// Sends a report to the leader and applies its orders, without a delay: over a network both take
+    /// Sends a report to the leader and applies its orders without delay: over a network both take
     /// less than a tick.
     fn agree(&mut self, number: usize) {
         let now = self.now;
@@ -429,8 +429,8 @@
         }
     }
 
-    /// Marks an engine as unreachable at all daemons and fails the requests that it was running. Their
-    /// streams broke and cannot be resumed on a new connection.
+    /// Marks an engine as unreachable at all daemons and fails the requests that it was running.
+    /// Their streams broke and cannot be resumed on a new connection.
     fn lose_work(&mut self, engine: usize) {
         let upstream = UpstreamIndex(engine as u32);
         for number in 0..self.daemons.len() {
--- a/src/load/profile.rs
+++ b/src/load/profile.rs
@@ -90,8 +90,8 @@
     pub services: usize,
     /// Speed and size of an engine.
     pub shape: EngineShape,
-    /// Concurrency limit per engine as configured by the firm, in requests; the learned limit starts
-    /// from it.
+    /// Concurrency limit per engine as configured by the firm, in requests; the learned limit
+    /// starts from it.
     pub given_limit: u32,
     /// Names of the data centres.
     pub data_centres: [&'static str; 3],
--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -42,8 +42,8 @@
     pub prefill_tokens: u64,
     /// Of these, tokens computed repeatedly or discarded.
     pub wasted_tokens: u64,
-    /// Violations of the shedding order: higher-tier requests that were shed although a lower tier of
-    /// the same pool was admitted later in the same overload. Must be 0.
+    /// Violations of the shedding order: higher-tier requests that were shed although a lower
+    /// tier of the same pool was admitted later in the same overload. Must be 0.
     pub order_breaks: u64,
     /// Largest number of dispatches of one request. Must be at most 1.
     pub most_dispatches: u32,
