--- a/src/experiment/engine.rs
+++ b/src/experiment/engine.rs
@@ -10,7 +10,7 @@
 pub struct SimulatedEngine {
     model: EngineModel,
     step: Option<EngineStep>,
-    is_dead: bool,
+    has_crashed: bool,
     is_leaving: bool,
 }
 
@@ -18,7 +18,7 @@
     /// Creates an idle engine.
     pub fn new(shape: EngineShape) -> Self {
         let model = EngineModel::new(shape);
-        SimulatedEngine { model, step: None, is_dead: false, is_leaving: false }
+        SimulatedEngine { model, step: None, has_crashed: false, is_leaving: false }
     }
 
     /// Turns the engine into a straggler.
@@ -27,27 +27,27 @@
     }
 
     /// Crashes the engine; all jobs on it are lost.
-    pub fn die(&mut self) {
-        self.is_dead = true;
+    pub fn crash(&mut self) {
+        self.has_crashed = true;
         self.step = None;
     }
 
     /// True until the engine crashes.
-    pub fn lives(&self) -> bool {
-        !self.is_dead
+    pub fn is_alive(&self) -> bool {
+        !self.has_crashed
     }
 
     /// Makes the engine's load reports announce that it is leaving.
-    pub fn leave(&mut self) {
+    pub fn announce_leaving(&mut self) {
         self.is_leaving = true;
     }
 
     /// Submits a job. Returns false, without accepting it, if the engine has crashed.
     pub fn submit(&mut self, job: EngineJob) -> bool {
-        if !self.is_dead {
+        if !self.has_crashed {
             self.model.submit(job);
         }
-        !self.is_dead
+        !self.has_crashed
     }
 
     /// Cancels a job.
@@ -57,8 +57,8 @@
 
     /// Starts a step unless one is in progress. Returns its duration in microseconds, or none if no
     /// step was started.
-    pub fn begin_step(&mut self, ledger: &PrefillLedger) -> Option<u64> {
-        if self.is_dead || self.step.is_some() {
+    pub fn start_step(&mut self, ledger: &PrefillLedger) -> Option<u64> {
+        if self.has_crashed || self.step.is_some() {
             return None;
         }
         self.step = self.model.step(ledger);
@@ -66,7 +66,7 @@
     }
 
     /// Finishes the current step and returns its results, or none if the engine crashed during it.
-    pub fn end_step(&mut self) -> Option<EngineStep> {
+    pub fn finish_step(&mut self) -> Option<EngineStep> {
         self.step.take()
     }
 
@@ -80,6 +80,6 @@
             step_micros: self.model.last_step_micros() as u32,
             is_leaving: self.is_leaving,
         };
-        (!self.is_dead).then_some(report)
+        (!self.has_crashed).then_some(report)
     }
 }
--- a/src/experiment/plan.rs
+++ b/src/experiment/plan.rs
@@ -11,13 +11,13 @@
 const WARM_UP: Duration = Duration::from_secs(10);
 /// Time of arrivals after the measurement window, so that its last requests meet the same load as
 /// its first.
-const TAIL: Duration = Duration::from_secs(10);
+const COOL_DOWN: Duration = Duration::from_secs(10);
 /// Time from the start of one burst to the next.
 const BURST_PERIOD: Duration = Duration::from_secs(5);
 /// Factor on the mean rate during a burst. Between bursts the rate is lowered to keep the mean.
-const BURST_FACTOR: f64 = 3.0;
-/// Fraction of the time that is in a burst.
-const BURST_PART: f64 = 0.2;
+const BURST_RATE_FACTOR: f64 = 3.0;
+/// Length of a burst as a fraction of the burst period.
+const DUTY_CYCLE: f64 = 0.2;
 
 /// Fault injected during the measurement window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
@@ -85,17 +85,17 @@
     }
 
     /// Time span of all arrivals.
-    pub fn length(&self) -> Duration {
-        WARM_UP + self.window + TAIL
+    pub fn arrival_span(&self) -> Duration {
+        WARM_UP + self.window + COOL_DOWN
     }
 
     /// True if a request arriving at `at` falls into the measurement window.
-    pub fn measures(&self, at: Duration) -> bool {
+    pub fn is_measured(&self, at: Duration) -> bool {
         (WARM_UP..WARM_UP + self.window).contains(&at)
     }
 
     /// Time at which the fault is injected.
-    pub fn fault_at(&self) -> Duration {
+    pub fn fault_start(&self) -> Duration {
         WARM_UP + self.window / 4
     }
 
@@ -106,19 +106,19 @@
 
     /// Maps an arrival time of a stream without bursts to one with bursts, if the fault is bursts.
     /// In each period, time is compressed for the arrivals of the burst and stretched for the rest.
-    pub fn arrival(&self, at: Duration) -> Duration {
+    pub fn burst_arrival(&self, at: Duration) -> Duration {
         if self.fault != FaultKind::Bursts {
             return at;
         }
         let period = BURST_PERIOD.as_secs_f64();
-        let whole = (at.as_secs_f64() / period).floor();
-        let part = at.as_secs_f64() / period - whole;
-        let in_burst = BURST_PART * BURST_FACTOR;
-        let moved = match part < in_burst {
-            true => part / BURST_FACTOR,
-            false => BURST_PART + (part - in_burst) * (1.0 - BURST_PART) / (1.0 - in_burst),
+        let period_idx = (at.as_secs_f64() / period).floor();
+        let phase = at.as_secs_f64() / period - period_idx;
+        let burst_share = DUTY_CYCLE * BURST_RATE_FACTOR;
+        let shifted = match phase < burst_share {
+            true => phase / BURST_RATE_FACTOR,
+            false => DUTY_CYCLE + (phase - burst_share) * (1.0 - DUTY_CYCLE) / (1.0 - burst_share),
         };
-        Duration::from_secs_f64((whole + moved) * period)
+        Duration::from_secs_f64((period_idx + shifted) * period)
     }
 
     /// Plan of the model pool under the policy, without the disabled mechanism.
--- a/src/experiment/summary.rs
+++ b/src/experiment/summary.rs
@@ -9,7 +9,7 @@
 
 /// Counts of one traffic class in the measurement window.
 #[derive(Clone, Debug, Serialize)]
-pub struct ClassCount {
+pub struct ClassCounts {
     /// Name of the tier.
     pub tier: &'static str,
     /// Weight of the tier.
@@ -22,14 +22,14 @@
     pub good_tokens: u64,
     /// Times to the first token, in microseconds.
     #[serde(skip)]
-    pub first: Histogram<u64>,
+    pub first_token_times: Histogram<u64>,
 }
 
 /// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunSummary {
     /// Counts by class, highest tier first.
-    pub classes: Vec<ClassCount>,
+    pub classes: Vec<ClassCounts>,
     /// Refusals by kind.
     pub refused: BTreeMap<&'static str, u64>,
     /// Prompt tokens computed by engines, over the whole run.
@@ -46,13 +46,13 @@
     /// Creates an empty summary.
     pub fn new(profile: &LoadProfile) -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
-        let classes = profile.classes.iter().map(|class| ClassCount {
+        let classes = profile.classes.iter().map(|class| ClassCounts {
             tier: class.tier,
             weight: if class.kind == RequestKind::Model { class.weight } else { 0 },
             offered: 0,
             good: 0,
             good_tokens: 0,
-            first: histogram(),
+            first_token_times: histogram(),
         });
         RunSummary {
             classes: classes.collect(),
@@ -65,25 +65,30 @@
     }
 
     /// Counts a measured arrival.
-    pub fn offered(&mut self, class: usize) {
+    pub fn record_arrival(&mut self, class: usize) {
         self.classes[class].offered += 1;
     }
 
     /// Counts a refusal by the scheduler if the request is measured.
-    pub fn refused(&mut self, kind: AnswerKind, is_measured: bool) {
+    pub fn record_refusal(&mut self, kind: AnswerKind, is_measured: bool) {
         if is_measured {
             *self.refused.entry(kind.row().name).or_default() += 1;
         }
     }
 
     /// Counts the end of a measured request.
-    pub fn ended(&mut self, class: usize, good_tokens: Option<u32>, first: Option<Duration>) {
-        let count = &mut self.classes[class];
-        count.good += u64::from(good_tokens.is_some());
-        count.good_tokens += u64::from(good_tokens.unwrap_or(0));
-        if let Some(first) = first {
+    pub fn record_end(
+        &mut self,
+        class: usize,
+        good_tokens: Option<u32>,
+        time_to_first_token: Option<Duration>,
+    ) {
+        let counts = &mut self.classes[class];
+        counts.good += u64::from(good_tokens.is_some());
+        counts.good_tokens += u64::from(good_tokens.unwrap_or(0));
+        if let Some(time) = time_to_first_token {
             // The histogram grows as needed, so recording cannot fail.
-            let _ = count.first.record(first.as_micros() as u64);
+            let _ = counts.first_token_times.record(time.as_micros() as u64);
         }
     }
 
@@ -104,22 +109,22 @@
 
     /// Fraction of a class's requests that were answered completely and within the deadline.
     pub fn good_share(&self, class: usize) -> f64 {
-        let count = &self.classes[class];
-        count.good as f64 / count.offered.max(1) as f64
+        let counts = &self.classes[class];
+        counts.good as f64 / counts.offered.max(1) as f64
     }
 
     /// 95th percentile of the time to the first token over all classes, in milliseconds.
     pub fn first_ms(&self) -> f64 {
         let mut all: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
         self.classes.iter().for_each(|class| {
-            let _ = all.add(&class.first);
+            let _ = all.add(&class.first_token_times);
         });
         all.value_at_quantile(0.95) as f64 / 1_000.0
     }
 
     /// 95th percentile of the time to the first token in the highest tier, in milliseconds.
     pub fn top_first_ms(&self) -> f64 {
-        self.classes[0].first.value_at_quantile(0.95) as f64 / 1_000.0
+        self.classes[0].first_token_times.value_at_quantile(0.95) as f64 / 1_000.0
     }
 
     /// Fraction of computed prompt tokens that were computed repeatedly or discarded.
@@ -172,8 +177,8 @@
 impl SpreadSummary {
     /// Summarises runs that differ only in their seeds.
     pub fn of(runs: &[RunSummary]) -> Self {
-        let spread = |more_is_better: bool, number: &dyn Fn(&RunSummary) -> f64| {
-            SeedSpread::of(runs.iter().map(number).collect(), more_is_better)
+        let spread = |more_is_better: bool, metric: &dyn Fn(&RunSummary) -> f64| {
+            SeedSpread::of(runs.iter().map(metric).collect(), more_is_better)
         };
         let classes = runs.first().map_or(0, |run| run.classes.len());
         SpreadSummary {
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -40,9 +40,9 @@
     /// Outcome of the call.
     pub outcome: CallOutcome,
     /// Time to the first piece of the answer; for a plain service, to its end.
-    pub first: Option<Duration>,
+    pub time_to_first_piece: Option<Duration>,
     /// Mean time between pieces.
-    pub gap: Option<Duration>,
+    pub mean_gap: Option<Duration>,
     /// Time to the end of the call.
     pub total: Duration,
     /// Value of the `Retry-After` header, in seconds.
@@ -75,11 +75,17 @@
     ) -> CallResult {
         let started = Instant::now();
         let nonce = nonce(planned, seed);
-        let request = build(profile, planned, seed, self.address);
+        let request = build_request(profile, planned, seed, self.address);
         let response = match self.client.request(request).await {
             Ok(response) => response,
             Err(error) => {
-                return ended(CallOutcome::NoAnswer(error.to_string()), started, None, None, None);
+                return call_result(
+                    CallOutcome::NoAnswer(error.to_string()),
+                    started,
+                    None,
+                    None,
+                    None,
+                );
             }
         };
         let retry_after = response
@@ -87,32 +93,32 @@
             .get(header::RETRY_AFTER)
             .and_then(|value| value.to_str().ok()?.parse().ok());
         if !response.status().is_success() {
-            return ended(read_refusal(response).await, started, None, None, retry_after);
+            return call_result(read_refusal(response).await, started, None, None, retry_after);
         }
         match profile.classes[planned.class].kind {
             RequestKind::Model => {
                 read_stream(response, &nonce, planned.output_tokens, started).await
             }
             RequestKind::Lookup | RequestKind::Booking => {
-                let outcome = read_plain(response, &nonce).await;
+                let outcome = read_plain_answer(response, &nonce).await;
                 let total = started.elapsed();
-                ended(outcome, started, Some(total), None, None)
+                call_result(outcome, started, Some(total), None, None)
             }
         }
     }
 }
 
-fn ended(
+fn call_result(
     outcome: CallOutcome,
     started: Instant,
-    first: Option<Duration>,
-    gap: Option<Duration>,
+    time_to_first_piece: Option<Duration>,
+    mean_gap: Option<Duration>,
     retry_after: Option<u64>,
 ) -> CallResult {
-    CallResult { outcome, first, gap, total: started.elapsed(), retry_after }
+    CallResult { outcome, time_to_first_piece, mean_gap, total: started.elapsed(), retry_after }
 }
 
-fn build(
+fn build_request(
     profile: &LoadProfile,
     planned: &PlannedRequest,
     seed: u64,
@@ -158,12 +164,12 @@
     let problem: Option<ProblemBody> =
         body.ok().and_then(|body| serde_json::from_slice(&body).ok());
     problem.map_or_else(
-        || CallOutcome::NoAnswer(format!("status {status}")),
+        || CallOutcome::NoAnswer(format!("HTTP status {status} without a valid problem document")),
         |problem| CallOutcome::Refused(problem.kind),
     )
 }
 
-async fn read_plain(response: Response<Incoming>, nonce: &str) -> CallOutcome {
+async fn read_plain_answer(response: Response<Incoming>, nonce: &str) -> CallOutcome {
     let Ok(body) = response.into_body().collect().await else { return CallOutcome::Cut };
     let text = String::from_utf8_lossy(&body.to_bytes()).into_owned();
     if text.contains(nonce) { CallOutcome::Whole } else { CallOutcome::Crossed }
@@ -178,9 +184,9 @@
     started: Instant,
 ) -> CallResult {
     let mut events = BodyDataStream::new(response.into_body()).eventsource();
-    let mut first = None;
-    let mut last = started;
-    let mut seen = 0u32;
+    let mut time_to_first_piece = None;
+    let mut last_piece_at = started;
+    let mut received = 0u32;
     let outcome = loop {
         match events.next().await {
             Some(Ok(event)) if event.event == "error" => {
@@ -189,28 +195,30 @@
                 break kind.map_or(CallOutcome::Cut, CallOutcome::Refused);
             }
             Some(Ok(event)) if event.data == "[DONE]" => {
-                let is_whole = seen == tokens;
+                let is_whole = received == tokens;
                 break if is_whole {
                     CallOutcome::Whole
                 } else {
-                    CallOutcome::Wrong(format!("{seen} of {tokens} pieces"))
+                    CallOutcome::Wrong(format!("received {received} of {tokens} pieces"))
                 };
             }
             Some(Ok(event)) => {
-                last = Instant::now();
-                first.get_or_insert(last - started);
-                seen += 1;
-                match check_piece(&event.data, nonce, seen) {
+                last_piece_at = Instant::now();
+                time_to_first_piece.get_or_insert(last_piece_at - started);
+                received += 1;
+                match check_piece(&event.data, nonce, received) {
                     Ok(()) => {}
                     Err(outcome) => break outcome,
                 }
             }
             Some(Err(_)) => break CallOutcome::Cut,
-            None => break CallOutcome::Wrong("no end mark".to_owned()),
+            None => break CallOutcome::Wrong("the stream ended without [DONE]".to_owned()),
         }
     };
-    let gap = first.filter(|_| seen > 1).map(|first| (last - started - first) / (seen - 1));
-    ended(outcome, started, first, gap, None)
+    let mean_gap = time_to_first_piece
+        .filter(|_| received > 1)
+        .map(|first| (last_piece_at - started - first) / (received - 1));
+    call_result(outcome, started, time_to_first_piece, mean_gap, None)
 }
 
 fn check_piece(data: &str, nonce: &str, number: u32) -> Result<(), CallOutcome> {
@@ -220,6 +228,6 @@
     match text.trim().split_once(':') {
         Some((word, _)) if word != nonce => Err(CallOutcome::Crossed),
         Some((_, found)) if found == number.to_string() => Ok(()),
-        _ => Err(CallOutcome::Wrong(format!("piece {number}, found {text}"))),
+        _ => Err(CallOutcome::Wrong(format!("expected piece {number}, found {text}"))),
     }
 }
--- a/src/load/profile.rs
+++ b/src/load/profile.rs
@@ -16,15 +16,15 @@
 /// Bytes of prompt per token, as in the stand-in engine.
 const BYTES_PER_TOKEN: usize = 4;
 /// Number of sequences in the batch of a well-utilised engine.
-const TYPICAL_BATCH: f64 = 32.0;
+const TYPICAL_BATCH_SIZE: f64 = 32.0;
 /// Fraction of shared prompt tokens that a well-utilised prefix cache holds.
-const TYPICAL_HITS: f64 = 0.5;
+const TYPICAL_CACHE_HIT_RATE: f64 = 0.5;
 /// Concurrency limit of an engine that is high enough to have no effect.
-const NO_LIMIT: u32 = 10_000;
+const UNLIMITED_REQUESTS: u32 = 10_000;
 /// Number of organisations of each firm.
-const ORGANISATIONS: usize = 5;
+const ORGANISATION_COUNT: usize = 5;
 /// Share of all requests by organisation; the first ones are the largest.
-const ORGANISATION_SHARES: [f64; ORGANISATIONS] = [0.4, 0.3, 0.1, 0.1, 0.1];
+const ORGANISATION_SHARES: [f64; ORGANISATION_COUNT] = [0.4, 0.3, 0.1, 0.1, 0.1];
 
 /// Firm whose requests are modelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
@@ -66,11 +66,11 @@
     /// Median output tokens.
     pub output_tokens: f64,
     /// Standard deviation of the logarithm of the lengths.
-    pub spread: f64,
+    pub length_sigma: f64,
     /// Number of prompt templates; prompts of the same template share a prefix.
-    pub templates: u64,
+    pub template_count: u64,
     /// Fraction of a prompt that comes from its template.
-    pub shared_part: f64,
+    pub shared_fraction: f64,
     /// Deadline stated by the caller.
     pub deadline: Duration,
 }
@@ -135,16 +135,17 @@
     /// Mean engine time per request in seconds, with the typical batch and cache utilisation.
     fn engine_seconds(&self) -> f64 {
         let shape = &self.shape;
-        let per_token = shape.step_micros as f64 / TYPICAL_BATCH + shape.sequence_micros as f64;
-        let mean = |median: f64, spread: f64| median * (spread * spread / 2.0).exp();
+        let per_token =
+            shape.step_micros as f64 / TYPICAL_BATCH_SIZE + shape.sequence_micros as f64;
+        let mean = |median: f64, sigma: f64| median * (sigma * sigma / 2.0).exp();
         let models = self.classes.iter().filter(|class| class.kind == RequestKind::Model);
         let micros: f64 = models
             .map(|class| {
-                let prompt = mean(class.prompt_tokens, class.spread)
-                    * (1.0 - TYPICAL_HITS * class.shared_part);
+                let prompt = mean(class.prompt_tokens, class.length_sigma)
+                    * (1.0 - TYPICAL_CACHE_HIT_RATE * class.shared_fraction);
                 class.share
                     * (prompt * shape.prefill_micros as f64
-                        + mean(class.output_tokens, class.spread) * per_token)
+                        + mean(class.output_tokens, class.length_sigma) * per_token)
             })
             .sum();
         micros / 1e6
@@ -166,18 +167,19 @@
             if at >= length.as_secs_f64() {
                 return plan;
             }
-            let request = self.request(plan.len() as u64, Duration::from_secs_f64(at), &mut rng);
+            let request =
+                self.sample_request(plan.len() as u64, Duration::from_secs_f64(at), &mut rng);
             plan.push(request);
         }
     }
 
-    fn request(&self, number: u64, at: Duration, rng: &mut ChaCha8Rng) -> PlannedRequest {
-        let class_index = pick(rng.random(), self.classes.iter().map(|class| class.share));
-        let class = &self.classes[class_index];
-        let organisation = pick(rng.random(), ORGANISATION_SHARES.into_iter());
+    fn sample_request(&self, number: u64, at: Duration, rng: &mut ChaCha8Rng) -> PlannedRequest {
+        let class_idx = pick_by_share(rng.random(), self.classes.iter().map(|class| class.share));
+        let class = &self.classes[class_idx];
+        let organisation = pick_by_share(rng.random(), ORGANISATION_SHARES.into_iter());
         let length = |median: f64, rng: &mut ChaCha8Rng| match LogNormal::new(
             median.max(1.0).ln(),
-            class.spread,
+            class.length_sigma,
         ) {
             Ok(lengths) => lengths.sample(rng).clamp(1.0, median * 8.0) as u32,
             Err(_) => median as u32,
@@ -185,11 +187,11 @@
         PlannedRequest {
             number,
             at,
-            class: class_index,
+            class: class_idx,
             organisation,
             prompt_tokens: length(class.prompt_tokens, rng).max(8),
             output_tokens: length(class.output_tokens, rng).max(1),
-            template: rng.random_range(0..class.templates.max(1)),
+            template: rng.random_range(0..class.template_count.max(1)),
         }
     }
 
@@ -197,11 +199,17 @@
     pub fn prompt(&self, request: &PlannedRequest, seed: u64) -> String {
         let class = &self.classes[request.class];
         let bytes = request.prompt_tokens as usize * BYTES_PER_TOKEN;
-        let shared = (bytes as f64 * class.shared_part) as usize;
-        let mut text = filler(&format!("{} template {} ", class.tier, request.template), shared);
+        let shared_bytes = (bytes as f64 * class.shared_fraction) as usize;
+        let mut text = repeat_to_length(
+            &format!("{} template {} ", class.tier, request.template),
+            shared_bytes,
+        );
         let nonce = nonce(request, seed);
-        let own = bytes.saturating_sub(text.len() + nonce.len() + 1);
-        text.push_str(&filler(&format!("request {} of {seed} ", request.number), own));
+        let own_bytes = bytes.saturating_sub(text.len() + nonce.len() + 1);
+        text.push_str(&repeat_to_length(
+            &format!("request {} of {seed} ", request.number),
+            own_bytes,
+        ));
         text.push(' ');
         text.push_str(&nonce);
         text
@@ -219,7 +227,7 @@
             rank: class.rank,
             weight: class.weight,
         });
-        let organisations = (0..ORGANISATIONS).map(|organisation| OrganisationRow {
+        let organisations = (0..ORGANISATION_COUNT).map(|organisation| OrganisationRow {
             organisation: format!("org-{organisation}").as_str().into(),
             key_digests: vec![KeyDigest::of(&self.key(organisation))],
             weight: 1,
@@ -268,7 +276,7 @@
         let lowest =
             self.classes.iter().max_by_key(|class| class.rank).map_or("", |class| class.tier);
         let is_model = kind == ServiceKind::Model;
-        let (queue, placement, limit) = choice.choices();
+        let (queue, placement, limit) = choice.modes();
         ServiceRow {
             service: name.into(),
             kind,
@@ -276,7 +284,7 @@
             default_tier: lowest.into(),
             deadline_ms: Duration::from_secs(30),
             silence_ms: Duration::from_millis(2_000),
-            first_guess: if is_model { choice.first_guess(self.given_limit) } else { 32 },
+            first_guess: if is_model { choice.initial_limit(self.given_limit) } else { 32 },
             token_gap_ms: Duration::from_millis(63),
             first_token_ms: Duration::from_millis(750),
             body_limit: 1 << 20,
@@ -309,11 +317,11 @@
 }
 
 impl PolicyChoice {
-    fn first_guess(self, given: u32) -> u32 {
-        if self == PolicyChoice::LeastReported { NO_LIMIT } else { given }
+    fn initial_limit(self, configured: u32) -> u32 {
+        if self == PolicyChoice::LeastReported { UNLIMITED_REQUESTS } else { configured }
     }
 
-    fn choices(self) -> (QueueDiscipline, PlacementMode, LimitMode) {
+    fn modes(self) -> (QueueDiscipline, PlacementMode, LimitMode) {
         match self {
             PolicyChoice::Weighted => {
                 (QueueDiscipline::Weighted, PlacementMode::Affinity, LimitMode::Learned)
@@ -333,16 +341,16 @@
     format!("n{seed:x}x{:x}", request.number)
 }
 
-fn filler(phrase: &str, bytes: usize) -> String {
+fn repeat_to_length(phrase: &str, bytes: usize) -> String {
     phrase.chars().cycle().take(if phrase.is_empty() { 0 } else { bytes }).collect()
 }
 
-fn pick(at: f64, shares: impl Iterator<Item = f64>) -> usize {
+fn pick_by_share(at: f64, shares: impl Iterator<Item = f64>) -> usize {
     let mut sum = 0.0;
     let mut last = 0;
-    for (position, share) in shares.enumerate() {
+    for (idx, share) in shares.enumerate() {
         sum += share;
-        last = position;
+        last = idx;
         if at < sum {
             break;
         }
@@ -366,9 +374,9 @@
         share,
         prompt_tokens: tokens.0,
         output_tokens: tokens.1,
-        spread: 0.5,
-        templates: 24,
-        shared_part: 0.6,
+        length_sigma: 0.5,
+        template_count: 24,
+        shared_fraction: 0.6,
         deadline: Duration::from_secs(deadline_s),
     }
 }
@@ -388,9 +396,9 @@
         share,
         prompt_tokens: 16.0,
         output_tokens: 1.0,
-        spread: 0.1,
-        templates: 1,
-        shared_part: 0.0,
+        length_sigma: 0.1,
+        template_count: 1,
+        shared_fraction: 0.0,
         deadline: Duration::from_secs(2),
     }
 }
--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 struct TierTimes {
-    first: Histogram<u64>,
+    first_piece: Histogram<u64>,
     gap: Histogram<u64>,
     total: Histogram<u64>,
 }
@@ -59,11 +59,11 @@
 impl TierTimes {
     fn new() -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
-        TierTimes { first: histogram(), gap: histogram(), total: histogram() }
+        TierTimes { first_piece: histogram(), gap: histogram(), total: histogram() }
     }
 }
 
-fn note(histogram: &mut Histogram<u64>, time: Option<Duration>) {
+fn record_time(histogram: &mut Histogram<u64>, time: Option<Duration>) {
     if let Some(time) = time {
         // The histogram grows as needed, so recording cannot fail.
         let _ = histogram.record(time.as_micros() as u64);
@@ -78,19 +78,19 @@
     /// Summarises the results of planned requests.
     pub fn of(profile: &LoadProfile, results: &[(PlannedRequest, CallResult)]) -> Self {
         let mut tiers = Vec::new();
-        for (position, class) in profile.classes.iter().enumerate() {
+        for (class_idx, class) in profile.classes.iter().enumerate() {
             let mut summary = TierSummary { tier: class.tier.to_owned(), ..TierSummary::default() };
             let mut times = TierTimes::new();
-            for (_, result) in results.iter().filter(|(planned, _)| planned.class == position) {
-                summary.count(result, class.deadline);
-                note(&mut times.first, result.first);
-                note(&mut times.gap, result.gap);
-                note(
+            for (_, result) in results.iter().filter(|(planned, _)| planned.class == class_idx) {
+                summary.record(result, class.deadline);
+                record_time(&mut times.first_piece, result.time_to_first_piece);
+                record_time(&mut times.gap, result.mean_gap);
+                record_time(
                     &mut times.total,
                     Some(result.total).filter(|_| result.outcome == CallOutcome::Whole),
                 );
             }
-            summary.first_ms = percentiles(&times.first);
+            summary.first_ms = percentiles(&times.first_piece);
             summary.gap_ms = percentiles(&times.gap);
             summary.total_ms = percentiles(&times.total);
             tiers.push(summary);
@@ -146,7 +146,7 @@
 }
 
 impl TierSummary {
-    fn count(&mut self, result: &CallResult, deadline: Duration) {
+    fn record(&mut self, result: &CallResult, deadline: Duration) {
         self.offered += 1;
         match &result.outcome {
             CallOutcome::Whole if result.total <= deadline => self.good += 1,
