--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -56,7 +56,7 @@
     let mut summary = LoadSummary::of(&profile, &results);
     summary.prefill_tokens = bench.ledger.computed_tokens();
     summary.wasted_tokens = bench.ledger.wasted_tokens();
-    summary.most_dispatches = bench.most_dispatches();
+    summary.max_dispatches = bench.most_dispatches();
     super::print_out(&summary.grid());
     super::print_out(&format!(
         "a deadline of 1 ms: {refusal:?}; one booking sent twice: {resend} run\n"
@@ -68,7 +68,7 @@
         wait_for_interrupt(&bench, &profile).await;
     }
     bench.stop().await;
-    match whole == expected && summary.broken() == 0 && has_run_once && is_refused {
+    match whole == expected && summary.violated_guarantees() == 0 && has_run_once && is_refused {
         true => Ok(()),
         false => Err(CommandError::Failed {
             detail: format!("{whole} of {expected} answers are whole, or a check above failed"),
@@ -120,7 +120,7 @@
 async fn wait_for_interrupt(bench: &LoadBench, profile: &LoadProfile) {
     let body = format!(
         r#"{{"model":"{}","stream":true,"max_tokens":12,"messages":[{{"role":"user","content":"hello"}}]}}"#,
-        profile.model
+        profile.model_service
     );
     super::print_out(&format!(
         "try: curl -N -H 'Authorization: Bearer {}' -d '{body}' http://{}/v1/chat/completions\nInterrupt to end.",
--- a/src/cmd/experiment.rs
+++ b/src/cmd/experiment.rs
@@ -88,7 +88,7 @@
         .filter(|result| {
             result.case.policy == PolicyChoice::Weighted && result.case.without.is_none()
         })
-        .map(|result| result.summary.order_breaks.worst)
+        .map(|result| result.summary.shed_order_violations.worst)
         .sum();
     match breaks == 0.0 {
         true => Ok(()),
@@ -158,14 +158,14 @@
 
 fn plan(args: &Args, case: &ExperimentCase, seed: u64) -> ExperimentPlan {
     let mut profile = LoadProfile::new(case.profile);
-    profile.given_limit = args.given.unwrap_or(profile.given_limit);
+    profile.configured_limit = args.given.unwrap_or(profile.configured_limit);
     ExperimentPlan {
         profile,
-        times: case.times,
+        load_factor: case.times,
         window: Duration::from_secs(args.seconds),
         daemons: args.daemons as usize,
         policy: case.policy,
-        without: case.without,
+        disabled_mechanism: case.without,
         fault: args.fault,
         seed,
     }
@@ -209,28 +209,29 @@
     ]);
     for result in results {
         let (case, summary) = (&result.case, &result.summary);
-        let answers = reference(results, case, |summary| summary.weighted.median);
+        let answers = reference(results, case, |summary| summary.weighted_goodput.median);
         let tokens = reference(results, case, |summary| summary.weighted_tokens.median);
         let scaled = |spread: SeedSpread, factor: f64| SeedSpread {
             median: spread.median * factor,
             worst: spread.worst * factor,
         };
-        let good = summary.good.iter().filter(|spread| spread.median > 0.0 || spread.worst > 0.0);
+        let good =
+            summary.good_share.iter().filter(|spread| spread.median > 0.0 || spread.worst > 0.0);
         let good: Vec<String> = good.map(|spread| cell(scaled(*spread, 100.0), 1)).collect();
         grid.add_row([
             name(&case.profile),
             case.times.to_string(),
             case.without
                 .map_or(name(&case.policy), |without| format!("without {}", name(&without))),
-            cell(scaled(summary.weighted, 1.0 / answers), 2),
+            cell(scaled(summary.weighted_goodput, 1.0 / answers), 2),
             cell(scaled(summary.weighted_tokens, 1.0 / tokens), 2),
             good.join(", "),
-            cell(summary.first_ms, 0),
-            cell(summary.top_first_ms, 0),
-            cell(scaled(summary.wasted, 100.0), 1),
+            cell(summary.first_token_p95_ms, 0),
+            cell(summary.top_tier_first_token_p95_ms, 0),
+            cell(scaled(summary.wasted_share, 100.0), 1),
             cell(summary.refusals, 0),
-            cell(summary.order_breaks, 0),
-            cell(summary.engines_ended, 0),
+            cell(summary.shed_order_violations, 0),
+            cell(summary.engine_crashes, 0),
         ]);
     }
     grid.to_string()
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -82,7 +82,7 @@
         true => super::print_json(&summary),
         false => super::print_out(&summary.grid()),
     }
-    match summary.broken() {
+    match summary.violated_guarantees() {
         0 => Ok(()),
         broken => Err(CommandError::Failed { detail: format!("{broken} broken promises") }),
     }
@@ -109,8 +109,8 @@
     let mut summary = LoadSummary::of(&profile, &results);
     summary.prefill_tokens = bench.ledger.computed_tokens();
     summary.wasted_tokens = bench.ledger.wasted_tokens();
-    summary.most_dispatches = bench.most_dispatches();
-    summary.order_breaks =
+    summary.max_dispatches = bench.most_dispatches();
+    summary.shed_order_violations =
         bench.daemon.state.pools().values().map(|pool| pool.shed_order_violations()).sum();
     bench.stop().await;
     Ok(summary)
@@ -227,7 +227,7 @@
             );
         }
         let mut services = Vec::new();
-        for _ in 0..profile.services {
+        for _ in 0..profile.plain_instances {
             services.push(start_plain(PlainShape::default()).await.map_err(failed)?);
         }
         let folder = tempfile::tempdir().map_err(failed)?;
--- a/src/experiment/plan.rs
+++ b/src/experiment/plan.rs
@@ -63,7 +63,7 @@
     /// Requests and engines.
     pub profile: LoadProfile,
     /// Request rate as a multiple of the engines' capacity.
-    pub times: f64,
+    pub load_factor: f64,
     /// Length of the measurement window.
     pub window: Duration,
     /// Number of daemons; each arrival goes to one of them, uniformly at random.
@@ -71,7 +71,7 @@
     /// Policy of the daemons.
     pub policy: PolicyChoice,
     /// Disabled mechanism.
-    pub without: Option<MechanismSwitch>,
+    pub disabled_mechanism: Option<MechanismSwitch>,
     /// Injected fault.
     pub fault: FaultKind,
     /// Seed of the arrivals, request lengths and random choices.
@@ -81,7 +81,7 @@
 impl ExperimentPlan {
     /// Mean request rate per second.
     pub fn rate(&self) -> f64 {
-        self.profile.capacity() * self.times
+        self.profile.capacity() * self.load_factor
     }
 
     /// Time span of all arrivals.
@@ -123,13 +123,13 @@
 
     /// Plan of the model pool under the policy, without the disabled mechanism.
     pub fn pool_plan(&self) -> PoolPlan {
-        let row = self.profile.service(self.profile.model, ServiceKind::Model, self.policy);
+        let row = self.profile.service(self.profile.model_service, ServiceKind::Model, self.policy);
         let tiers = self.profile.classes.iter();
         let tiers: Vec<TierShare> = tiers
             .map(|class| TierShare { rank: TierRank(class.rank), weight: class.weight })
             .collect();
         let mut plan = PoolPlan::new(&row, &tiers);
-        match self.without {
+        match self.disabled_mechanism {
             Some(MechanismSwitch::Affinity) => plan.placement = PlacementMode::LeastReported,
             Some(MechanismSwitch::LearnedLimit) => plan.limit = LimitMode::Fixed,
             Some(MechanismSwitch::DeadlineRefusal) => plan.refuses_late = false,
--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -126,7 +126,7 @@
         let members: BTreeMap<DaemonName, u64> =
             daemons.iter().map(|daemon| (daemon.name.clone(), 1)).collect();
         let names: Vec<DaemonName> = daemons.iter().map(|daemon| daemon.name.clone()).collect();
-        let has_quarantine = plan.without != Some(MechanismSwitch::Quarantine);
+        let has_quarantine = plan.disabled_mechanism != Some(MechanismSwitch::Quarantine);
         let crash_tables =
             CrashTables::new(names.into_iter(), plan.profile.engines, has_quarantine);
         let mut run = ExperimentRun {
@@ -194,7 +194,7 @@
         }
         self.summary.prefill_tokens = self.ledger.computed_tokens();
         self.summary.wasted_tokens = self.ledger.wasted_tokens();
-        self.summary.order_breaks =
+        self.summary.shed_order_violations =
             self.daemons.iter().map(|daemon| daemon.scheduler.shed_order_violations()).sum();
     }
 
@@ -391,7 +391,7 @@
         let scheduler = &daemon.scheduler;
         daemon.reported_floors = (scheduler.wanted_floor(), scheduler.guaranteed_floor());
         let state = PoolState {
-            service: self.plan.profile.model.into(),
+            service: self.plan.profile.model_service.into(),
             wanted: scheduler.wanted_floor(),
             guaranteed: scheduler.guaranteed_floor(),
             demand: scheduler.demand_tokens(),
@@ -412,9 +412,9 @@
 
     fn apply_orders(&mut self, daemon_idx: usize, orders: DaemonOrders) {
         let Some(change) = self.daemons[daemon_idx].member.apply(orders, self.now) else { return };
-        let model = self.plan.profile.model;
+        let model = self.plan.profile.model_service;
         for step in change.pools.into_iter().filter(|step| step.service.as_str() == model) {
-            let is_shared = self.plan.without != Some(MechanismSwitch::Shares);
+            let is_shared = self.plan.disabled_mechanism != Some(MechanismSwitch::Shares);
             let share = if is_shared { step.share } else { 1.0 };
             self.notify_scheduler(daemon_idx, PoolEvent::Share { share });
             self.notify_scheduler(daemon_idx, PoolEvent::FleetFloor(step.floor));
@@ -480,7 +480,7 @@
         let others: Vec<(usize, usize)> =
             others.map(|(request_idx, request)| (request.daemon, request_idx)).collect();
         self.crash_tables.record_crashes(engine, daemon, &others, self.now);
-        self.summary.engines_ended += 1;
+        self.summary.engine_crashes += 1;
         self.engines[engine].crash();
         self.fail_requests(engine);
         self.schedule(ENGINE_RESTART_TIME, RunEvent::Restart(engine));
--- a/src/experiment/summary.rs
+++ b/src/experiment/summary.rs
@@ -37,9 +37,11 @@
     /// Of these, tokens computed repeatedly or discarded.
     pub wasted_tokens: u64,
     /// Violations of the shedding order, counted at each daemon separately.
-    pub order_breaks: u64,
+    #[serde(rename = "order_breaks")]
+    pub shed_order_violations: u64,
     /// Engines that crashed on a request.
-    pub engines_ended: u64,
+    #[serde(rename = "engines_ended")]
+    pub engine_crashes: u64,
 }
 
 impl RunSummary {
@@ -59,8 +61,8 @@
             refused: BTreeMap::new(),
             prefill_tokens: 0,
             wasted_tokens: 0,
-            order_breaks: 0,
-            engines_ended: 0,
+            shed_order_violations: 0,
+            engine_crashes: 0,
         }
     }
 
@@ -114,7 +116,7 @@
     }
 
     /// 95th percentile of the time to the first token over all classes, in milliseconds.
-    pub fn first_ms(&self) -> f64 {
+    pub fn first_token_p95_ms(&self) -> f64 {
         let mut all: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
         self.classes.iter().for_each(|class| {
             let _ = all.add(&class.first_token_times);
@@ -123,7 +125,7 @@
     }
 
     /// 95th percentile of the time to the first token in the highest tier, in milliseconds.
-    pub fn top_first_ms(&self) -> f64 {
+    pub fn top_tier_first_token_p95_ms(&self) -> f64 {
         self.classes[0].first_token_times.value_at_quantile(0.95) as f64 / 1_000.0
     }
 
@@ -155,23 +157,30 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct SpreadSummary {
     /// Number of good answers, weighted by tier.
-    pub weighted: SeedSpread,
+    #[serde(rename = "weighted")]
+    pub weighted_goodput: SeedSpread,
     /// Tokens of good answers, weighted by tier.
     pub weighted_tokens: SeedSpread,
     /// Fraction of good answers by class, in the profile's order.
-    pub good: Vec<SeedSpread>,
+    #[serde(rename = "good")]
+    pub good_share: Vec<SeedSpread>,
     /// 95th percentile of the time to the first token over all classes, in milliseconds.
-    pub first_ms: SeedSpread,
+    #[serde(rename = "first_ms")]
+    pub first_token_p95_ms: SeedSpread,
     /// 95th percentile of the time to the first token in the highest tier, in milliseconds.
-    pub top_first_ms: SeedSpread,
+    #[serde(rename = "top_first_ms")]
+    pub top_tier_first_token_p95_ms: SeedSpread,
     /// Fraction of computed prompt tokens that were wasted.
-    pub wasted: SeedSpread,
+    #[serde(rename = "wasted")]
+    pub wasted_share: SeedSpread,
     /// Number of refusals.
     pub refusals: SeedSpread,
     /// Violations of the shedding order.
-    pub order_breaks: SeedSpread,
+    #[serde(rename = "order_breaks")]
+    pub shed_order_violations: SeedSpread,
     /// Engines that crashed on a request.
-    pub engines_ended: SeedSpread,
+    #[serde(rename = "engines_ended")]
+    pub engine_crashes: SeedSpread,
 }
 
 impl SpreadSummary {
@@ -182,15 +191,17 @@
         };
         let classes = runs.first().map_or(0, |run| run.classes.len());
         SpreadSummary {
-            weighted: spread(true, &RunSummary::weighted_goodput),
+            weighted_goodput: spread(true, &RunSummary::weighted_goodput),
             weighted_tokens: spread(true, &RunSummary::weighted_tokens),
-            good: (0..classes).map(|class| spread(true, &|run| run.good_share(class))).collect(),
-            first_ms: spread(false, &RunSummary::first_ms),
-            top_first_ms: spread(false, &RunSummary::top_first_ms),
-            wasted: spread(false, &RunSummary::wasted_share),
+            good_share: (0..classes)
+                .map(|class| spread(true, &|run| run.good_share(class)))
+                .collect(),
+            first_token_p95_ms: spread(false, &RunSummary::first_token_p95_ms),
+            top_tier_first_token_p95_ms: spread(false, &RunSummary::top_tier_first_token_p95_ms),
+            wasted_share: spread(false, &RunSummary::wasted_share),
             refusals: spread(false, &|run| run.refusals() as f64),
-            order_breaks: spread(false, &|run| run.order_breaks as f64),
-            engines_ended: spread(false, &|run| run.engines_ended as f64),
+            shed_order_violations: spread(false, &|run| run.shed_order_violations as f64),
+            engine_crashes: spread(false, &|run| run.engine_crashes as f64),
         }
     }
 }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -134,7 +134,7 @@
         RequestKind::Model => {
             let prompt = profile.prompt(planned, seed);
             let messages = json!([{"role": "user", "content": prompt}]);
-            let body = json!({"model": profile.model, "stream": true, "max_tokens": planned.output_tokens, "messages": messages});
+            let body = json!({"model": profile.model_service, "stream": true, "max_tokens": planned.output_tokens, "messages": messages});
             let uri = format!("http://{address}/v1/chat/completions");
             builder
                 .method("POST")
@@ -144,10 +144,10 @@
         }
         RequestKind::Lookup => builder
             .method("GET")
-            .uri(format!("http://{address}/{}/catalogue/{nonce}", profile.plain))
+            .uri(format!("http://{address}/{}/catalogue/{nonce}", profile.plain_service))
             .body(Full::default()),
         RequestKind::Booking => {
-            let uri = format!("http://{address}/{}/bookings", profile.plain);
+            let uri = format!("http://{address}/{}/bookings", profile.plain_service);
             builder
                 .method("POST")
                 .uri(uri)
--- a/src/load/profile.rs
+++ b/src/load/profile.rs
@@ -81,18 +81,18 @@
     /// The firm.
     pub kind: ProfileKind,
     /// Name of the model service.
-    pub model: &'static str,
+    pub model_service: &'static str,
     /// Name of the plain service.
-    pub plain: &'static str,
+    pub plain_service: &'static str,
     /// Number of engines.
     pub engines: usize,
     /// Number of instances of the plain service.
-    pub services: usize,
+    pub plain_instances: usize,
     /// Speed and size of an engine.
     pub shape: EngineShape,
     /// Concurrency limit per engine as configured by the firm, in requests; the learned limit
     /// starts from it.
-    pub given_limit: u32,
+    pub configured_limit: u32,
     /// Names of the data centres.
     pub data_centres: [&'static str; 3],
     /// Classes of requests.
@@ -129,7 +129,7 @@
 
     /// Returns the bearer key of an organisation.
     pub fn key(&self, organisation: usize) -> String {
-        format!("{}-org-{organisation}-key", self.model)
+        format!("{}-org-{organisation}-key", self.model_service)
     }
 
     /// Mean engine time per request in seconds, with the typical batch and cache utilisation.
@@ -253,17 +253,17 @@
         let engines = engines
             .iter()
             .enumerate()
-            .map(|(number, address)| upstream(self.model, number, address));
+            .map(|(number, address)| upstream(self.model_service, number, address));
         let services = services
             .iter()
             .enumerate()
-            .map(|(number, address)| upstream(self.plain, number, address));
+            .map(|(number, address)| upstream(self.plain_service, number, address));
         OperatorTable {
             tiers: tiers.collect(),
             organisations: organisations.collect(),
             services: vec![
-                self.service(self.model, ServiceKind::Model, choice),
-                self.service(self.plain, ServiceKind::Plain, choice),
+                self.service(self.model_service, ServiceKind::Model, choice),
+                self.service(self.plain_service, ServiceKind::Plain, choice),
             ],
             assignments: assignments.collect(),
             upstreams: engines.chain(services).collect(),
@@ -284,7 +284,7 @@
             default_tier: lowest.into(),
             deadline_ms: Duration::from_secs(30),
             silence_ms: Duration::from_millis(2_000),
-            first_guess: if is_model { choice.initial_limit(self.given_limit) } else { 32 },
+            first_guess: if is_model { choice.initial_limit(self.configured_limit) } else { 32 },
             token_gap_ms: Duration::from_millis(63),
             first_token_ms: Duration::from_millis(750),
             body_limit: 1 << 20,
@@ -407,12 +407,12 @@
 fn lodgeframe() -> LoadProfile {
     LoadProfile {
         kind: ProfileKind::Lodgeframe,
-        model: "pack-llm",
-        plain: "pack-api",
+        model_service: "pack-llm",
+        plain_service: "pack-api",
         engines: 12,
-        services: 3,
+        plain_instances: 3,
         shape: EngineShape::with_step(6_000),
-        given_limit: 50,
+        configured_limit: 50,
         data_centres: ["hall-a", "hall-b", "hall-c"],
         classes: vec![
             model_class("inventory", 0, 70, 0.02, (3_000.0, 300.0), 20),
@@ -428,12 +428,12 @@
 fn wrekin() -> LoadProfile {
     LoadProfile {
         kind: ProfileKind::Wrekin,
-        model: "tk-infer",
-        plain: "booking-api",
+        model_service: "tk-infer",
+        plain_service: "booking-api",
         engines: 18,
-        services: 3,
+        plain_instances: 3,
         shape: EngineShape::with_step(4_000),
-        given_limit: 60,
+        configured_limit: 60,
         data_centres: ["brum-a", "brum-b", "cov-1"],
         classes: vec![
             model_class("proposal", 0, 70, 0.04, (2_000.0, 350.0), 15),
--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -44,9 +44,11 @@
     pub wasted_tokens: u64,
     /// Violations of the shedding order: higher-tier requests that were shed although a lower
     /// tier of the same pool was admitted later in the same overload. Must be 0.
-    pub order_breaks: u64,
+    #[serde(rename = "order_breaks")]
+    pub shed_order_violations: u64,
     /// Largest number of dispatches of one request. Must be at most 1.
-    pub most_dispatches: u32,
+    #[serde(rename = "most_dispatches")]
+    pub max_dispatches: u32,
 }
 
 #[derive(Debug)]
@@ -99,10 +101,10 @@
     }
 
     /// Number of violated guarantees.
-    pub fn broken(&self) -> u64 {
+    pub fn violated_guarantees(&self) -> u64 {
         self.tiers.iter().map(|tier| tier.wrong).sum::<u64>()
-            + self.order_breaks
-            + u64::from(self.most_dispatches > 1)
+            + self.shed_order_violations
+            + u64::from(self.max_dispatches > 1)
     }
 
     /// Formats the summary as an aligned table.
@@ -140,7 +142,10 @@
         let share = 100.0 * self.wasted_tokens as f64 / self.prefill_tokens.max(1) as f64;
         format!(
             "{grid}\nprefill tokens {}, wasted {} ({share:.1} %); most dispatches of one request {}; order breaks {}",
-            self.prefill_tokens, self.wasted_tokens, self.most_dispatches, self.order_breaks
+            self.prefill_tokens,
+            self.wasted_tokens,
+            self.max_dispatches,
+            self.shed_order_violations
         )
     }
 }
--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -24,11 +24,11 @@
     profile.engines = 4;
     ExperimentPlan {
         profile,
-        times,
+        load_factor: times,
         window: Duration::from_secs(8),
         daemons: 2,
         policy: PolicyChoice::Weighted,
-        without: None,
+        disabled_mechanism: None,
         fault: FaultKind::None,
         seed: 1,
     }
@@ -55,8 +55,10 @@
 #[test]
 fn affinity_halves_the_wasted_prefill() {
     let with = run_experiment(&plan(0.5));
-    let without =
-        run_experiment(&ExperimentPlan { without: Some(MechanismSwitch::Affinity), ..plan(0.5) });
+    let without = run_experiment(&ExperimentPlan {
+        disabled_mechanism: Some(MechanismSwitch::Affinity),
+        ..plan(0.5)
+    });
 
     assert!(with.wasted_share() < without.wasted_share() / 2.0, "{with:?} {without:?}");
     assert_eq!(with.refusals(), 0);
@@ -75,7 +77,7 @@
     let run = run_experiment(&ExperimentPlan { fault, ..plan(2.0) });
 
     let shares: Vec<f64> = (0..3).map(|class| run.good_share(class)).collect();
-    assert_eq!(run.order_breaks, 0);
+    assert_eq!(run.shed_order_violations, 0);
     assert!(shares[0] > shares[1] && shares[1] > shares[2], "{shares:?}");
     assert!(shares[0] > 0.9, "{shares:?}");
     assert!(run.refusals() > 0);
@@ -247,9 +249,9 @@
     let without = Some(MechanismSwitch::Quarantine);
 
     let with = run_experiment(&plan);
-    let without = run_experiment(&ExperimentPlan { without, ..plan.clone() });
+    let without = run_experiment(&ExperimentPlan { disabled_mechanism: without, ..plan.clone() });
 
-    assert!(with.engines_ended <= 4, "{} engines ended", with.engines_ended);
-    assert!(without.engines_ended >= 3 * with.engines_ended, "{}", without.engines_ended);
+    assert!(with.engine_crashes <= 4, "{} engines ended", with.engine_crashes);
+    assert!(without.engine_crashes >= 3 * with.engine_crashes, "{}", without.engine_crashes);
     assert!(with.weighted_goodput() > 1.1 * without.weighted_goodput());
 }
