--- a/src/experiment/run.rs
+++ b/src/experiment/run.rs
@@ -81,7 +81,7 @@
     prefix: Box<[u64]>,
     sent_at: Moment,
     first_token_at: Option<Moment>,
-    tokens: u32,
+    emitted_tokens: u32,
     gap_start: (u32, Moment),
 }
 
@@ -301,7 +301,7 @@
         let (now, id) = (self.now, RequestId(request as u64));
         let running = &mut self.requests[request];
         let daemon_idx = running.daemon;
-        running.tokens += 1;
+        running.emitted_tokens += 1;
         if running.first_token_at.is_none() {
             running.first_token_at = Some(now);
             running.gap_start = (1, now);
@@ -309,9 +309,9 @@
             return self.notify_scheduler(daemon_idx, PoolEvent::FirstToken { id, after });
         }
         let (from, at) = running.gap_start;
-        let count = running.tokens - from;
+        let count = running.emitted_tokens - from;
         if count >= GAP_SAMPLE_TOKENS {
-            running.gap_start = (running.tokens, now);
+            running.gap_start = (running.emitted_tokens, now);
             self.notify_scheduler(
                 daemon_idx,
                 PoolEvent::TokenGap { id, gap: now.since(at) / count },
@@ -340,8 +340,12 @@
         let arrived = Moment(0) + ended.arrives_at;
         let is_good = is_whole && self.now.since(arrived) <= class.deadline;
         let tokens = ended.planned.prompt_tokens + ended.planned.output_tokens;
-        let first = ended.first_token_at.map(|first| first.since(arrived));
-        self.summary.record_end(ended.planned.class, is_good.then_some(tokens), first);
+        let time_to_first_token = ended.first_token_at.map(|first| first.since(arrived));
+        self.summary.record_end(
+            ended.planned.class,
+            is_good.then_some(tokens),
+            time_to_first_token,
+        );
     }
 
     /// Cancels and fails a running request that has not received a token by its deadline.
@@ -459,13 +463,13 @@
     /// Dispatches the poison request to a running engine, which crashes, and then to a second one.
     fn send_poison(&mut self, attempt: usize) {
         let daemon = attempt % self.daemons.len();
-        for send in 0..DISPATCHES_PER_ATTEMPT {
+        for dispatch_idx in 0..DISPATCHES_PER_ATTEMPT {
             let alive: Vec<usize> =
                 (0..self.engines.len()).filter(|engine| self.engines[*engine].is_alive()).collect();
             if alive.is_empty() || !self.crash_tables.may_send(daemon, self.now) {
                 break;
             }
-            self.crash_engine(alive[(attempt + send) % alive.len()], daemon);
+            self.crash_engine(alive[(attempt + dispatch_idx) % alive.len()], daemon);
         }
         if self.now < Moment(0) + self.plan.fault_end() {
             self.schedule(ATTEMPT_DELAY, RunEvent::PoisonAttempt(attempt + 1));
@@ -549,7 +553,7 @@
             prefix: prefix_hashes(plan.profile.prompt(&planned, plan.seed).as_bytes()),
             sent_at: Moment(0),
             first_token_at: None,
-            tokens: 0,
+            emitted_tokens: 0,
             gap_start: (0, Moment(0)),
             planned,
         })
