--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -19,12 +19,12 @@
 use tarragonknot::table::LimitMode;
 
 /// A short run of a small Lodgeframe.
-fn plan(times: f64) -> ExperimentPlan {
+fn plan(load_factor: f64) -> ExperimentPlan {
     let mut profile = LoadProfile::new(ProfileKind::Lodgeframe);
     profile.engines = 4;
     ExperimentPlan {
         profile,
-        load_factor: times,
+        load_factor,
         window: Duration::from_secs(8),
         daemons: 2,
         policy: PolicyChoice::Weighted,
@@ -246,10 +246,10 @@
     let fault = FaultKind::PoisonRequest;
     let mut plan = ExperimentPlan { fault, window: Duration::from_secs(16), ..plan(0.7) };
     plan.profile.engines = 8;
-    let without = Some(MechanismSwitch::Quarantine);
+    let disabled_mechanism = Some(MechanismSwitch::Quarantine);
 
     let with = run_experiment(&plan);
-    let without = run_experiment(&ExperimentPlan { disabled_mechanism: without, ..plan.clone() });
+    let without = run_experiment(&ExperimentPlan { disabled_mechanism, ..plan.clone() });
 
     assert!(with.engine_crashes <= 4, "{} engines ended", with.engine_crashes);
     assert!(without.engine_crashes >= 3 * with.engine_crashes, "{}", without.engine_crashes);
