--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -56,7 +56,7 @@
     let mut summary = LoadSummary::of(&profile, &results);
     summary.prefill_tokens = testbed.ledger.computed_tokens();
     summary.wasted_tokens = testbed.ledger.wasted_tokens();
-    summary.most_dispatches = testbed.most_dispatches();
+    summary.max_dispatches = testbed.most_dispatches();
     super::print_line(&summary.grid());
     super::print_line(&format!(
         "a deadline of 1 ms: {refusal_outcome:?}; one booking sent twice: {booking_runs} run\n"
@@ -68,7 +68,7 @@
         wait_for_interrupt(&testbed, &profile).await;
     }
     testbed.stop().await;
-    match whole == expected && summary.broken() == 0 && has_run_once && is_refused {
+    match whole == expected && summary.violated_guarantees() == 0 && has_run_once && is_refused {
         true => Ok(()),
         false => Err(CommandError::Failed {
             detail: format!(
@@ -128,7 +128,7 @@
 async fn wait_for_interrupt(testbed: &LoadTestbed, profile: &LoadProfile) {
     let body = format!(
         r#"{{"model":"{}","stream":true,"max_tokens":12,"messages":[{{"role":"user","content":"hello"}}]}}"#,
-        profile.model
+        profile.model_service
     );
     super::print_line(&format!(
         "Example: curl -N -H 'Authorization: Bearer {}' -d '{body}' http://{}/v1/chat/completions\nInterrupt to stop.",
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -82,7 +82,7 @@
         true => super::print_json(&summary),
         false => super::print_line(&summary.grid()),
     }
-    match summary.broken() {
+    match summary.violated_guarantees() {
         0 => Ok(()),
         broken => Err(CommandError::Failed {
             detail: format!("{broken} violations of delivery or shedding guarantees"),
@@ -111,8 +111,8 @@
     let mut summary = LoadSummary::of(&profile, &results);
     summary.prefill_tokens = testbed.ledger.computed_tokens();
     summary.wasted_tokens = testbed.ledger.wasted_tokens();
-    summary.most_dispatches = testbed.most_dispatches();
-    summary.order_breaks =
+    summary.max_dispatches = testbed.most_dispatches();
+    summary.shed_order_violations =
         testbed.daemon.state.pools().values().map(|pool| pool.shed_order_violations()).sum();
     testbed.stop().await;
     Ok(summary)
@@ -236,7 +236,7 @@
             );
         }
         let mut services = Vec::new();
-        for _ in 0..profile.services {
+        for _ in 0..profile.plain_instances {
             services.push(start_plain(PlainShape::default()).await.map_err(failed)?);
         }
         let folder = tempfile::tempdir().map_err(failed)?;
--- a/src/experiment/plan.rs
+++ b/src/experiment/plan.rs
@@ -1,4 +1,4 @@
-//! What one experiment is.
+//! The definition of an experiment.
 
 use crate::load::{LoadProfile, PolicyChoice};
 use crate::policy::{PoolPlan, TierRank, TierShare};
@@ -7,128 +7,129 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Arrivals before the measured time, so that queues and learned numbers have settled.
+/// Time of arrivals before the measurement window, in which queues and learned values settle.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// Arrivals after the measured time, so that the last measured requests meet the same load as the first.
-const TAIL: Duration = Duration::from_secs(10);
-/// Bursts come this often, and last a fifth of that time.
+/// Time of arrivals after the measurement window, so that its last requests meet the same load as
+/// its first.
+const COOL_DOWN: Duration = Duration::from_secs(10);
+/// Time from the start of one burst to the next.
 const BURST_PERIOD: Duration = Duration::from_secs(5);
-/// A burst multiplies the rate; between bursts it is lower by as much, so that the mean stays.
-const BURST_FACTOR: f64 = 3.0;
-/// The part of the time that is burst.
-const BURST_PART: f64 = 0.2;
+/// Factor on the mean rate during a burst. Between bursts the rate is lowered to keep the mean.
+const BURST_RATE_FACTOR: f64 = 3.0;
+/// Length of a burst as a fraction of the burst period.
+const DUTY_CYCLE: f64 = 0.2;
 
-/// What goes wrong in the middle of the measured time.
+/// Fault injected during the measurement window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     None,
     /// One engine becomes three times slower.
     Straggler,
-    /// One engine dies with the work on it.
+    /// One engine crashes and loses its requests.
     LostEngine,
-    /// One engine says that it is leaving, and finishes what it has.
+    /// One engine announces that it is leaving, and finishes its requests.
     LeavingEngine,
     /// Arrivals come in bursts of three times the mean rate.
     Bursts,
-    /// A caller sends a request again and again under which each engine that begins to run it ends.
+    /// A caller repeatedly sends a request that crashes every engine that starts to run it.
     PoisonRequest,
 }
 
-/// A mechanism that is switched off, to see what it is worth.
+/// Mechanism disabled to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MechanismSwitch {
-    /// Prefix affinity: the least reported load instead.
+    /// Prefix affinity; replaced by placement on the least reported load.
     Affinity,
-    /// The learned limit: the number that was given instead.
+    /// The learned limit; replaced by the configured limit.
     LearnedLimit,
-    /// The refusal of requests whose deadline cannot be met.
+    /// Refusal of requests whose deadline cannot be met.
     DeadlineRefusal,
-    /// Shares of the engines' limits: every daemon uses the whole.
+    /// Shares of the engines' limits; every daemon uses the full limits instead.
     Shares,
-    /// Room at each engine for the highest tier alone.
+    /// Headroom at each engine that is reserved for the highest tier.
     Headroom,
-    /// The straggler's price in placement.
+    /// Penalty for stragglers in placement.
     StragglerRule,
-    /// The quarantine of requests under which engines end.
+    /// Quarantine of requests that engines crashed on.
     Quarantine,
 }
 
-/// One experiment.
+/// Parameters of an experiment.
 #[derive(Clone, Debug)]
 pub struct ExperimentPlan {
-    /// Whose requests and engines.
+    /// Requests and engines.
     pub profile: LoadProfile,
-    /// The rate as a multiple of the engines' capacity.
-    pub times: f64,
-    /// The measured time.
+    /// Request rate as a multiple of the engines' capacity.
+    pub load_factor: f64,
+    /// Length of the measurement window.
     pub window: Duration,
-    /// Daemons; arrivals are spread over them evenly at random.
+    /// Number of daemons; each arrival goes to one of them, uniformly at random.
     pub daemons: usize,
-    /// The daemons' policy.
+    /// Policy of the daemons.
     pub policy: PolicyChoice,
-    /// What is switched off.
-    pub without: Option<MechanismSwitch>,
-    /// What goes wrong.
+    /// Disabled mechanism.
+    pub disabled_mechanism: Option<MechanismSwitch>,
+    /// Injected fault.
     pub fault: FaultKind,
-    /// The seed of arrivals, lengths and choices.
+    /// Seed of the arrivals, request lengths and random choices.
     pub seed: u64,
 }
 
 impl ExperimentPlan {
-    /// Mean requests a second.
+    /// Mean request rate per second.
     pub fn rate(&self) -> f64 {
-        self.profile.capacity() * self.times
+        self.profile.capacity() * self.load_factor
     }
 
-    /// The time of all arrivals.
-    pub fn length(&self) -> Duration {
-        WARM_UP + self.window + TAIL
+    /// Time span of all arrivals.
+    pub fn arrival_span(&self) -> Duration {
+        WARM_UP + self.window + COOL_DOWN
     }
 
-    /// True if a request that arrives at `at` is measured.
-    pub fn measures(&self, at: Duration) -> bool {
+    /// True if a request arriving at `at` falls into the measurement window.
+    pub fn is_measured(&self, at: Duration) -> bool {
         (WARM_UP..WARM_UP + self.window).contains(&at)
     }
 
-    /// When the fault strikes.
-    pub fn fault_at(&self) -> Duration {
+    /// Time at which the fault is injected.
+    pub fn fault_start(&self) -> Duration {
         WARM_UP + self.window / 4
     }
 
-    /// When a fault that lasts is over.
+    /// Time at which a repeated fault ends.
     pub fn fault_end(&self) -> Duration {
         WARM_UP + self.window * 3 / 4
     }
 
-    /// Moves an arrival of an even stream into bursts. Within a period, the time that the mean rate
-    /// needs for a part of the arrivals is pressed together or drawn out.
-    pub fn arrival(&self, at: Duration) -> Duration {
+    /// Maps an arrival time of a stream without bursts to one with bursts, if the fault is bursts.
+    /// In each period, time is compressed for the arrivals of the burst and stretched for the rest.
+    pub fn burst_arrival(&self, at: Duration) -> Duration {
         if self.fault != FaultKind::Bursts {
             return at;
         }
         let period = BURST_PERIOD.as_secs_f64();
-        let whole = (at.as_secs_f64() / period).floor();
-        let part = at.as_secs_f64() / period - whole;
-        let in_burst = BURST_PART * BURST_FACTOR;
-        let moved = match part < in_burst {
-            true => part / BURST_FACTOR,
-            false => BURST_PART + (part - in_burst) * (1.0 - BURST_PART) / (1.0 - in_burst),
+        let period_idx = (at.as_secs_f64() / period).floor();
+        let phase = at.as_secs_f64() / period - period_idx;
+        let burst_share = DUTY_CYCLE * BURST_RATE_FACTOR;
+        let shifted = match phase < burst_share {
+            true => phase / BURST_RATE_FACTOR,
+            false => DUTY_CYCLE + (phase - burst_share) * (1.0 - DUTY_CYCLE) / (1.0 - burst_share),
         };
-        Duration::from_secs_f64((whole + moved) * period)
+        Duration::from_secs_f64((period_idx + shifted) * period)
     }
 
-    /// The model pool's plan under the policy, without what is switched off.
+    /// Plan of the model pool under the policy, without the disabled mechanism.
     pub fn pool_plan(&self) -> PoolPlan {
-        let row = self.profile.service(self.profile.model, ServiceKind::Model, self.policy);
+        let row = self.profile.service(self.profile.model_service, ServiceKind::Model, self.policy);
         let tiers = self.profile.classes.iter();
         let tiers: Vec<TierShare> = tiers
             .map(|class| TierShare { rank: TierRank(class.rank), weight: class.weight })
             .collect();
         let mut plan = PoolPlan::new(&row, &tiers);
-        match self.without {
+        match self.disabled_mechanism {
             Some(MechanismSwitch::Affinity) => plan.placement = PlacementMode::LeastReported,
             Some(MechanismSwitch::LearnedLimit) => plan.limit = LimitMode::Fixed,
             Some(MechanismSwitch::DeadlineRefusal) => plan.refuses_late = false,
--- a/src/load/profile.rs
+++ b/src/load/profile.rs
@@ -1,4 +1,4 @@
-//! Models of Lodgeframe's and Wrekin's requests: pure, from a seed.
+//! Load profiles: models of Lodgeframe's and Wrekin's requests, deterministic for a given seed.
 
 use crate::standin::EngineShape;
 use crate::table::{
@@ -13,20 +13,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of prompt per token, as the stand-in engine counts.
+/// Bytes of prompt per token, as in the stand-in engine.
 const BYTES_PER_TOKEN: usize = 4;
-/// Sequences in a batch when an engine is well used.
-const TYPICAL_BATCH: f64 = 32.0;
-/// The part of shared prompt tokens that a well-used cache holds.
-const TYPICAL_HITS: f64 = 0.5;
-/// Requests at an engine at once where nothing should bound them.
-const NO_LIMIT: u32 = 10_000;
-/// Every firm has this many organisations; the first are large.
-const ORGANISATIONS: usize = 5;
-/// Shares of requests by organisation.
-const ORGANISATION_SHARES: [f64; ORGANISATIONS] = [0.4, 0.3, 0.1, 0.1, 0.1];
+/// Number of sequences in the batch of a well-utilised engine.
+const TYPICAL_BATCH_SIZE: f64 = 32.0;
+/// Fraction of shared prompt tokens that a well-utilised prefix cache holds.
+const TYPICAL_CACHE_HIT_RATE: f64 = 0.5;
+/// Concurrency limit of an engine that is high enough to have no effect.
+const UNLIMITED_REQUESTS: u32 = 10_000;
+/// Number of organisations of each firm.
+const ORGANISATION_COUNT: usize = 5;
+/// Share of all requests by organisation; the first ones are the largest.
+const ORGANISATION_SHARES: [f64; ORGANISATION_COUNT] = [0.4, 0.3, 0.1, 0.1, 0.1];
 
-/// Whose requests.
+/// Firm whose requests are modelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProfileKind {
@@ -36,28 +36,28 @@
     Wrekin,
 }
 
-/// What kind of request.
+/// Kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
-    /// To the model, streamed.
+    /// Streamed request to the model service.
     Model,
-    /// To the plain service, repeatable.
+    /// Idempotent request to the plain service.
     Lookup,
-    /// To the plain service, with an idempotency key.
+    /// Request to the plain service with an idempotency key.
     Booking,
 }
 
-/// One class of requests, which is also a tier.
+/// A class of requests with a tier of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficClass {
-    /// The tier's name, and the purpose that callers give.
+    /// Name of the tier, which is also the purpose stated by callers.
     pub tier: &'static str,
-    /// The tier's rank.
+    /// Rank of the tier.
     pub rank: u8,
-    /// The tier's weight.
+    /// Weight of the tier.
     pub weight: u32,
-    /// What kind of request.
+    /// Kind of request.
     pub kind: RequestKind,
     /// Share of all requests.
     pub share: f64,
@@ -65,60 +65,61 @@
     pub prompt_tokens: f64,
     /// Median output tokens.
     pub output_tokens: f64,
-    /// Spread of lengths: the standard deviation of their logarithm.
-    pub spread: f64,
-    /// Prompts share their first part with others of the same template; how many templates there are.
-    pub templates: u64,
-    /// The part of a prompt that its template gives.
-    pub shared_part: f64,
-    /// The caller's deadline.
+    /// Standard deviation of the logarithm of the lengths.
+    pub length_sigma: f64,
+    /// Number of prompt templates; prompts of the same template share a prefix.
+    pub template_count: u64,
+    /// Fraction of a prompt that comes from its template.
+    pub shared_fraction: f64,
+    /// Deadline stated by the caller.
     pub deadline: Duration,
 }
 
-/// One firm's deployment and requests.
+/// Deployment and requests of a firm.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Whose.
+    /// The firm.
     pub kind: ProfileKind,
-    /// The model service's name.
-    pub model: &'static str,
-    /// The plain service's name.
-    pub plain: &'static str,
-    /// Engines.
+    /// Name of the model service.
+    pub model_service: &'static str,
+    /// Name of the plain service.
+    pub plain_service: &'static str,
+    /// Number of engines.
     pub engines: usize,
-    /// Instances of the plain service.
-    pub services: usize,
-    /// The engines' speed.
+    /// Number of instances of the plain service.
+    pub plain_instances: usize,
+    /// Speed and size of an engine.
     pub shape: EngineShape,
-    /// The number of requests per engine that the firm was given.
-    pub given_limit: u32,
-    /// Data centres.
+    /// Concurrency limit per engine as configured by the firm, in requests; the learned limit
+    /// starts from it.
+    pub configured_limit: u32,
+    /// Names of the data centres.
     pub data_centres: [&'static str; 3],
     /// Classes of requests.
     pub classes: Vec<TrafficClass>,
 }
 
-/// One request to be made.
+/// A request to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// Its number.
+    /// Number of the request within its plan.
     pub number: u64,
-    /// When, since the start.
+    /// Time of arrival, relative to the start.
     pub at: Duration,
-    /// Its class, by position.
+    /// Index of the class in the profile.
     pub class: usize,
-    /// Whose, by position.
+    /// Index of the organisation.
     pub organisation: usize,
     /// Prompt tokens.
     pub prompt_tokens: u32,
     /// Output tokens.
     pub output_tokens: u32,
-    /// Its template.
+    /// Number of the prompt template.
     pub template: u64,
 }
 
 impl LoadProfile {
-    /// The profile of a firm.
+    /// Creates the profile of a firm.
     pub fn new(kind: ProfileKind) -> Self {
         match kind {
             ProfileKind::Lodgeframe => lodgeframe(),
@@ -126,35 +127,36 @@
         }
     }
 
-    /// The bearer key of an organisation.
+    /// Returns the bearer key of an organisation.
     pub fn key(&self, organisation: usize) -> String {
-        format!("{}-org-{organisation}-key", self.model)
+        format!("{}-org-{organisation}-key", self.model_service)
     }
 
-    /// Mean engine time of a request in seconds, with well-filled batches and caches.
+    /// Mean engine time per request in seconds, with the typical batch and cache utilisation.
     fn engine_seconds(&self) -> f64 {
         let shape = &self.shape;
-        let per_token = shape.step_micros as f64 / TYPICAL_BATCH + shape.sequence_micros as f64;
-        let mean = |median: f64, spread: f64| median * (spread * spread / 2.0).exp();
+        let per_token =
+            shape.step_micros as f64 / TYPICAL_BATCH_SIZE + shape.sequence_micros as f64;
+        let mean = |median: f64, sigma: f64| median * (sigma * sigma / 2.0).exp();
         let models = self.classes.iter().filter(|class| class.kind == RequestKind::Model);
         let micros: f64 = models
             .map(|class| {
-                let prompt = mean(class.prompt_tokens, class.spread)
-                    * (1.0 - TYPICAL_HITS * class.shared_part);
+                let prompt = mean(class.prompt_tokens, class.length_sigma)
+                    * (1.0 - TYPICAL_CACHE_HIT_RATE * class.shared_fraction);
                 class.share
                     * (prompt * shape.prefill_micros as f64
-                        + mean(class.output_tokens, class.spread) * per_token)
+                        + mean(class.output_tokens, class.length_sigma) * per_token)
             })
             .sum();
         micros / 1e6
     }
 
-    /// Requests a second, of all kinds, that the engines can carry at most.
+    /// Maximum rate that the engines can sustain, in requests of all kinds per second.
     pub fn capacity(&self) -> f64 {
         self.engines as f64 / self.engine_seconds()
     }
 
-    /// Requests at `rate` a second for `length`, Poisson in time, from a seed.
+    /// Generates requests for the time `length` as a Poisson process of `rate` requests per second.
     pub fn plan(&self, rate: f64, length: Duration, seed: u64) -> Vec<PlannedRequest> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let Ok(gaps) = Exp::new(rate.max(1e-6)) else { return Vec::new() };
@@ -165,18 +167,19 @@
             if at >= length.as_secs_f64() {
                 return plan;
             }
-            let request = self.request(plan.len() as u64, Duration::from_secs_f64(at), &mut rng);
+            let request =
+                self.sample_request(plan.len() as u64, Duration::from_secs_f64(at), &mut rng);
             plan.push(request);
         }
     }
 
-    fn request(&self, number: u64, at: Duration, rng: &mut ChaCha8Rng) -> PlannedRequest {
-        let class_index = pick(rng.random(), self.classes.iter().map(|class| class.share));
-        let class = &self.classes[class_index];
-        let organisation = pick(rng.random(), ORGANISATION_SHARES.into_iter());
+    fn sample_request(&self, number: u64, at: Duration, rng: &mut ChaCha8Rng) -> PlannedRequest {
+        let class_idx = pick_by_share(rng.random(), self.classes.iter().map(|class| class.share));
+        let class = &self.classes[class_idx];
+        let organisation = pick_by_share(rng.random(), ORGANISATION_SHARES.into_iter());
         let length = |median: f64, rng: &mut ChaCha8Rng| match LogNormal::new(
             median.max(1.0).ln(),
-            class.spread,
+            class.length_sigma,
         ) {
             Ok(lengths) => lengths.sample(rng).clamp(1.0, median * 8.0) as u32,
             Err(_) => median as u32,
@@ -184,29 +187,35 @@
         PlannedRequest {
             number,
             at,
-            class: class_index,
+            class: class_idx,
             organisation,
             prompt_tokens: length(class.prompt_tokens, rng).max(8),
             output_tokens: length(class.output_tokens, rng).max(1),
-            template: rng.random_range(0..class.templates.max(1)),
+            template: rng.random_range(0..class.template_count.max(1)),
         }
     }
 
-    /// The prompt of a request: its template's text, then its own, ending in its nonce.
+    /// Builds the prompt of a request: the text of its template, then its own text and its nonce.
     pub fn prompt(&self, request: &PlannedRequest, seed: u64) -> String {
         let class = &self.classes[request.class];
         let bytes = request.prompt_tokens as usize * BYTES_PER_TOKEN;
-        let shared = (bytes as f64 * class.shared_part) as usize;
-        let mut text = filler(&format!("{} template {} ", class.tier, request.template), shared);
+        let shared_bytes = (bytes as f64 * class.shared_fraction) as usize;
+        let mut text = repeat_to_length(
+            &format!("{} template {} ", class.tier, request.template),
+            shared_bytes,
+        );
         let nonce = nonce(request, seed);
-        let own = bytes.saturating_sub(text.len() + nonce.len() + 1);
-        text.push_str(&filler(&format!("request {} of {seed} ", request.number), own));
+        let own_bytes = bytes.saturating_sub(text.len() + nonce.len() + 1);
+        text.push_str(&repeat_to_length(
+            &format!("request {} of {seed} ", request.number),
+            own_bytes,
+        ));
         text.push(' ');
         text.push_str(&nonce);
         text
     }
 
-    /// The firm's table, with upstreams at the given addresses.
+    /// Builds the firm's table with upstreams at the given addresses.
     pub fn table(
         &self,
         engines: &[SocketAddr],
@@ -218,7 +227,7 @@
             rank: class.rank,
             weight: class.weight,
         });
-        let organisations = (0..ORGANISATIONS).map(|organisation| OrganisationRow {
+        let organisations = (0..ORGANISATION_COUNT).map(|organisation| OrganisationRow {
             organisation: format!("org-{organisation}").as_str().into(),
             key_digests: vec![KeyDigest::of(&self.key(organisation))],
             weight: 1,
@@ -244,17 +253,17 @@
         let engines = engines
             .iter()
             .enumerate()
-            .map(|(number, address)| upstream(self.model, number, address));
+            .map(|(number, address)| upstream(self.model_service, number, address));
         let services = services
             .iter()
             .enumerate()
-            .map(|(number, address)| upstream(self.plain, number, address));
+            .map(|(number, address)| upstream(self.plain_service, number, address));
         OperatorTable {
             tiers: tiers.collect(),
             organisations: organisations.collect(),
             services: vec![
-                self.service(self.model, ServiceKind::Model, choice),
-                self.service(self.plain, ServiceKind::Plain, choice),
+                self.service(self.model_service, ServiceKind::Model, choice),
+                self.service(self.plain_service, ServiceKind::Plain, choice),
             ],
             assignments: assignments.collect(),
             upstreams: engines.chain(services).collect(),
@@ -262,12 +271,12 @@
         }
     }
 
-    /// A service's row under the policy.
+    /// Builds the row of a service under a policy.
     pub fn service(&self, name: &str, kind: ServiceKind, choice: PolicyChoice) -> ServiceRow {
         let lowest =
             self.classes.iter().max_by_key(|class| class.rank).map_or("", |class| class.tier);
         let is_model = kind == ServiceKind::Model;
-        let (queue, placement, limit) = choice.choices();
+        let (queue, placement, limit) = choice.modes();
         ServiceRow {
             service: name.into(),
             kind,
@@ -275,7 +284,7 @@
             default_tier: lowest.into(),
             deadline_ms: Duration::from_secs(30),
             silence_ms: Duration::from_millis(2_000),
-            first_guess: if is_model { choice.first_guess(self.given_limit) } else { 32 },
+            first_guess: if is_model { choice.initial_limit(self.configured_limit) } else { 32 },
             token_gap_ms: Duration::from_millis(63),
             first_token_ms: Duration::from_millis(750),
             body_limit: 1 << 20,
@@ -293,26 +302,26 @@
     }
 }
 
-/// Which policy a run uses: ours, or a baseline.
+/// Policy of a run: Tarragonknot's own, or a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyChoice {
     /// Weighted queue, affinity placement, learned limit.
     Weighted,
-    /// First in, first out; least reported load; the given limit.
+    /// First in, first out; least reported load; the configured limit.
     Fifo,
-    /// First in, first out; each engine in turn; the given limit.
+    /// First in, first out; round-robin placement; the configured limit.
     RoundRobin,
-    /// First in, first out; least reported load; no limit to speak of.
+    /// First in, first out; least reported load; no effective limit.
     LeastReported,
 }
 
 impl PolicyChoice {
-    fn first_guess(self, given: u32) -> u32 {
-        if self == PolicyChoice::LeastReported { NO_LIMIT } else { given }
+    fn initial_limit(self, configured: u32) -> u32 {
+        if self == PolicyChoice::LeastReported { UNLIMITED_REQUESTS } else { configured }
     }
 
-    fn choices(self) -> (QueueDiscipline, PlacementMode, LimitMode) {
+    fn modes(self) -> (QueueDiscipline, PlacementMode, LimitMode) {
         match self {
             PolicyChoice::Weighted => {
                 (QueueDiscipline::Weighted, PlacementMode::Affinity, LimitMode::Learned)
@@ -327,21 +336,21 @@
     }
 }
 
-/// The word that every piece of a request's answer must repeat.
+/// Returns the word that every piece of the answer to a request must repeat.
 pub fn nonce(request: &PlannedRequest, seed: u64) -> String {
     format!("n{seed:x}x{:x}", request.number)
 }
 
-fn filler(phrase: &str, bytes: usize) -> String {
+fn repeat_to_length(phrase: &str, bytes: usize) -> String {
     phrase.chars().cycle().take(if phrase.is_empty() { 0 } else { bytes }).collect()
 }
 
-fn pick(at: f64, shares: impl Iterator<Item = f64>) -> usize {
+fn pick_by_share(at: f64, shares: impl Iterator<Item = f64>) -> usize {
     let mut sum = 0.0;
     let mut last = 0;
-    for (position, share) in shares.enumerate() {
+    for (idx, share) in shares.enumerate() {
         sum += share;
-        last = position;
+        last = idx;
         if at < sum {
             break;
         }
@@ -365,9 +374,9 @@
         share,
         prompt_tokens: tokens.0,
         output_tokens: tokens.1,
-        spread: 0.5,
-        templates: 24,
-        shared_part: 0.6,
+        length_sigma: 0.5,
+        template_count: 24,
+        shared_fraction: 0.6,
         deadline: Duration::from_secs(deadline_s),
     }
 }
@@ -387,23 +396,23 @@
         share,
         prompt_tokens: 16.0,
         output_tokens: 1.0,
-        spread: 0.1,
-        templates: 1,
-        shared_part: 0.0,
+        length_sigma: 0.1,
+        template_count: 1,
+        shared_fraction: 0.0,
         deadline: Duration::from_secs(2),
     }
 }
 
-/// 12 engines at a 6 ms step and 3 services; long inventories weigh most.
+/// 12 engines with a step time of 6 ms and 3 plain instances; inventories have the highest weight.
 fn lodgeframe() -> LoadProfile {
     LoadProfile {
         kind: ProfileKind::Lodgeframe,
-        model: "pack-llm",
-        plain: "pack-api",
+        model_service: "pack-llm",
+        plain_service: "pack-api",
         engines: 12,
-        services: 3,
+        plain_instances: 3,
         shape: EngineShape::with_step(6_000),
-        given_limit: 50,
+        configured_limit: 50,
         data_centres: ["hall-a", "hall-b", "hall-c"],
         classes: vec![
             model_class("inventory", 0, 70, 0.02, (3_000.0, 300.0), 20),
@@ -415,16 +424,16 @@
     }
 }
 
-/// 18 engines at a 4 ms step and 3 services; proposals weigh most.
+/// 18 engines with a step time of 4 ms and 3 plain instances; proposals have the highest weight.
 fn wrekin() -> LoadProfile {
     LoadProfile {
         kind: ProfileKind::Wrekin,
-        model: "tk-infer",
-        plain: "booking-api",
+        model_service: "tk-infer",
+        plain_service: "booking-api",
         engines: 18,
-        services: 3,
+        plain_instances: 3,
         shape: EngineShape::with_step(4_000),
-        given_limit: 60,
+        configured_limit: 60,
         data_centres: ["brum-a", "brum-b", "cov-1"],
         classes: vec![
             model_class("proposal", 0, 70, 0.04, (2_000.0, 350.0), 15),
--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! Sums up a run: goodput by tier, refusals by kind, times as HDR histograms.
+//! Summary of a run: goodput by tier, refusals by kind, and times from HDR histograms.
 
 use super::caller::{CallOutcome, CallResult};
 use super::profile::{LoadProfile, PlannedRequest};
@@ -8,50 +8,52 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One tier's results.
+/// Results of one tier.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TierSummary {
-    /// The tier.
+    /// Name of the tier.
     pub tier: String,
-    /// Requests made.
+    /// Number of requests sent.
     pub offered: u64,
-    /// Whole answers within the deadline.
+    /// Complete answers within the deadline.
     pub good: u64,
-    /// Whole answers after the deadline.
+    /// Complete answers after the deadline.
     pub late: u64,
     /// Refusals by kind.
     pub refused: BTreeMap<String, u64>,
-    /// Visibly cut answers, and calls without any answer.
+    /// Answers that were visibly cut off, and calls without an answer.
     pub cut: u64,
-    /// Answers that were doubled, crossed, or truncated as if complete. Must be 0.
+    /// Answers that were duplicated, crossed, or truncated without a visible error. Must be 0.
     pub wrong: u64,
-    /// Percentiles of the time to the first piece, in milliseconds: 50, 95, 99.
+    /// 50th, 95th and 99th percentile of the time to the first piece, in milliseconds.
     pub first_ms: [f64; 3],
-    /// Percentiles of the time between pieces, in milliseconds: 50, 95, 99.
+    /// 50th, 95th and 99th percentile of the mean time between pieces, in milliseconds.
     pub gap_ms: [f64; 3],
-    /// Percentiles of the whole time, in milliseconds: 50, 95, 99.
+    /// 50th, 95th and 99th percentile of the total time of complete answers, in milliseconds.
     pub total_ms: [f64; 3],
 }
 
-/// A run's results.
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadSummary {
-    /// By tier, highest first.
+    /// Results by tier, highest first.
     pub tiers: Vec<TierSummary>,
-    /// Prompt tokens that engines computed.
+    /// Prompt tokens computed by engines.
     pub prefill_tokens: u64,
-    /// Of these, computed again or thrown away.
+    /// Of these, tokens computed repeatedly or discarded.
     pub wasted_tokens: u64,
-    /// Higher-tier requests shed while a lower tier of the same pool was admitted later in the same
-    /// episode. Must be 0.
-    pub order_breaks: u64,
-    /// The largest number of dispatches of one request. Must be at most 1.
-    pub most_dispatches: u32,
+    /// Violations of the shedding order: higher-tier requests that were shed although a lower
+    /// tier of the same pool was admitted later in the same overload. Must be 0.
+    #[serde(rename = "order_breaks")]
+    pub shed_order_violations: u64,
+    /// Largest number of dispatches of one request. Must be at most 1.
+    #[serde(rename = "most_dispatches")]
+    pub max_dispatches: u32,
 }
 
 #[derive(Debug)]
 struct TierTimes {
-    first: Histogram<u64>,
+    first_piece: Histogram<u64>,
     gap: Histogram<u64>,
     total: Histogram<u64>,
 }
@@ -59,11 +61,11 @@
 impl TierTimes {
     fn new() -> Self {
         let histogram = || Histogram::new(3).expect("three digits are allowed");
-        TierTimes { first: histogram(), gap: histogram(), total: histogram() }
+        TierTimes { first_piece: histogram(), gap: histogram(), total: histogram() }
     }
 }
 
-fn note(histogram: &mut Histogram<u64>, time: Option<Duration>) {
+fn record_time(histogram: &mut Histogram<u64>, time: Option<Duration>) {
     if let Some(time) = time {
         // The histogram grows as needed, so recording cannot fail.
         let _ = histogram.record(time.as_micros() as u64);
@@ -75,22 +77,22 @@
 }
 
 impl LoadSummary {
-    /// Sums up the results of planned requests.
+    /// Summarises the results of planned requests.
     pub fn of(profile: &LoadProfile, results: &[(PlannedRequest, CallResult)]) -> Self {
         let mut tiers = Vec::new();
-        for (position, class) in profile.classes.iter().enumerate() {
+        for (class_idx, class) in profile.classes.iter().enumerate() {
             let mut summary = TierSummary { tier: class.tier.to_owned(), ..TierSummary::default() };
             let mut times = TierTimes::new();
-            for (_, result) in results.iter().filter(|(planned, _)| planned.class == position) {
-                summary.count(result, class.deadline);
-                note(&mut times.first, result.first);
-                note(&mut times.gap, result.gap);
-                note(
+            for (_, result) in results.iter().filter(|(planned, _)| planned.class == class_idx) {
+                summary.record(result, class.deadline);
+                record_time(&mut times.first_piece, result.time_to_first_piece);
+                record_time(&mut times.gap, result.mean_gap);
+                record_time(
                     &mut times.total,
                     Some(result.total).filter(|_| result.outcome == CallOutcome::Whole),
                 );
             }
-            summary.first_ms = percentiles(&times.first);
+            summary.first_ms = percentiles(&times.first_piece);
             summary.gap_ms = percentiles(&times.gap);
             summary.total_ms = percentiles(&times.total);
             tiers.push(summary);
@@ -98,14 +100,14 @@
         LoadSummary { tiers, ..LoadSummary::default() }
     }
 
-    /// Answers that break a promise.
-    pub fn broken(&self) -> u64 {
+    /// Number of violated guarantees.
+    pub fn violated_guarantees(&self) -> u64 {
         self.tiers.iter().map(|tier| tier.wrong).sum::<u64>()
-            + self.order_breaks
-            + u64::from(self.most_dispatches > 1)
+            + self.shed_order_violations
+            + u64::from(self.max_dispatches > 1)
     }
 
-    /// The summary as an aligned table.
+    /// Formats the summary as an aligned table.
     pub fn grid(&self) -> String {
         let mut grid = Table::new();
         grid.load_preset(presets::UTF8_HORIZONTAL_ONLY);
@@ -140,13 +142,16 @@
         let share = 100.0 * self.wasted_tokens as f64 / self.prefill_tokens.max(1) as f64;
         format!(
             "{grid}\nprefill tokens {}, wasted {} ({share:.1} %); most dispatches of one request {}; order breaks {}",
-            self.prefill_tokens, self.wasted_tokens, self.most_dispatches, self.order_breaks
+            self.prefill_tokens,
+            self.wasted_tokens,
+            self.max_dispatches,
+            self.shed_order_violations
         )
     }
 }
 
 impl TierSummary {
-    fn count(&mut self, result: &CallResult, deadline: Duration) {
+    fn record(&mut self, result: &CallResult, deadline: Duration) {
         self.offered += 1;
         match &result.outcome {
             CallOutcome::Whole if result.total <= deadline => self.good += 1,
