--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Drivers for upstreams, behind trait objects: model engines and plain services.
+//! Upstream drivers, used as trait objects: one for model engines and one for plain services.
 
 mod connection;
 mod engine;
@@ -24,103 +24,105 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The header that carries a request's id to an upstream and back.
+/// Header with the request id, sent to the upstream and echoed in its answer.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// One request as it goes to an upstream.
+/// A request to an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamCall {
-    /// The daemon's id for the request; the upstream echoes it.
+    /// Request id assigned by the daemon and echoed by the upstream.
     pub id: Arc<str>,
     /// HTTP method.
     pub method: Method,
-    /// Path and query at the upstream.
+    /// Path and query.
     pub uri: Uri,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// True if the caller wants a stream of events.
+    /// True if the caller asked for a stream of server-sent events.
     pub wants_stream: bool,
-    /// True if repeating the request is harmless.
+    /// True if the request may safely be sent more than once.
     pub is_idempotent: bool,
 }
 
 impl UpstreamCall {
-    /// How long a kept connection may have been idle that carries this call: one that went silent swallows it,
-    /// and only idempotent work may then be sent again.
+    /// Returns the longest idle time after which a pooled connection may carry this call. It is
+    /// zero for a request that is not idempotent: a dead connection would lose it, and it could not
+    /// be sent again.
     fn most_idle(&self) -> std::time::Duration {
         if self.is_idempotent { PROVEN_ALIVE } else { std::time::Duration::ZERO }
     }
 }
 
-/// The head of an upstream's answer.
+/// Status and headers of an upstream's answer.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The request id that the answer carries.
+    /// Request id echoed in the answer.
     pub echo: Option<String>,
-    /// A load report that came with the answer.
+    /// Load report in the answer's headers.
     pub report: Option<LoadReport>,
 }
 
-/// One read from an answer.
+/// Result of reading from an answer.
 #[derive(Clone, Debug)]
 pub enum PieceRead {
-    /// A piece.
+    /// The next piece.
     Piece(AnswerPiece),
-    /// The answer's own end mark or declared length was reached.
+    /// The answer is complete: its end marker or declared length was reached.
     Ended {
-        /// Prompt tokens as the engine counted them.
+        /// Number of prompt tokens reported by the engine.
         prompt_tokens: Option<u32>,
-        /// Bytes of the end mark, for the caller; empty where the body's own end is the mark.
+        /// End marker to forward to the caller; empty if the end of the body marks the end.
         end_mark: Bytes,
     },
-    /// The connection ended before the answer did.
+    /// The connection ended before the answer was complete.
     Cut,
 }
 
 /// A piece of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerPiece {
-    /// Its number, counted from 1.
+    /// Sequence number, starting at 1.
     pub sequence: u64,
-    /// Bytes for the caller.
+    /// Bytes to forward to the caller.
     pub bytes: Bytes,
-    /// The request id that the piece carries.
+    /// Request id echoed in the piece.
     pub echo: Option<String>,
-    /// Output tokens in it.
+    /// Number of output tokens.
     pub tokens: u32,
 }
 
-/// Where the pieces of one answer come from.
+/// Source of the pieces of one answer.
 pub trait PieceSource: Send {
-    /// The next read; must not be called again after `Ended` or `Cut`. Cancel-safe: a dropped future
-    /// loses no piece.
+    /// Reads the next piece. Must not be called again after `Ended` or `Cut`. Cancel-safe: dropping
+    /// the future loses no piece.
     fn next(&mut self) -> BoxFuture<'_, PieceRead>;
 }
 
 /// An answer being read.
 pub struct AnswerStream {
-    /// Its head.
+    /// Status and headers.
     pub head: AnswerHead,
-    /// Its pieces.
+    /// Source of the body's pieces.
     pub pieces: Box<dyn PieceSource>,
 }
 
-/// How the daemon talks to one kind of upstream.
+/// Protocol of one kind of upstream.
 pub trait UpstreamDriver: Send + Sync {
-    /// Sends a request; the only function that dispatches.
+    /// Dispatches a request. No other function starts work on an upstream.
     fn open<'a>(
         &'a self,
         call: &'a UpstreamCall,
         address: SocketAddr,
     ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>>;
 
-    /// Attaches to a dispatched request's answer on a new connection, after piece `after`.
+    /// Continues reading the answer to a dispatched request on a new connection, after piece
+    /// `after`.
     fn resume<'a>(
         &'a self,
         call: &'a UpstreamCall,
@@ -128,17 +130,17 @@
         after: u64,
     ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>>;
 
-    /// Asks the upstream to stop working on a request; best effort.
+    /// Asks the upstream to cancel a request. Failures are ignored.
     fn cancel<'a>(&'a self, call: &'a UpstreamCall, address: SocketAddr) -> BoxFuture<'a, ()>;
 
     /// Polls a load report.
     fn report(&self, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>>;
 
-    /// True if a connection can be opened; for upstreams that could not be reached before.
+    /// Returns whether a connection can be opened; used for upstreams that were unreachable.
     fn probe(&self, address: SocketAddr) -> BoxFuture<'_, bool> {
         Box::pin(connection::can_connect(address))
     }
 
-    /// True if answers can be resumed and work cancelled.
+    /// Returns whether answers can be resumed and requests cancelled.
     fn can_resume(&self) -> bool;
 }
