--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,11 +1,11 @@
-//! Connections to upstreams, HTTP/1.1, one exchange at a time.
+//! Pool of HTTP/1.1 connections to upstreams, each with one exchange at a time.
 //!
-//! What goes wrong with ordinary pooling: a connection idle for long has been forgotten by something
-//! in between and swallows the request; a connection whose exchange was abandoned delivers the late
-//! answer to the next caller. One would notice by requests that hang although new connections work,
-//! or by an echoed id of another request. So an idle connection is used again only within
-//! [`PROVEN_ALIVE`] of its last complete answer, never for a non-idempotent request, and a connection
-//! returns to the pool only after its answer was read to the end.
+//! Two failures of ordinary pooling are avoided. A middlebox may have dropped the state of a
+//! connection that was idle for long; a request sent on it then hangs, although new connections
+//! work. And a connection whose exchange was abandoned may deliver the late answer to the next
+//! caller, which shows as the echoed id of another request. An idle connection is therefore reused
+//! only within [`PROVEN_ALIVE`] of its last complete answer and never for a request that is not
+//! idempotent, and a connection returns to the pool only after its answer was read to the end.
 
 use crate::chart::{ChartMachine, StateChart};
 use crate::chart_names;
@@ -23,18 +23,17 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A connection that ended a whole answer this recently counts as proven alive.
+/// Maximum time since its last complete answer after which a connection may be reused.
 pub const PROVEN_ALIVE: Duration = Duration::from_millis(1_000);
-/// An upstream that closes idle connections after some time may do so a little sooner by our clock: the request
-/// under way then would be lost.
+/// Safety margin before the upstream's idle timeout. By the daemon's clock the upstream may close
+/// the connection slightly early, which would lose a request in transit.
 const CLOSING_MARGIN: Duration = Duration::from_millis(500);
-/// Opening a connection takes at most this long.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Idle connections kept for each address.
+/// Maximum number of idle connections for each address.
 const IDLE_LIMIT: usize = 64;
 
 chart_names! {
-    /// Where a connection is.
+    /// State of a connection.
     ConnectionState {
         /// Being opened.
         Opening,
@@ -42,33 +41,33 @@
         Busy,
         /// In the pool.
         Idle,
-        /// Never used again.
+        /// Closed; not used again.
         Closed,
     }
 }
 
 chart_names! {
-    /// What happens to a connection.
+    /// Event on a connection.
     ConnectionEvent {
-        /// It is open.
+        /// The connection was established.
         Opened,
-        /// It failed.
+        /// The connection failed.
         Failed,
         /// Its answer was read to the end.
         Finished,
-        /// Its exchange was given up.
+        /// Its exchange was abandoned before the end of the answer.
         Abandoned,
         /// It was taken from the pool.
         Taken,
-        /// It was idle for too long.
+        /// It was idle for too long to be reused.
         Stale,
     }
 }
 
 chart_names! {
-    /// What the pool does.
+    /// Action of the pool on a transition.
     ConnectionAction {
-        /// Put the connection into the pool.
+        /// Return the connection to the pool.
         Keep,
     }
 }
@@ -81,22 +80,22 @@
         .expect("charts/connection.json is checked by a test")
 });
 
-/// The connection chart, loaded once.
+/// Returns the state chart of connections, loaded on first use.
 pub fn connection_chart() -> &'static ConnectionChart {
     &CHART
 }
 
-/// Why no answer's head came.
+/// Error of a request that received no answer head.
 #[derive(Debug, Snafu)]
 pub enum OpenFault {
-    /// Provably no byte was sent.
+    /// No byte of the request was sent.
     #[snafu(display("nothing was sent: {detail}"))]
     NotSent {
         /// What happened.
         detail: String,
     },
-    /// Something may have been sent.
-    #[snafu(display("sent, but no answer: {detail}"))]
+    /// The request may have been sent, in whole or in part.
+    #[snafu(display("sent, but no answer received: {detail}"))]
     Lost {
         /// What happened.
         detail: String,
@@ -108,7 +107,7 @@
     machine: ConnectionMachine,
     address: SocketAddr,
     idle_since: Instant,
-    /// How long the upstream keeps it open while idle, as it said last.
+    /// Idle timeout last announced by the upstream.
     kept_for: Option<Duration>,
     task: AbortHandle,
 }
@@ -119,26 +118,26 @@
     }
 }
 
-/// Idle connections by address.
+/// Pool of idle connections, keyed by address.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<OpenConnection>>>,
 }
 
-/// A connection carrying one exchange. Dropped before [`ConnectionGuard::finish`], it closes.
+/// A connection in use by one exchange. It is closed if dropped before [`ConnectionGuard::finish`].
 pub struct ConnectionGuard {
     pool: Arc<ConnectionPool>,
     connection: Option<OpenConnection>,
 }
 
 impl ConnectionGuard {
-    /// Notes how long the upstream will keep the connection open while idle.
+    /// Sets the idle timeout announced by the upstream.
     pub fn kept_for(mut self, time: Option<Duration>) -> Self {
         self.connection.iter_mut().for_each(|connection| connection.kept_for = time);
         self
     }
 
-    /// The answer was read to the end: the connection may be used again.
+    /// Returns the connection to the pool, after its answer was read to the end.
     pub fn finish(mut self) {
         let Some(mut connection) = self.connection.take() else { return };
         let actions = connection.machine.step(ConnectionEvent::Finished);
@@ -166,7 +165,8 @@
         }
     }
 
-    /// An idle connection proven alive, the latest used first; older ones are closed.
+    /// Takes the most recently used idle connection. If that one was idle for too long, it and all
+    /// others of the address, which are older, are closed.
     fn take(&self, address: SocketAddr, most_idle: Duration) -> Option<OpenConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
@@ -210,8 +210,8 @@
         })
     }
 
-    /// Sends a request and waits for the answer's head. A kept connection is used if it was idle for at most
-    /// `most_idle`; zero rules all out.
+    /// Sends a request and waits for the head of the answer. A pooled connection is used if it was
+    /// idle for at most `most_idle`; zero always opens a new connection.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -244,7 +244,7 @@
         let guard = ConnectionGuard { pool: Arc::clone(self), connection: Some(connection) };
         match answer.await {
             Ok(response) => Ok((response, guard)),
-            // The library gives the request back only if it never began to write it.
+            // hyper returns the request only if it has not begun to write it.
             Err(mut error) => {
                 let unsent = error.take_message().map(Box::new);
                 Err(SendFault { unsent, detail: error.error().to_string() })
@@ -253,13 +253,14 @@
     }
 }
 
-/// True if a connection to `address` opens in time.
+/// Returns whether a connection to `address` opens within the timeout.
 pub async fn can_connect(address: SocketAddr) -> bool {
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(opened, Ok(Ok(_)))
 }
 
 struct SendFault {
+    /// The request, if nothing of it was written.
     unsent: Option<Box<Request<Full<Bytes>>>>,
     detail: String,
 }
