--- a/src/upstream/engine.rs
+++ b/src/upstream/engine.rs
@@ -1,8 +1,9 @@
-//! The driver for model engines: the chat and completions JSON shape, streamed as server-sent events
-//! (WHATWG HTML, section 9.2) or whole.
+//! Driver for model engines with the chat and completions JSON API. Answers are server-sent events
+//! (WHATWG HTML, section 9.2) or one complete JSON document.
 //!
-//! Resume and cancel go by request id: `GET /v1/requests/ID` with `Last-Event-ID`, and `DELETE` of
-//! the same. Every event carries its number as the event id and the request's id in its JSON.
+//! Requests are resumed and cancelled by id: `GET /v1/requests/ID` with `Last-Event-ID`, and
+//! `DELETE` on the same path. Each event has its sequence number as event id and the request id in
+//! its JSON.
 
 use super::connection::{ConnectionGuard, ConnectionPool, OpenFault};
 use super::plain::{answer_head, poll_report, upstream_request};
@@ -21,14 +22,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest whole answer, in bytes.
+/// Maximum size of an answer that is not streamed, in bytes.
 const WHOLE_LIMIT: usize = 16 << 20;
-/// A cancel takes at most this long.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The data of the last event of a stream.
+/// Data of the last event of a stream.
 const END_MARK: &str = "[DONE]";
 
-/// The parts of an answer or chunk that the daemon reads.
+/// Fields of an answer or of a streamed chunk that the daemon reads.
 #[derive(Debug, Deserialize)]
 struct ChunkFields {
     #[serde(default)]
@@ -45,17 +45,18 @@
     completion_tokens: u32,
 }
 
-/// The driver for model engines.
+/// Driver for model engines.
 pub struct EngineDriver {
     connections: Arc<ConnectionPool>,
 }
 
 impl EngineDriver {
-    /// A driver over shared connections.
+    /// Creates a driver that uses the pool `connections`.
     pub fn new(connections: Arc<ConnectionPool>) -> Self {
         EngineDriver { connections }
     }
 
+    /// Builds a request without a body for the resource of a dispatched call.
     fn about(
         call: &UpstreamCall,
         address: SocketAddr,
@@ -115,7 +116,10 @@
             let (response, guard) = self.connections.send(address, request, Duration::ZERO).await?;
             match response.status() {
                 StatusCode::NOT_FOUND | StatusCode::GONE => Err(OpenFault::Lost {
-                    detail: format!("the engine answers {} to resume", response.status()),
+                    detail: format!(
+                        "the engine answered {} to the resume request",
+                        response.status()
+                    ),
                 }),
                 _ => Ok(read_answer(response, guard)),
             }
@@ -149,8 +153,9 @@
 }
 
 impl EventPieces {
-    /// The end mark is the answer's end; what follows on the connection is only the body's own end,
-    /// and the connection goes back to the pool only if that comes at once.
+    /// Releases the connection after the end marker. Only the end of the body may follow the
+    /// marker; the connection returns to the pool if that arrives within 20 ms and is closed
+    /// otherwise.
     async fn finish(&mut self) {
         let rest = tokio::time::timeout(Duration::from_millis(20), self.events.next()).await;
         if matches!(rest, Ok(None)) {
@@ -189,7 +194,7 @@
     }
 }
 
-/// A whole answer, read to its end before it counts as a piece.
+/// An answer that is not streamed. It is read to its end and returned as one piece.
 struct WholePiece {
     answer: Option<Response<Incoming>>,
     guard: Option<ConnectionGuard>,
