--- a/src/upstream/orca.rs
+++ b/src/upstream/orca.rs
@@ -1,14 +1,14 @@
-//! Load reports in the published ORCA format (Open Request Cost Aggregation, the `xds.data.orca.v3`
-//! report), as a response header or as polled JSON.
+//! Parses load reports in the ORCA format (Open Request Cost Aggregation, `xds.data.orca.v3`), from
+//! a response header or a polled JSON document.
 
 use crate::policy::LoadReport;
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// The response header of a report; its value begins with `JSON` or `TEXT`.
+/// Response header with a load report; its value begins with `JSON` or `TEXT`.
 pub const ORCA_HEADER: &str = "endpoint-load-metrics";
 
-/// The parts of an ORCA report that we use; others are passed over.
+/// Fields of an ORCA report that are used; other fields are ignored.
 #[derive(Debug, Default, Deserialize)]
 struct OrcaReport {
     #[serde(default)]
@@ -26,13 +26,14 @@
     }
 }
 
-/// Reads a polled report.
+/// Parses a polled report.
 pub fn parse_orca_json(text: &[u8]) -> Option<LoadReport> {
     let report: OrcaReport = serde_json::from_slice(text).ok()?;
     Some(from_metrics(&report.named_metrics))
 }
 
-/// Reads the header's value, in its JSON or its text form (`TEXT named_metrics.running=3, ...`).
+/// Parses the header's value in its JSON form or its text form
+/// (`TEXT named_metrics.running=3, ...`).
 pub fn parse_orca_header(value: &str) -> Option<LoadReport> {
     if let Some(json) = value.strip_prefix("JSON ") {
         return parse_orca_json(json.as_bytes());
