--- a/src/upstream/plain.rs
+++ b/src/upstream/plain.rs
@@ -1,4 +1,4 @@
-//! The driver for plain HTTP services: any method and path, bodies passed through.
+//! Driver for plain HTTP services. Any method and path is accepted; bodies are forwarded unchanged.
 
 use super::connection::{ConnectionGuard, ConnectionPool, OpenFault, PROVEN_ALIVE};
 use super::orca::{ORCA_HEADER, parse_orca_header, parse_orca_json};
@@ -18,17 +18,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A polled report takes at most this long.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Where reports are polled.
+/// Path of the polled load report.
 const REPORT_PATH: &str = "/load";
-/// Largest polled report, in bytes.
+/// Maximum size of a polled report, in bytes.
 const REPORT_LIMIT: usize = 64 * 1024;
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) and are not passed on.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded, and `Host`, which is set
+/// anew.
 const HOP_HEADERS: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, HOST];
 
-/// Copies the headers that may be passed on.
+/// Copies the end-to-end headers, without hop-by-hop headers and those named in `Connection`.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// Builds the request that goes to the upstream.
+/// Builds the HTTP request for the upstream.
 pub fn upstream_request(
     call: &UpstreamCall,
     address: SocketAddr,
@@ -71,7 +71,7 @@
     Ok(request)
 }
 
-/// Reads the parts of an answer's head that the daemon needs.
+/// Extracts the parts of an answer's head that the daemon uses.
 pub fn answer_head(response: &Response<Incoming>) -> AnswerHead {
     let text = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
     AnswerHead {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Polls a load report; shared by both drivers.
+/// Polls the load report of an upstream; used by both drivers.
 pub async fn poll_report(
     connections: &Arc<ConnectionPool>,
     address: SocketAddr,
@@ -103,13 +103,13 @@
     tokio::time::timeout(REPORT_TIMEOUT, poll).await.ok().flatten()
 }
 
-/// The driver for plain services.
+/// Driver for plain services.
 pub struct PlainDriver {
     connections: Arc<ConnectionPool>,
 }
 
 impl PlainDriver {
-    /// A driver over shared connections.
+    /// Creates a driver that uses the pool `connections`.
     pub fn new(connections: Arc<ConnectionPool>) -> Self {
         PlainDriver { connections }
     }
@@ -144,7 +144,7 @@
         _: u64,
     ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
         Box::pin(async {
-            Err(OpenFault::Lost { detail: "plain services cannot resume".to_owned() })
+            Err(OpenFault::Lost { detail: "plain services cannot resume answers".to_owned() })
         })
     }
 
@@ -161,8 +161,9 @@
     }
 }
 
-/// True if the answer's end can be told from a cut: a declared length, chunks, or no body at all. An
-/// answer that ends only with its connection looks the same whole or truncated.
+/// Returns whether a complete answer can be told from a truncated one: it has a declared length,
+/// chunked framing or no body. An answer that is delimited by the close of its connection looks the
+/// same in both cases.
 fn ends_provably(method: &Method, response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let has_no_body = method == Method::HEAD
