--- a/src/upstream/platform_list.rs
+++ b/src/upstream/platform_list.rs
@@ -1,9 +1,9 @@
-//! The platform's lagging list of live and leaving VMs.
+//! The platform's list of live and leaving VMs, which may be out of date.
 //!
-//! The list is a file of JSON that something else rewrites. It only adds to what the table says; a
-//! live entry never brings back an upstream that has itself said it is leaving (the upstream's state
-//! chart has no way back), and an address that returns as another upstream carries a larger
-//! incarnation.
+//! The list is written by another program and read as a JSON document or over the platform's
+//! interface. It only adds upstreams to those of the table. An upstream that has itself announced
+//! that it is leaving stays so even if the list has it as live: the upstream's state chart has no
+//! transition back. A name or address that is taken by another process has a larger incarnation.
 
 use crate::policy::UpstreamSource;
 use crate::table::{
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Why the list could not be read.
+/// Error of reading the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListFault {
     /// What happened.
@@ -23,44 +23,46 @@
 }
 
 impl ListFault {
-    /// A fault told by what an error says.
+    /// Creates an error with the message of another error.
     pub fn from_display(error: impl std::fmt::Display) -> Self {
         ListFault { detail: error.to_string() }
     }
 }
 
-/// Where the list comes from.
+/// Source of the platform's list.
 pub trait UpstreamLister: Send + Sync {
     /// Reads the whole list.
     fn read(&self) -> BoxFuture<'_, Result<ListReading, ListFault>>;
 }
 
-/// One reading of the list, as far as it could be understood.
+/// Result of reading the list once; entries that could not be parsed are reported separately.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListReading {
-    /// Rows that name an upstream.
+    /// Rows of valid entries.
     pub rows: Vec<VmRow>,
-    /// Entries that do not.
+    /// Entries that could not be parsed.
     pub unread: Vec<UnreadEntry>,
-    /// True if the list was read to its end.
+    /// True if the list was read to the end.
     pub is_whole: bool,
 }
 
-/// An entry that names no upstream to use.
+/// An entry of the list that could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadEntry {
-    /// The upstream that it speaks of, where that much can be read.
+    /// Name of its upstream, if that could be read.
     pub upstream: Option<UpstreamName>,
-    /// Why it cannot be read; alike for entries with the same fault.
+    /// Cause of the failure; the same text for all entries with the same fault.
     pub cause: String,
 }
 
 impl ListReading {
-    /// The list after this reading, where `known` was the list before.
+    /// Returns the list that results from this reading, given the previous list `known`.
     ///
-    /// An upstream that only unread entries speak of stays as it was: such an entry names nothing to use, but is no word
-    /// that the upstream has left either. The same holds for all that were known where the list was not read to its end.
-    /// Of several rows for one upstream the latest birth counts, and among those the address that was known.
+    /// An upstream with only unread entries keeps its previous row: such an entry cannot be used,
+    /// but does not show that the upstream has left. If the list was not read to the end, all
+    /// upstreams without a new row keep their previous one. Of several rows for one upstream, the
+    /// one with the largest incarnation is used, and among equal incarnations the one with the
+    /// known address.
     pub fn over(&self, known: &PlatformList) -> PlatformList {
         let known_rows: BTreeMap<_, _> = known.vms.iter().map(|row| (row.key(), row)).collect();
         let mut rows: BTreeMap<_, &VmRow> = BTreeMap::new();
@@ -90,42 +92,41 @@
 }
 
 impl From<PlatformList> for ListReading {
-    /// A list that was read whole.
+    /// Converts a list that was read to the end without unread entries.
     fn from(list: PlatformList) -> Self {
         ListReading { rows: list.vms, unread: Vec::new(), is_whole: true }
     }
 }
 
-/// Whether a VM is to stay.
+/// Lifecycle state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
     /// In service.
     Live,
-    /// About to go.
+    /// About to be shut down.
     Leaving,
 }
 
-/// One VM of the list that carries an upstream.
+/// A VM of the list that runs an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct VmRow {
-    /// The service whose upstream runs there.
+    /// Service of the upstream.
     pub service: ServiceName,
     /// The upstream's name.
     pub upstream: UpstreamName,
-    /// Its address and port.
+    /// Address and port of the upstream.
     #[schemars(with = "String")]
     pub address: SocketAddr,
-    /// Live or leaving.
     pub state: VmState,
-    /// Grows when another process takes the name or address.
+    /// Increases whenever another process takes the name or address.
     #[serde(default)]
     pub incarnation: u64,
-    /// Requests that it works on at once, where the platform says.
+    /// Number of requests that it processes concurrently, if the platform reports it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub places: Option<u32>,
-    /// The version of its software, where the platform says.
+    /// Software version, if the platform reports it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<SoftwareVersion>,
 }
@@ -134,24 +135,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformList {
-    /// VMs, any order.
+    /// VMs, in any order.
     pub vms: Vec<VmRow>,
 }
 
 impl PlatformList {
-    /// Reads a list, reporting every fault at once.
+    /// Parses a list and reports all faults at once.
     pub fn read(text: &str) -> Result<Self, FaultList> {
         read_checked(text)
     }
 
-    /// The rows of `service` that `keep` says yes to, and all of other services.
+    /// Returns the rows of `service` for which `keep` is true, and all rows of other services.
     pub fn only(&self, service: &ServiceName, keep: impl Fn(&VmRow) -> bool) -> PlatformList {
         let vms = self.vms.iter().filter(|row| row.service != *service || keep(row));
         PlatformList { vms: vms.cloned().collect() }
     }
 
-    /// The upstreams of `service` that the table or this list names. Leaving wins over live for the
-    /// same incarnation, and the larger incarnation over the smaller.
+    /// Returns the upstreams of `service` in the table or this list. If an upstream is in both, the
+    /// row with the larger incarnation is used; for equal incarnations, leaving overrides live.
     pub fn merged(&self, table: &OperatorTable, service: &ServiceName) -> Vec<UpstreamSource> {
         let from_table = table.upstreams.iter().filter(|row| row.service == *service).map(|row| {
             UpstreamSource {
