--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! One daemon put together: the control thread, the traffic threads, and the work that time calls for.
+//! Assembles a daemon: the control thread, the traffic threads and the background tasks.
 
 mod upkeep;
 
@@ -25,10 +25,11 @@
 use tokio::sync::{oneshot, watch};
 pub use upkeep::start_upkeep;
 
-/// A drained daemon waits this long for the leader to take its shares back.
+/// Time for which a drained daemon keeps its control thread, so that the leader can reclaim its
+/// shares.
 const FAREWELL: Duration = Duration::from_millis(600);
 
-/// Why a daemon could not start.
+/// Error of starting a daemon.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// An address could not be bound.
@@ -39,13 +40,13 @@
         /// The error.
         source: std::io::Error,
     },
-    /// The data folder cannot be used.
+    /// The data folder could not be used.
     #[snafu(display("data folder: {source}"))]
     Folder {
         /// The error.
         source: StoreError,
     },
-    /// A thread or server could not be started.
+    /// A thread or server could not be started, or a state chart is invalid.
     #[snafu(display("cannot start: {detail}"))]
     Thread {
         /// What happened.
@@ -55,11 +56,11 @@
 
 /// A running daemon.
 pub struct RunningDaemon {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Control address, for operators and other daemons.
     pub control: SocketAddr,
-    /// The traffic's state.
+    /// State shared by the traffic tasks.
     pub state: Arc<TrafficState>,
     voters: KnownVoters,
     front: FrontendHandle,
@@ -67,7 +68,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// What the control thread is given.
+/// Arguments of the control thread.
 struct ControlStart {
     setup: ControlSetup,
     agent: AgentSettings,
@@ -79,7 +80,7 @@
     started: oneshot::Sender<Result<(), StartError>>,
 }
 
-/// Starts a daemon on the current (multi-threaded) runtime; control state gets a thread of its own.
+/// Starts a daemon on the current multi-threaded runtime. Control state runs on its own thread.
 pub async fn start_daemon(
     settings: &DaemonSettings,
     key: FleetKey,
@@ -143,7 +144,7 @@
         .spawn(move || run_control_thread(start));
     let thread = thread.map_err(|error| StartError::Thread { detail: error.to_string() })?;
     starting.await.unwrap_or_else(|_| {
-        Err(StartError::Thread { detail: "the control thread ended".to_owned() })
+        Err(StartError::Thread { detail: "the control thread exited during startup".to_owned() })
     })?;
     start_upkeep(Arc::clone(&state), settings);
     info!(log, "daemon started"; "version" => env!("CARGO_PKG_VERSION"), "boot" => seed, "voter" => settings.data_folder.is_some(), "callers" => front.address.to_string(), "control" => control.to_string());
@@ -158,13 +159,13 @@
     })
 }
 
-/// Serves readiness and metrics.
+/// Serves the readiness and metrics endpoints on `listener`.
 fn serve_readiness(state: &Arc<TrafficState>, listener: tokio::net::TcpListener) {
     let router = readiness_router(Arc::clone(state));
     tokio::spawn(async move { axum::serve(listener, router).await });
 }
 
-/// Serves metrics on an address of their own. A port that is taken costs the metrics there and not the daemon.
+/// Serves metrics on a separate address. If it cannot be bound, the daemon starts without it.
 async fn serve_metrics(state: &Arc<TrafficState>, address: SocketAddr) {
     match listen(address).await {
         Ok(listener) => serve_readiness(state, listener),
@@ -174,7 +175,8 @@
     }
 }
 
-/// A chart that does not answer every event must stop the daemon at its start, not a request in its middle.
+/// Checks that each state chart handles every event, so that a gap prevents the start instead of
+/// breaking a request.
 fn check_charts() -> Result<(), StartError> {
     let faults = [
         request_chart().faults(),
@@ -235,7 +237,7 @@
     }
 }
 
-/// Where to look for the leader.
+/// Returns the control addresses to ask for the leader.
 fn voter_addresses(settings: &DaemonSettings, control: SocketAddr) -> Vec<SocketAddr> {
     let own = settings.data_folder.as_ref().map(|_| control);
     let others = settings.known_voters().into_iter().map(|peer| peer.control);
@@ -286,7 +288,7 @@
     tokio::net::TcpListener::bind(address).await.with_context(|_| BindSnafu { address })
 }
 
-/// Serves the operators' calls in the platform's manner.
+/// Serves operator calls through the platform's interface.
 async fn serve_operators(
     address: SocketAddr,
     control: ControlHandle,
@@ -301,29 +303,31 @@
 }
 
 impl RunningDaemon {
-    /// Begins the drain; a second call changes nothing.
+    /// Starts the drain; further calls have no effect.
     pub fn drain(&self) {
         self.front.drain();
     }
 
-    /// Takes settings that were read again: what can change in a running daemon does at once.
+    /// Applies reloaded settings. Only the seeds and the limit tolerance take effect in a running
+    /// daemon.
     pub fn apply_settings(&self, settings: &DaemonSettings) {
         self.voters.set(voter_addresses(settings, self.control));
         self.state.limits().set_tolerance(tolerance(settings));
         info!(self.state.log, "settings in force"; "seeds" => format!("{:?}", settings.seeds));
     }
 
-    /// A sender of the drain order, for a signal handler.
+    /// Returns a sender that starts the drain, for a signal handler.
     pub fn drain_sender(&self) -> watch::Sender<bool> {
         self.front.drain_sender()
     }
 
-    /// Resolves once the daemon has drained, by order or by an operator's call.
+    /// Resolves once the daemon has drained, whether it was told by [`drain`](Self::drain), a
+    /// signal or an operator.
     pub fn ended(&self) -> impl Future<Output = ()> + use<> {
         self.front.ended()
     }
 
-    /// Waits until the daemon has drained, and stops it.
+    /// Waits until the daemon has drained, then stops it.
     pub async fn finished(self) {
         self.ended().await;
         self.stop().await;
