--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -1,4 +1,5 @@
-//! What a daemon does as time passes: scheduler ticks, load reports, the platform's list.
+//! Periodic background tasks: scheduler ticks, load report polls, probes and reads of the
+//! platform's list.
 
 use crate::platform::InstanceLister;
 use crate::policy::{PoolEvent, TierRank, UpstreamEvent, UpstreamIndex};
@@ -19,29 +20,30 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Time between scheduler ticks.
+/// Interval of scheduler ticks while requests wait or a floor is raised.
 const TICK: Duration = Duration::from_millis(10);
-/// Time between ticks while nothing waits and no floor is raised.
+/// Interval of scheduler ticks otherwise.
 const IDLE_TICK: Duration = Duration::from_millis(100);
-/// Time between readings of the platform's list.
+/// Pause between reads of the list as a document.
 const LIST_PAUSE: Duration = Duration::from_millis(500);
-/// A list over HTTP is answered within this time.
+/// Timeout of one read of the list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest list, in bytes.
+/// Maximum size of a list read over HTTP, in bytes.
 const LIST_LIMIT: usize = 16 << 20;
-/// Time between readings of the platform's list over its interface, where each call has a price and all daemons
-/// together may make so many a second. An upstream that leaves must get no new work 3 s after the list shows it.
+/// Pause between reads of the list over the platform's interface, where calls are charged for and
+/// their rate is limited across all daemons. An upstream must get no new work from 3 s after the
+/// list shows it as leaving.
 const INSTANCE_PAUSE: Duration = Duration::from_millis(1_000);
-/// How often a daemon that does not read the list looks whether it must.
+/// Interval at which a daemon that does not read the list checks whether it has to.
 const READER_CHECK: Duration = Duration::from_millis(100);
-/// Time between attempts to connect to upstreams that could not be reached.
+/// Interval of probes of unreachable upstreams.
 const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// Causes of unread entries that are logged, at most.
+/// Maximum number of distinct causes of unread entries that are logged.
 const MOST_CAUSES: usize = 64;
-/// Load reports asked for at once.
+/// Maximum number of concurrent load report polls.
 const POLLS_AT_ONCE: usize = 64;
 
-/// Starts the upkeep tasks on the current runtime.
+/// Starts the background tasks on the current runtime.
 pub fn start_upkeep(state: Arc<TrafficState>, settings: &DaemonSettings) {
     tokio::spawn(tick_pools(Arc::clone(&state)));
     if let Some(place) = settings.platform_list.clone() {
@@ -80,16 +82,18 @@
     }
 }
 
-/// Once the lease has run out nothing that waits may be dispatched any more. Looked at with each tick, not by
-/// the agent: that one may be kept waiting by a leader that does not answer.
+/// Refuses waiting requests once the lease has expired, since none may be dispatched any more. This
+/// is checked at each tick and not by the agent, which may be blocked on a leader that does not
+/// answer.
 fn refuse_without_lease(state: &TrafficState, pool: &PoolRuntime) {
     if !state.is_current() && pool.status().waiting > 0 {
-        warn!(state.log, "lease ran out; refusing what waits"; "service" => pool.service.as_str());
+        warn!(state.log, "lease expired; refusing waiting requests"; "service" => pool.service.as_str());
         pool.handle_event(PoolEvent::LeaseExpired);
     }
 }
 
-/// Where answers carry the load, only upstreams that could not be reached are looked at.
+/// Probes unreachable upstreams. Used with a platform, where answers carry the load reports and
+/// others need no polling.
 async fn probe_suspects(state: Arc<TrafficState>) {
     loop {
         for pool in state.pools().values() {
@@ -103,7 +107,7 @@
                 tokio::spawn(async move {
                     let outcome = probe(&state, address, name.as_str(), path.as_deref()).await;
                     if let Some(event) = word_of(outcome) {
-                        info!(state.log, "suspect upstream answers"; "upstream" => name.as_str(), "word" => format!("{event:?}"));
+                        info!(state.log, "suspect upstream answered a probe"; "upstream" => name.as_str(), "event" => format!("{event:?}"));
                         pool.handle_event(PoolEvent::Lifecycle { upstream, event });
                     }
                 });
@@ -113,7 +117,8 @@
     }
 }
 
-/// What a probe's outcome says of an upstream that could not be reached; none where it still says nothing.
+/// Returns the event of an unreachable upstream for a probe's outcome, or `None` if it is still
+/// unreachable.
 fn word_of(outcome: ProbeOutcome) -> Option<UpstreamEvent> {
     match outcome {
         ProbeOutcome::Answered => Some(UpstreamEvent::Answered),
@@ -153,7 +158,7 @@
     }
 }
 
-/// Reads the list again as it changes. A list that cannot be read leaves the last one in force.
+/// Reads the list repeatedly and applies changes. If a read fails, the last list stays in force.
 async fn read_lists(state: Arc<TrafficState>, lister: Box<dyn UpstreamLister>, pause: Duration) {
     let mut last = None;
     let mut was_read = true;
@@ -161,7 +166,7 @@
     loop {
         let has_table = state.snapshot().version > 0;
         if !state.fleet.is_list_read_due(has_table, state.clock.now()) {
-            // What another daemon told may differ from what this one read last.
+            // A list received from another daemon may differ from the one last read here.
             last = None;
             tokio::time::sleep(READER_CHECK).await;
             continue;
@@ -175,7 +180,7 @@
                 note_unread(&state, &reading.unread, &mut causes);
                 let list = reading.over(&state.platform_list());
                 if !was_read {
-                    info!(state.log, "platform list read again");
+                    info!(state.log, "platform list can be read again");
                 }
                 was_read = true;
                 state.fleet.store_reading(&list, state.clock.now());
@@ -186,7 +191,7 @@
             }
             Err(fault) => {
                 state.fleet.record_read_failure(state.clock.now());
-                // Once for a row of failures: the list is asked for every second.
+                // Logs only the first of consecutive failures, as the list is read every second.
                 if was_read {
                     warn!(state.log, "platform list not read"; "fault" => fault.detail);
                 }
@@ -197,8 +202,8 @@
     }
 }
 
-/// Counts entries that could not be read, and logs each cause once: they stand in the list for long, which is read each
-/// second.
+/// Counts entries that could not be read and logs each cause once, because such entries stay in the
+/// list for long and the list is read every second.
 fn note_unread(state: &TrafficState, unread: &[UnreadEntry], causes: &mut BTreeSet<String>) {
     metrics::counter!("platform_list_entries_unread").increment(unread.len() as u64);
     for entry in unread {
@@ -209,7 +214,7 @@
     }
 }
 
-/// The list as a file of JSON, or over HTTP.
+/// Reads the list as a JSON document from a file or over HTTP.
 struct DocumentLister {
     place: String,
 }
