--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,30 +1,31 @@
-//! The clock that control and traffic share.
+//! Monotonic clock shared by control and traffic.
 
 use crate::policy::Moment;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Monotonic time as [`Moment`]s.
+/// Clock that returns monotonic time as [`Moment`]s and also counts the time while the machine is
+/// suspended.
 ///
-/// Time in which the machine was suspended counts. What goes wrong with a clock that stands still meanwhile: a
-/// leader that was suspended believes in its lease after another was elected, and answers a read with an old
-/// table. One would notice by a read that is older than an edit acknowledged before it.
+/// With a clock that stops during suspension, a leader that was suspended would still trust its
+/// lease after another leader was elected, and would answer reads from an old table: a read could
+/// miss an edit that was acknowledged before it.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficClock(Duration);
 
 impl TrafficClock {
-    /// A clock that starts a moment before now, so that 0 never occurs.
+    /// Creates a clock whose origin is 1 ms ago, so that `now` never returns 0.
     pub fn start() -> Self {
         TrafficClock(since_boot().saturating_sub(Duration::from_millis(1)))
     }
 
-    /// Now.
+    /// Returns the time since the clock's origin.
     pub fn now(&self) -> Moment {
         Moment(since_boot().saturating_sub(self.0).as_micros() as u64)
     }
 }
 
-/// Time since the machine's start, suspended time included.
+/// Returns the time since boot, including time in suspension.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
