--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! tarragonknot: a request scheduler between callers and unlike upstreams.
+//! tarragonknot: a request scheduler between callers and heterogeneous upstreams.
 //!
-//! Data flows one way: caller, admission, placement, dispatch, answer. Control state reaches traffic
-//! as immutable snapshots only. Everything under [`policy`], [`fleet_state`], [`quarantine`] and [`rollout`] is pure: state, event and time in,
-//! actions out.
+//! Requests pass through admission, placement, dispatch and answer, in this order. Control state
+//! reaches traffic only as immutable snapshots. The code under [`policy`], [`fleet_state`],
+//! [`quarantine`] and [`rollout`] is pure: it maps state, event and time to actions.
 
 pub mod answer;
 pub mod chart;
