--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line; dispatches to one function for each subcommand.
+//! Command-line entry point; runs the function of the chosen subcommand.
 
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
