--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -4,8 +4,9 @@
 //! connection that was idle for long; a request sent on it then hangs, although new connections
 //! work. And a connection whose exchange was abandoned may deliver the late answer to the next
 //! caller, which shows as the echoed id of another request. An idle connection is therefore reused
-//! only within [`PROVEN_ALIVE`] of its last complete answer and never for a request that is not
-//! idempotent, and a connection returns to the pool only after its answer was read to the end.
+//! only within a maximum time since its last complete answer, which the user of the pool chooses;
+//! for the drivers it is [`PROVEN_ALIVE`], and zero for requests that are not idempotent. A
+//! connection returns to the pool only after its answer was read to the end.
 
 use crate::chart::{ChartMachine, StateChart};
 use crate::chart_names;
@@ -23,14 +24,15 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Maximum time since its last complete answer after which a connection may be reused.
+/// Maximum time since its last complete answer within which a connection is known to be alive and
+/// may be reused, unless the user of the pool sets another one.
 pub const PROVEN_ALIVE: Duration = Duration::from_millis(1_000);
 /// Safety margin before the upstream's idle timeout. By the daemon's clock the upstream may close
 /// the connection slightly early, which would lose a request in transit.
-const CLOSING_MARGIN: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum number of idle connections for each address.
-const IDLE_LIMIT: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 chart_names! {
     /// State of a connection.
@@ -143,7 +145,7 @@
         let actions = connection.machine.step(ConnectionEvent::Finished);
         if actions.contains(&ConnectionAction::Keep) && !connection.sender.is_closed() {
             connection.idle_since = Instant::now();
-            self.pool.keep(connection);
+            self.pool.put_idle(connection);
         }
     }
 }
@@ -157,22 +159,23 @@
 }
 
 impl ConnectionPool {
-    fn keep(&self, connection: OpenConnection) {
+    fn put_idle(&self, connection: OpenConnection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(connection.address).or_default();
-        if connections.len() < IDLE_LIMIT {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
 
     /// Takes the most recently used idle connection. If that one was idle for too long, it and all
     /// others of the address, which are older, are closed.
-    fn take(&self, address: SocketAddr, most_idle: Duration) -> Option<OpenConnection> {
+    fn take(&self, address: SocketAddr, max_idle_time: Duration) -> Option<OpenConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
         let mut connection = connections.pop()?;
-        let kept_for = connection.kept_for.map(|time| time.saturating_sub(CLOSING_MARGIN));
-        if connection.idle_since.elapsed() > kept_for.map_or(most_idle, |time| time.min(most_idle))
+        let kept_for = connection.kept_for.map(|time| time.saturating_sub(IDLE_TIMEOUT_MARGIN));
+        if connection.idle_since.elapsed()
+            > kept_for.map_or(max_idle_time, |time| time.min(max_idle_time))
         {
             connection.machine.step(ConnectionEvent::Stale);
             connections.clear();
@@ -211,27 +214,27 @@
     }
 
     /// Sends a request and waits for the head of the answer. A pooled connection is used if it was
-    /// idle for at most `most_idle`; zero always opens a new connection.
+    /// idle for at most `max_idle_time`; zero always opens a new connection.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        most_idle: Duration,
+        max_idle_time: Duration,
     ) -> Result<(Response<Incoming>, ConnectionGuard), OpenFault> {
         let mut request = request;
-        if !most_idle.is_zero()
-            && let Some(connection) = self.take(address, most_idle)
+        if !max_idle_time.is_zero()
+            && let Some(connection) = self.take(address, max_idle_time)
         {
             match self.send_over(connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(SendFault { unsent: Some(unsent), .. }) => request = *unsent,
-                Err(SendFault { detail, .. }) => return Err(OpenFault::Lost { detail }),
+                Err(SendError { unsent: Some(unsent), .. }) => request = *unsent,
+                Err(SendError { detail, .. }) => return Err(OpenFault::Lost { detail }),
             }
         }
         let connection = self.connect(address).await?;
-        self.send_over(connection, request).await.map_err(|fault| match fault.unsent {
-            Some(_) => OpenFault::NotSent { detail: fault.detail },
-            None => OpenFault::Lost { detail: fault.detail },
+        self.send_over(connection, request).await.map_err(|error| match error.unsent {
+            Some(_) => OpenFault::NotSent { detail: error.detail },
+            None => OpenFault::Lost { detail: error.detail },
         })
     }
 
@@ -239,7 +242,7 @@
         self: &Arc<Self>,
         mut connection: OpenConnection,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, ConnectionGuard), SendFault> {
+    ) -> Result<(Response<Incoming>, ConnectionGuard), SendError> {
         let answer = connection.sender.try_send_request(request);
         let guard = ConnectionGuard { pool: Arc::clone(self), connection: Some(connection) };
         match answer.await {
@@ -247,7 +250,7 @@
             // hyper returns the request only if it has not begun to write it.
             Err(mut error) => {
                 let unsent = error.take_message().map(Box::new);
-                Err(SendFault { unsent, detail: error.error().to_string() })
+                Err(SendError { unsent, detail: error.error().to_string() })
             }
         }
     }
@@ -259,7 +262,7 @@
     matches!(opened, Ok(Ok(_)))
 }
 
-struct SendFault {
+struct SendError {
     /// The request, if nothing of it was written.
     unsent: Option<Box<Request<Full<Bytes>>>>,
     detail: String,
--- a/src/upstream/engine.rs
+++ b/src/upstream/engine.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// Maximum size of an answer that is not streamed, in bytes.
-const WHOLE_LIMIT: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Data of the last event of a stream.
 const END_MARK: &str = "[DONE]";
@@ -57,7 +57,7 @@
     }
 
     /// Builds a request without a body for the resource of a dispatched call.
-    fn about(
+    fn request_by_id(
         call: &UpstreamCall,
         address: SocketAddr,
         method: Method,
@@ -83,7 +83,7 @@
         let events = BodyDataStream::new(response.into_body()).eventsource();
         Box::new(EventPieces { events, guard: Some(guard), prompt_tokens: None })
     } else {
-        Box::new(WholePiece { answer: Some(response), guard: Some(guard), prompt_tokens: None })
+        Box::new(WholeAnswer { answer: Some(response), guard: Some(guard), prompt_tokens: None })
     };
     AnswerStream { head, pieces }
 }
@@ -97,7 +97,7 @@
         Box::pin(async move {
             let request = upstream_request(call, address)?;
             let (response, guard) =
-                self.connections.send(address, request, call.most_idle()).await?;
+                self.connections.send(address, request, call.max_idle_time()).await?;
             Ok(read_answer(response, guard))
         })
     }
@@ -109,10 +109,11 @@
         after: u64,
     ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
         Box::pin(async move {
-            let mut request = Self::about(call, address, Method::GET)?;
+            let mut request = Self::request_by_id(call, address, Method::GET)?;
             request.headers_mut().insert("last-event-id", HeaderValue::from(after));
-            let shape = if call.wants_stream { "text/event-stream" } else { "application/json" };
-            request.headers_mut().insert(ACCEPT, HeaderValue::from_static(shape));
+            let media_type =
+                if call.wants_stream { "text/event-stream" } else { "application/json" };
+            request.headers_mut().insert(ACCEPT, HeaderValue::from_static(media_type));
             let (response, guard) = self.connections.send(address, request, Duration::ZERO).await?;
             match response.status() {
                 StatusCode::NOT_FOUND | StatusCode::GONE => Err(OpenFault::Lost {
@@ -128,7 +129,7 @@
 
     fn cancel<'a>(&'a self, call: &'a UpstreamCall, address: SocketAddr) -> BoxFuture<'a, ()> {
         Box::pin(async move {
-            let Ok(request) = Self::about(call, address, Method::DELETE) else { return };
+            let Ok(request) = Self::request_by_id(call, address, Method::DELETE) else { return };
             let _ = tokio::time::timeout(
                 CANCEL_TIMEOUT,
                 self.connections.send(address, request, Duration::ZERO),
@@ -195,13 +196,13 @@
 }
 
 /// An answer that is not streamed. It is read to its end and returned as one piece.
-struct WholePiece {
+struct WholeAnswer {
     answer: Option<Response<Incoming>>,
     guard: Option<ConnectionGuard>,
     prompt_tokens: Option<u32>,
 }
 
-impl PieceSource for WholePiece {
+impl PieceSource for WholeAnswer {
     fn next(&mut self) -> BoxFuture<'_, PieceRead> {
         Box::pin(async move {
             let Some(answer) = self.answer.take() else {
@@ -212,7 +213,8 @@
             };
             let has_length = answer.headers().contains_key(http::header::CONTENT_LENGTH)
                 || answer.headers().contains_key(http::header::TRANSFER_ENCODING);
-            let Ok(body) = Limited::new(answer.into_body(), WHOLE_LIMIT).collect().await else {
+            let Ok(body) = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await
+            else {
                 return PieceRead::Cut;
             };
             if !has_length {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -50,7 +50,7 @@
     /// Returns the longest idle time after which a pooled connection may carry this call. It is
     /// zero for a request that is not idempotent: a dead connection would lose it, and it could not
     /// be sent again.
-    fn most_idle(&self) -> std::time::Duration {
+    fn max_idle_time(&self) -> std::time::Duration {
         if self.is_idempotent { PROVEN_ALIVE } else { std::time::Duration::ZERO }
     }
 }
--- a/src/upstream/plain.rs
+++ b/src/upstream/plain.rs
@@ -22,29 +22,30 @@
 /// Path of the polled load report.
 const REPORT_PATH: &str = "/load";
 /// Maximum size of a polled report, in bytes.
-const REPORT_LIMIT: usize = 64 * 1024;
+const MAX_REPORT_BYTES: usize = 64 * 1024;
 
 /// Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded, and `Host`, which is set
 /// anew.
-const HOP_HEADERS: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, HOST];
+const HOP_BY_HOP_HEADERS: [HeaderName; 6] =
+    [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, HOST];
 
 /// Copies the end-to-end headers, without hop-by-hop headers and those named in `Connection`.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let passes = |name: &HeaderName| {
-        !HOP_HEADERS.contains(name)
+    let is_end_to_end = |name: &HeaderName| {
+        !HOP_BY_HOP_HEADERS.contains(name)
             && name != "keep-alive"
             && name != "proxy-connection"
-            && !named.iter().any(|hop| hop == name.as_str())
+            && !connection_options.iter().any(|option| option == name.as_str())
     };
     headers
         .iter()
-        .filter(|(name, _)| passes(name))
+        .filter(|(name, _)| is_end_to_end(name))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
@@ -91,14 +92,14 @@
         Request::get(REPORT_PATH).header(HOST, address.to_string()).body(Full::default()).ok()?;
     let poll = async {
         let (response, guard) = connections.send(address, request, PROVEN_ALIVE).await.ok()?;
-        let is_good = response.status() == StatusCode::OK;
-        let body = http_body_util::Limited::new(response.into_body(), REPORT_LIMIT)
+        let is_ok = response.status() == StatusCode::OK;
+        let body = http_body_util::Limited::new(response.into_body(), MAX_REPORT_BYTES)
             .collect()
             .await
             .ok()?
             .to_bytes();
         guard.finish();
-        is_good.then(|| parse_orca_json(&body)).flatten()
+        is_ok.then(|| parse_orca_json(&body)).flatten()
     };
     tokio::time::timeout(REPORT_TIMEOUT, poll).await.ok().flatten()
 }
@@ -124,14 +125,14 @@
         Box::pin(async move {
             let request = upstream_request(call, address)?;
             let (response, guard) =
-                self.connections.send(address, request, call.most_idle()).await?;
+                self.connections.send(address, request, call.max_idle_time()).await?;
             let head = answer_head(&response);
-            let has_end_mark = ends_provably(&call.method, &response);
+            let has_detectable_end = has_detectable_end(&call.method, &response);
             let pieces = BodyPieces {
                 body: response.into_body(),
                 guard: Some(guard),
                 sequence: 0,
-                has_end_mark,
+                has_detectable_end,
             };
             Ok(AnswerStream { head, pieces: Box::new(pieces) })
         })
@@ -164,7 +165,7 @@
 /// Returns whether a complete answer can be told from a truncated one: it has a declared length,
 /// chunked framing or no body. An answer that is delimited by the close of its connection looks the
 /// same in both cases.
-fn ends_provably(method: &Method, response: &Response<Incoming>) -> bool {
+fn has_detectable_end(method: &Method, response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let has_no_body = method == Method::HEAD
         || response.status().is_informational()
@@ -180,7 +181,7 @@
     body: Incoming,
     guard: Option<ConnectionGuard>,
     sequence: u64,
-    has_end_mark: bool,
+    has_detectable_end: bool,
 }
 
 impl PieceSource for BodyPieces {
@@ -190,7 +191,7 @@
                 let frame = match self.body.frame().await {
                     Some(Ok(frame)) => frame,
                     Some(Err(_)) => return PieceRead::Cut,
-                    None if self.has_end_mark => {
+                    None if self.has_detectable_end => {
                         self.guard.take().into_iter().for_each(ConnectionGuard::finish);
                         return PieceRead::Ended { prompt_tokens: None, end_mark: Bytes::new() };
                     }
--- a/src/upstream/platform_list.rs
+++ b/src/upstream/platform_list.rs
@@ -67,18 +67,18 @@
         let known_rows: BTreeMap<_, _> = known.vms.iter().map(|row| (row.key(), row)).collect();
         let mut rows: BTreeMap<_, &VmRow> = BTreeMap::new();
         for row in &self.rows {
-            let before = known_rows.get(&row.key());
-            let is_known = before.is_some_and(|before| before.address == row.address);
+            let known_row = known_rows.get(&row.key());
+            let is_known = known_row.is_some_and(|known| known.address == row.address);
             let chosen = rows.entry(row.key()).or_insert(row);
             let is_later = row.incarnation > chosen.incarnation;
             if is_later || row.incarnation == chosen.incarnation && is_known {
                 *chosen = row;
             }
         }
-        let is_spoken_of = |row: &VmRow| {
+        let has_unread_entry = |row: &VmRow| {
             self.unread.iter().any(|entry| entry.upstream.as_ref() == Some(&row.upstream))
         };
-        for row in known.vms.iter().filter(|row| !self.is_whole || is_spoken_of(row)) {
+        for row in known.vms.iter().filter(|row| !self.is_whole || has_unread_entry(row)) {
             rows.entry(row.key()).or_insert(row);
         }
         PlatformList { vms: rows.into_values().cloned().collect() }
