--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -13,7 +13,7 @@
 };
 use crate::quarantine::RequestFingerprint;
 use crate::table::UpstreamName;
-use crate::upstream::{AnswerPiece, AnswerStream, OpenFault, PieceRead, PieceSource, UpstreamCall};
+use crate::upstream::{AnswerPiece, AnswerStream, OpenError, PieceRead, PieceSource, UpstreamCall};
 use bytes::Bytes;
 use slog::{debug, info};
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 /// Event observed while waiting for an answer.
 enum ObservedEvent {
     Read(PieceRead),
-    Opened(Result<AnswerStream, OpenFault>),
+    Opened(Result<AnswerStream, OpenError>),
     Silent,
     Deadline,
     CallerLeft,
@@ -332,7 +332,7 @@
                 self.pieces = Some(pieces);
                 actions
             }
-            ObservedEvent::Opened(Err(OpenFault::NotSent { detail })) => {
+            ObservedEvent::Opened(Err(OpenError::NotSent { detail })) => {
                 info!(self.state.log, "upstream not reached"; "request" => &*self.call.id, "detail" => detail);
                 if self.exchange.state() == RequestState::Connecting {
                     return self.exchange.handle(ExchangeEvent::NotSent, now);
@@ -345,7 +345,7 @@
                 }
                 self.exchange.handle(ExchangeEvent::Cut, now)
             }
-            ObservedEvent::Opened(Err(OpenFault::Lost { detail })) => {
+            ObservedEvent::Opened(Err(OpenError::Lost { detail })) => {
                 info!(self.state.log, "upstream gave no answer"; "request" => &*self.call.id, "detail" => detail);
                 self.check_upstream();
                 let was_resuming = self.exchange.state() == RequestState::Resuming;
--- a/src/traffic/probe.rs
+++ b/src/traffic/probe.rs
@@ -2,7 +2,7 @@
 
 use super::routed::SendMetadata;
 use super::state::TrafficState;
-use crate::upstream::{OpenFault, can_connect};
+use crate::upstream::{OpenError, can_connect};
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderMap, HeaderValue, Request};
@@ -57,8 +57,8 @@
                 false => ProbeOutcome::Answered,
             }
         }
-        Ok(Err(OpenFault::NotSent { .. })) => ProbeOutcome::Refused,
-        Ok(Err(OpenFault::Lost { .. })) => ProbeOutcome::Closed,
+        Ok(Err(OpenError::NotSent { .. })) => ProbeOutcome::Refused,
+        Ok(Err(OpenError::Lost { .. })) => ProbeOutcome::Closed,
         Err(_) => ProbeOutcome::Silent,
     }
 }
--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -3,7 +3,7 @@
 use super::dialect::{AnswerMetadata, SendMetadata};
 use super::forward::RoutedRequest;
 use crate::policy::LoadReport;
-use crate::upstream::{ConnectionGuard, OpenFault, end_to_end_headers};
+use crate::upstream::{ConnectionGuard, OpenError, end_to_end_headers};
 use http::header::{CONTENT_LENGTH, EXPECT, HOST};
 use http::{HeaderMap, Request, Response};
 use http_body_util::Full;
@@ -72,8 +72,8 @@
     let connections = request.state.connections();
     let opened = connections.send(address, upstream_request, MAX_IDLE_TIME).await;
     let (response, connection) = opened.map_err(|fault| match fault {
-        OpenFault::NotSent { detail } => SendError::NotSent(detail),
-        OpenFault::Lost { detail } => SendError::ConnectionBroken(detail),
+        OpenError::NotSent { detail } => SendError::NotSent(detail),
+        OpenError::Lost { detail } => SendError::ConnectionBroken(detail),
     })?;
     let metadata = request.dialect.read_answer(response.status(), response.headers());
     let connection = connection.kept_for(metadata.idle_timeout);
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -89,7 +89,7 @@
 
 /// Error of a request that received no answer head.
 #[derive(Debug, Snafu)]
-pub enum OpenFault {
+pub enum OpenError {
     /// No byte of the request was sent.
     #[snafu(display("nothing was sent: {detail}"))]
     NotSent {
@@ -188,8 +188,8 @@
         Some(connection)
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<OpenConnection, OpenFault> {
-        let not_sent = |detail: String| OpenFault::NotSent { detail };
+    async fn connect(&self, address: SocketAddr) -> Result<OpenConnection, OpenError> {
+        let not_sent = |detail: String| OpenError::NotSent { detail };
         let mut machine = connection_chart().start();
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
@@ -220,7 +220,7 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         max_idle_time: Duration,
-    ) -> Result<(Response<Incoming>, ConnectionGuard), OpenFault> {
+    ) -> Result<(Response<Incoming>, ConnectionGuard), OpenError> {
         let mut request = request;
         if !max_idle_time.is_zero()
             && let Some(connection) = self.take(address, max_idle_time)
@@ -228,13 +228,13 @@
             match self.send_over(connection, request).await {
                 Ok(answer) => return Ok(answer),
                 Err(SendError { unsent: Some(unsent), .. }) => request = *unsent,
-                Err(SendError { detail, .. }) => return Err(OpenFault::Lost { detail }),
+                Err(SendError { detail, .. }) => return Err(OpenError::Lost { detail }),
             }
         }
         let connection = self.connect(address).await?;
         self.send_over(connection, request).await.map_err(|error| match error.unsent {
-            Some(_) => OpenFault::NotSent { detail: error.detail },
-            None => OpenFault::Lost { detail: error.detail },
+            Some(_) => OpenError::NotSent { detail: error.detail },
+            None => OpenError::Lost { detail: error.detail },
         })
     }
 
--- a/src/upstream/engine.rs
+++ b/src/upstream/engine.rs
@@ -5,7 +5,7 @@
 //! `DELETE` on the same path. Each event has its sequence number as event id and the request id in
 //! its JSON.
 
-use super::connection::{ConnectionGuard, ConnectionPool, OpenFault};
+use super::connection::{ConnectionGuard, ConnectionPool, OpenError};
 use super::plain::{answer_head, poll_report, upstream_request};
 use super::{AnswerPiece, AnswerStream, PieceRead, PieceSource, UpstreamCall, UpstreamDriver};
 use crate::policy::LoadReport;
@@ -61,13 +61,13 @@
         call: &UpstreamCall,
         address: SocketAddr,
         method: Method,
-    ) -> Result<Request<Full<Bytes>>, OpenFault> {
+    ) -> Result<Request<Full<Bytes>>, OpenError> {
         Request::builder()
             .method(method)
             .uri(format!("/v1/requests/{}", call.id))
             .header(HOST, address.to_string())
             .body(Full::default())
-            .map_err(|error| OpenFault::Lost { detail: error.to_string() })
+            .map_err(|error| OpenError::Lost { detail: error.to_string() })
     }
 }
 
@@ -93,7 +93,7 @@
         &'a self,
         call: &'a UpstreamCall,
         address: SocketAddr,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async move {
             let request = upstream_request(call, address)?;
             let (response, guard) =
@@ -107,7 +107,7 @@
         call: &'a UpstreamCall,
         address: SocketAddr,
         after: u64,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async move {
             let mut request = Self::request_by_id(call, address, Method::GET)?;
             request.headers_mut().insert("last-event-id", HeaderValue::from(after));
@@ -116,7 +116,7 @@
             request.headers_mut().insert(ACCEPT, HeaderValue::from_static(media_type));
             let (response, guard) = self.connections.send(address, request, Duration::ZERO).await?;
             match response.status() {
-                StatusCode::NOT_FOUND | StatusCode::GONE => Err(OpenFault::Lost {
+                StatusCode::NOT_FOUND | StatusCode::GONE => Err(OpenError::Lost {
                     detail: format!(
                         "the engine answered {} to the resume request",
                         response.status()
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -7,7 +7,7 @@
 mod platform_list;
 
 pub use connection::{
-    ConnectionGuard, ConnectionPool, ConnectionState, OpenFault, PROVEN_ALIVE, can_connect,
+    ConnectionGuard, ConnectionPool, ConnectionState, OpenError, PROVEN_ALIVE, can_connect,
     connection_chart,
 };
 pub use engine::EngineDriver;
@@ -119,7 +119,7 @@
         &'a self,
         call: &'a UpstreamCall,
         address: SocketAddr,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>>;
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>>;
 
     /// Continues reading the answer to a dispatched request on a new connection, after piece
     /// `after`.
@@ -128,7 +128,7 @@
         call: &'a UpstreamCall,
         address: SocketAddr,
         after: u64,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>>;
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>>;
 
     /// Asks the upstream to cancel a request. Failures are ignored.
     fn cancel<'a>(&'a self, call: &'a UpstreamCall, address: SocketAddr) -> BoxFuture<'a, ()>;
--- a/src/upstream/plain.rs
+++ b/src/upstream/plain.rs
@@ -1,6 +1,6 @@
 //! Driver for plain HTTP services. Any method and path is accepted; bodies are forwarded unchanged.
 
-use super::connection::{ConnectionGuard, ConnectionPool, OpenFault, PROVEN_ALIVE};
+use super::connection::{ConnectionGuard, ConnectionPool, OpenError, PROVEN_ALIVE};
 use super::orca::{ORCA_HEADER, parse_orca_header, parse_orca_json};
 use super::{
     AnswerHead, AnswerPiece, AnswerStream, PieceRead, PieceSource, REQUEST_ID_HEADER, UpstreamCall,
@@ -54,8 +54,8 @@
 pub fn upstream_request(
     call: &UpstreamCall,
     address: SocketAddr,
-) -> Result<Request<Full<Bytes>>, OpenFault> {
-    let not_sent = |detail: String| OpenFault::NotSent { detail };
+) -> Result<Request<Full<Bytes>>, OpenError> {
+    let not_sent = |detail: String| OpenError::NotSent { detail };
     let mut request = Request::builder()
         .method(call.method.clone())
         .uri(call.uri.clone())
@@ -121,7 +121,7 @@
         &'a self,
         call: &'a UpstreamCall,
         address: SocketAddr,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async move {
             let request = upstream_request(call, address)?;
             let (response, guard) =
@@ -143,9 +143,9 @@
         _: &'a UpstreamCall,
         _: SocketAddr,
         _: u64,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async {
-            Err(OpenFault::Lost { detail: "plain services cannot resume answers".to_owned() })
+            Err(OpenError::Lost { detail: "plain services cannot resume answers".to_owned() })
         })
     }
 
