--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -6,7 +6,7 @@
 use crate::settings::DaemonSettings;
 use crate::table::ServiceName;
 use crate::traffic::{PoolRuntime, ProbeOutcome, TrafficState, probe};
-use crate::upstream::{ListFault, ListReading, PlatformList, UnreadEntry, UpstreamLister};
+use crate::upstream::{ListError, ListReading, PlatformList, UnreadEntry, UpstreamLister};
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use http::Request;
@@ -173,7 +173,7 @@
         }
         let read = tokio::time::timeout(LIST_TIMEOUT, lister.read()).await;
         let read = read.unwrap_or_else(|_| {
-            Err(ListFault { detail: format!("no answer within {LIST_TIMEOUT:?}") })
+            Err(ListError { detail: format!("no answer within {LIST_TIMEOUT:?}") })
         });
         match read {
             Ok(reading) => {
@@ -189,11 +189,11 @@
                     last = Some(list);
                 }
             }
-            Err(fault) => {
+            Err(error) => {
                 state.fleet.record_read_failure(state.clock.now());
                 // Logs only the first of consecutive failures, as the list is read every second.
                 if was_read {
-                    warn!(state.log, "platform list not read"; "fault" => fault.detail);
+                    warn!(state.log, "platform list not read"; "fault" => error.detail);
                 }
                 was_read = false;
             }
@@ -220,29 +220,29 @@
 }
 
 impl UpstreamLister for DocumentLister {
-    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListFault>> {
+    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListError>> {
         Box::pin(async move {
             let text = fetch_text(&self.place).await?;
-            let list = PlatformList::read(&text).map_err(ListFault::from_display)?;
+            let list = PlatformList::read(&text).map_err(ListError::from_display)?;
             Ok(list.into())
         })
     }
 }
 
-async fn fetch_text(place: &str) -> Result<String, ListFault> {
+async fn fetch_text(place: &str) -> Result<String, ListError> {
     if !place.starts_with("http://") {
-        return tokio::fs::read_to_string(place).await.map_err(ListFault::from_display);
+        return tokio::fs::read_to_string(place).await.map_err(ListError::from_display);
     }
     let request =
-        Request::get(place).body(Full::<Bytes>::default()).map_err(ListFault::from_display)?;
+        Request::get(place).body(Full::<Bytes>::default()).map_err(ListError::from_display)?;
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-    let response = client.request(request).await.map_err(ListFault::from_display)?;
+    let response = client.request(request).await.map_err(ListError::from_display)?;
     if !response.status().is_success() {
-        return Err(ListFault { detail: format!("status {}", response.status()) });
+        return Err(ListError { detail: format!("status {}", response.status()) });
     }
     let body = Limited::new(response.into_body(), LIST_LIMIT)
         .collect()
         .await
-        .map_err(ListFault::from_display)?;
-    String::from_utf8(body.to_bytes().to_vec()).map_err(ListFault::from_display)
+        .map_err(ListError::from_display)?;
+    String::from_utf8(body.to_bytes().to_vec()).map_err(ListError::from_display)
 }
--- a/src/platform/instances.rs
+++ b/src/platform/instances.rs
@@ -1,7 +1,7 @@
 //! The platform's list of engines.
 
 use super::pages::{InstancePage, NextPage, read_page};
-use crate::upstream::{ConnectionPool, ListFault, ListReading, PROVEN_ALIVE, UpstreamLister};
+use crate::upstream::{ConnectionPool, ListError, ListReading, PROVEN_ALIVE, UpstreamLister};
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use http::Request;
@@ -28,27 +28,27 @@
         InstanceLister { address, connections }
     }
 
-    async fn page(&self, token: Option<&str>) -> Result<InstancePage, ListFault> {
+    async fn page(&self, token: Option<&str>) -> Result<InstancePage, ListError> {
         let query = token.map_or_else(String::new, |token| format!("?page_token={token}"));
         let request = Request::get(format!("/instances{query}"))
             .header(HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
-            .map_err(ListFault::from_display)?;
+            .map_err(ListError::from_display)?;
         let sent = self.connections.send(self.address, request, PROVEN_ALIVE * 3).await;
-        let (response, connection) = sent.map_err(ListFault::from_display)?;
+        let (response, connection) = sent.map_err(ListError::from_display)?;
         let status = response.status();
         let body = Limited::new(response.into_body(), PAGE_LIMIT).collect().await;
-        let body = body.map_err(ListFault::from_display)?;
+        let body = body.map_err(ListError::from_display)?;
         connection.finish();
         if !status.is_success() {
-            return Err(ListFault { detail: format!("status {status}") });
+            return Err(ListError { detail: format!("status {status}") });
         }
         Ok(read_page(&body.to_bytes()))
     }
 }
 
 impl UpstreamLister for InstanceLister {
-    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListFault>> {
+    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListError>> {
         Box::pin(async move {
             let mut reading = ListReading::default();
             let mut read = BTreeSet::new();
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -14,7 +14,7 @@
 pub use orca::{ORCA_HEADER, parse_orca_header, parse_orca_json};
 pub use plain::{PlainDriver, end_to_end_headers};
 pub use platform_list::{
-    ListFault, ListReading, PlatformList, UnreadEntry, UpstreamLister, VmRow, VmState,
+    ListError, ListReading, PlatformList, UnreadEntry, UpstreamLister, VmRow, VmState,
 };
 
 use crate::policy::LoadReport;
--- a/src/upstream/platform_list.rs
+++ b/src/upstream/platform_list.rs
@@ -17,22 +17,22 @@
 
 /// Error of reading the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListFault {
+pub struct ListError {
     /// What happened.
     pub detail: String,
 }
 
-impl ListFault {
+impl ListError {
     /// Creates an error with the message of another error.
     pub fn from_display(error: impl std::fmt::Display) -> Self {
-        ListFault { detail: error.to_string() }
+        ListError { detail: error.to_string() }
     }
 }
 
 /// Source of the platform's list.
 pub trait UpstreamLister: Send + Sync {
     /// Reads the whole list.
-    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListFault>>;
+    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListError>>;
 }
 
 /// Result of reading the list once; entries that could not be parsed are reported separately.
