--- a/src/platform/instances.rs
+++ b/src/platform/instances.rs
@@ -1,7 +1,9 @@
 //! The platform's list of engines.
 
 use super::pages::{InstancePage, NextPage, read_page};
-use crate::upstream::{ConnectionPool, ListError, ListReading, PROVEN_ALIVE, UpstreamLister};
+use crate::upstream::{
+    ConnectionPool, DEFAULT_MAX_IDLE_TIME, ListError, ListReading, UpstreamLister,
+};
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use http::Request;
@@ -34,7 +36,7 @@
             .header(HOST, self.address.to_string())
             .body(Full::<Bytes>::default())
             .map_err(ListError::from_display)?;
-        let sent = self.connections.send(self.address, request, PROVEN_ALIVE * 3).await;
+        let sent = self.connections.send(self.address, request, DEFAULT_MAX_IDLE_TIME * 3).await;
         let (response, connection) = sent.map_err(ListError::from_display)?;
         let status = response.status();
         let body = Limited::new(response.into_body(), PAGE_LIMIT).collect().await;
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -5,8 +5,8 @@
 //! work. And a connection whose exchange was abandoned may deliver the late answer to the next
 //! caller, which shows as the echoed id of another request. An idle connection is therefore reused
 //! only within a maximum time since its last complete answer, which the user of the pool chooses;
-//! for the drivers it is [`PROVEN_ALIVE`], and zero for requests that are not idempotent. A
-//! connection returns to the pool only after its answer was read to the end.
+//! for the drivers it is [`DEFAULT_MAX_IDLE_TIME`], and zero for requests that are not idempotent.
+//! A connection returns to the pool only after its answer was read to the end.
 
 use crate::chart::{ChartMachine, StateChart};
 use crate::chart_names;
@@ -26,7 +26,7 @@
 
 /// Maximum time since its last complete answer within which a connection is known to be alive and
 /// may be reused, unless the user of the pool sets another one.
-pub const PROVEN_ALIVE: Duration = Duration::from_millis(1_000);
+pub const DEFAULT_MAX_IDLE_TIME: Duration = Duration::from_millis(1_000);
 /// Safety margin before the upstream's idle timeout. By the daemon's clock the upstream may close
 /// the connection slightly early, which would lose a request in transit.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -7,8 +7,8 @@
 mod platform_list;
 
 pub use connection::{
-    ConnectionGuard, ConnectionPool, ConnectionState, OpenError, PROVEN_ALIVE, can_connect,
-    connection_chart,
+    ConnectionGuard, ConnectionPool, ConnectionState, DEFAULT_MAX_IDLE_TIME, OpenError,
+    can_connect, connection_chart,
 };
 pub use engine::EngineDriver;
 pub use orca::{ORCA_HEADER, parse_orca_header, parse_orca_json};
@@ -51,7 +51,7 @@
     /// zero for a request that is not idempotent: a dead connection would lose it, and it could not
     /// be sent again.
     fn max_idle_time(&self) -> std::time::Duration {
-        if self.is_idempotent { PROVEN_ALIVE } else { std::time::Duration::ZERO }
+        if self.is_idempotent { DEFAULT_MAX_IDLE_TIME } else { std::time::Duration::ZERO }
     }
 }
 
--- a/src/upstream/plain.rs
+++ b/src/upstream/plain.rs
@@ -1,6 +1,6 @@
 //! Driver for plain HTTP services. Any method and path is accepted; bodies are forwarded unchanged.
 
-use super::connection::{ConnectionGuard, ConnectionPool, OpenError, PROVEN_ALIVE};
+use super::connection::{ConnectionGuard, ConnectionPool, DEFAULT_MAX_IDLE_TIME, OpenError};
 use super::orca::{ORCA_HEADER, parse_orca_header, parse_orca_json};
 use super::{
     AnswerHead, AnswerPiece, AnswerStream, PieceRead, PieceSource, REQUEST_ID_HEADER, UpstreamCall,
@@ -91,7 +91,8 @@
     let request =
         Request::get(REPORT_PATH).header(HOST, address.to_string()).body(Full::default()).ok()?;
     let poll = async {
-        let (response, guard) = connections.send(address, request, PROVEN_ALIVE).await.ok()?;
+        let (response, guard) =
+            connections.send(address, request, DEFAULT_MAX_IDLE_TIME).await.ok()?;
         let is_ok = response.status() == StatusCode::OK;
         let body = http_body_util::Limited::new(response.into_body(), MAX_REPORT_BYTES)
             .collect()
