--- a/src/traffic/routed/attempt.rs
+++ b/src/traffic/routed/attempt.rs
@@ -76,7 +76,7 @@
         OpenError::Lost { detail } => SendError::ConnectionBroken(detail),
     })?;
     let metadata = request.dialect.read_answer(response.status(), response.headers());
-    let connection = connection.kept_for(metadata.idle_timeout);
+    let connection = connection.with_idle_timeout(metadata.idle_timeout);
     let is_matching = metadata.echoed_id.is_none() || metadata.echoed_id == request.metadata.id;
     if !is_matching {
         // A late answer to another request: the rest of the connection is unreliable too.
--- a/src/traffic/routed/reserve.rs
+++ b/src/traffic/routed/reserve.rs
@@ -82,7 +82,7 @@
     let sent = request.state.connections().send(address, call, MAX_IDLE_TIME).await;
     let (response, connection) = sent.ok()?;
     let metadata = request.dialect.read_answer(response.status(), response.headers());
-    let connection = connection.kept_for(metadata.idle_timeout);
+    let connection = connection.with_idle_timeout(metadata.idle_timeout);
     let status = response.status();
     let body =
         Limited::new(response.into_body(), REPLY_LIMIT_BYTES).collect().await.ok()?.to_bytes();
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -110,7 +110,7 @@
     address: SocketAddr,
     idle_since: Instant,
     /// Idle timeout last announced by the upstream.
-    kept_for: Option<Duration>,
+    idle_timeout: Option<Duration>,
     task: AbortHandle,
 }
 
@@ -134,8 +134,8 @@
 
 impl ConnectionGuard {
     /// Sets the idle timeout announced by the upstream.
-    pub fn kept_for(mut self, time: Option<Duration>) -> Self {
-        self.connection.iter_mut().for_each(|connection| connection.kept_for = time);
+    pub fn with_idle_timeout(mut self, time: Option<Duration>) -> Self {
+        self.connection.iter_mut().for_each(|connection| connection.idle_timeout = time);
         self
     }
 
@@ -173,9 +173,10 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
         let mut connection = connections.pop()?;
-        let kept_for = connection.kept_for.map(|time| time.saturating_sub(IDLE_TIMEOUT_MARGIN));
+        let idle_timeout =
+            connection.idle_timeout.map(|time| time.saturating_sub(IDLE_TIMEOUT_MARGIN));
         if connection.idle_since.elapsed()
-            > kept_for.map_or(max_idle_time, |time| time.min(max_idle_time))
+            > idle_timeout.map_or(max_idle_time, |time| time.min(max_idle_time))
         {
             connection.machine.step(ConnectionEvent::Stale);
             connections.clear();
@@ -208,7 +209,7 @@
             machine,
             address,
             idle_since: Instant::now(),
-            kept_for: None,
+            idle_timeout: None,
             task,
         })
     }
