--- a/src/daemon/upkeep.rs
+++ b/src/daemon/upkeep.rs
@@ -178,7 +178,7 @@
         match read {
             Ok(reading) => {
                 note_unread(&state, &reading.unread, &mut causes);
-                let list = reading.over(&state.platform_list());
+                let list = reading.applied_to(&state.platform_list());
                 if !was_read {
                     info!(state.log, "platform list can be read again");
                 }
--- a/src/upstream/platform_list.rs
+++ b/src/upstream/platform_list.rs
@@ -63,7 +63,7 @@
     /// upstreams without a new row keep their previous one. Of several rows for one upstream, the
     /// one with the largest incarnation is used, and among equal incarnations the one with the
     /// known address.
-    pub fn over(&self, known: &PlatformList) -> PlatformList {
+    pub fn applied_to(&self, known: &PlatformList) -> PlatformList {
         let known_rows: BTreeMap<_, _> = known.vms.iter().map(|row| (row.key(), row)).collect();
         let mut rows: BTreeMap<_, &VmRow> = BTreeMap::new();
         for row in &self.rows {
--- a/tests/test_list_pages.rs
+++ b/tests/test_list_pages.rs
@@ -128,7 +128,7 @@
         is_whole: true,
     };
 
-    let list = reading.over(&known);
+    let list = reading.applied_to(&known);
 
     assert_eq!(names(&list.vms), ["e1", "e2"]);
 }
@@ -138,7 +138,7 @@
     let known = PlatformList { vms: vec![row("e1", 1, 0), row("e2", 2, 0)] };
     let reading = ListReading { rows: vec![row("e3", 3, 0)], unread: Vec::new(), is_whole: false };
 
-    assert_eq!(names(&reading.over(&known).vms), ["e1", "e2", "e3"]);
+    assert_eq!(names(&reading.applied_to(&known).vms), ["e1", "e2", "e3"]);
 }
 
 #[rstest]
@@ -149,7 +149,7 @@
     let known = PlatformList { vms: vec![row("e1", 2, 0)] };
     let reading = ListReading { rows: rows.to_vec(), unread: Vec::new(), is_whole: true };
 
-    let list = reading.over(&known);
+    let list = reading.applied_to(&known);
 
     assert_eq!(list.vms.iter().map(|row| row.address.port()).collect::<Vec<u16>>(), [port]);
 }
