--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -359,7 +359,7 @@
         for pool in self.pools.load().values() {
             let sources = match self.rollouts.row(&pool.service) {
                 Some(row) => version_sources(&row, &platform, table, pool),
-                None => platform.merged(table, &pool.service),
+                None => platform.upstream_sources(table, &pool.service),
             };
             pool.handle_event(PoolEvent::Sources(sources));
         }
--- a/src/traffic/state/versions.rs
+++ b/src/traffic/state/versions.rs
@@ -108,10 +108,12 @@
     let Some(arm) = arm else { return Vec::new() };
     let belongs = |vm: &VmRow| row.arm_of(vm.version.as_ref()) == arm;
     if arm == VersionArm::Old {
-        return platform.only(service, belongs).merged(table, service);
+        return platform.filter_service(service, belongs).upstream_sources(table, service);
     }
     // Upstreams listed in the table have no version, so only the platform list is used.
-    let mut sources = platform.only(service, belongs).merged(&OperatorTable::default(), service);
+    let mut sources = platform
+        .filter_service(service, belongs)
+        .upstream_sources(&OperatorTable::default(), service);
     let hash =
         |source: &UpstreamSource| UpstreamHash::of(service, &source.name, source.incarnation);
     let in_use = row.active_upstreams(sources.iter().map(hash).collect());
--- a/src/upstream/platform_list.rs
+++ b/src/upstream/platform_list.rs
@@ -146,14 +146,22 @@
     }
 
     /// Returns the rows of `service` for which `keep` is true, and all rows of other services.
-    pub fn only(&self, service: &ServiceName, keep: impl Fn(&VmRow) -> bool) -> PlatformList {
+    pub fn filter_service(
+        &self,
+        service: &ServiceName,
+        keep: impl Fn(&VmRow) -> bool,
+    ) -> PlatformList {
         let vms = self.vms.iter().filter(|row| row.service != *service || keep(row));
         PlatformList { vms: vms.cloned().collect() }
     }
 
     /// Returns the upstreams of `service` in the table or this list. If an upstream is in both, the
     /// row with the larger incarnation is used; for equal incarnations, leaving overrides live.
-    pub fn merged(&self, table: &OperatorTable, service: &ServiceName) -> Vec<UpstreamSource> {
+    pub fn upstream_sources(
+        &self,
+        table: &OperatorTable,
+        service: &ServiceName,
+    ) -> Vec<UpstreamSource> {
         let from_table = table.upstreams.iter().filter(|row| row.service == *service).map(|row| {
             UpstreamSource {
                 name: row.upstream.clone(),
