--- a/src/clock.rs
+++ b/src/clock.rs
@@ -11,22 +11,22 @@
 /// lease after another leader was elected, and would answer reads from an old table: a read could
 /// miss an edit that was acknowledged before it.
 #[derive(Clone, Copy, Debug)]
-pub struct TrafficClock(Duration);
+pub struct MonotonicClock(Duration);
 
-impl TrafficClock {
+impl MonotonicClock {
     /// Creates a clock whose origin is 1 ms ago, so that `now` never returns 0.
     pub fn start() -> Self {
-        TrafficClock(since_boot().saturating_sub(Duration::from_millis(1)))
+        MonotonicClock(time_since_boot().saturating_sub(Duration::from_millis(1)))
     }
 
     /// Returns the time since the clock's origin.
     pub fn now(&self) -> Moment {
-        Moment(since_boot().saturating_sub(self.0).as_micros() as u64)
+        Moment(time_since_boot().saturating_sub(self.0).as_micros() as u64)
     }
 }
 
 /// Returns the time since boot, including time in suspension.
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
--- a/src/control/setup.rs
+++ b/src/control/setup.rs
@@ -1,7 +1,7 @@
 //! Configuration of the control loop.
 
 use super::links::FleetKey;
-use crate::clock::TrafficClock;
+use crate::clock::MonotonicClock;
 use crate::replica::ReplicaConfig;
 use crate::settings::PeerRow;
 use crate::table::DaemonName;
@@ -37,7 +37,7 @@
     /// Timing of the replica.
     pub replica: ReplicaConfig,
     /// The clock shared with the traffic code.
-    pub clock: TrafficClock,
+    pub clock: MonotonicClock,
     /// The logger.
     pub log: Logger,
     /// Seed of the random number generator.
--- a/src/traffic/pool_runtime.rs
+++ b/src/traffic/pool_runtime.rs
@@ -2,7 +2,7 @@
 //! wait for its decisions.
 
 use crate::answer::AnswerKind;
-use crate::clock::TrafficClock;
+use crate::clock::MonotonicClock;
 use crate::policy::{
     ArrivedRequest, DispatchOutcome, Moment, OrganisationIndex, PoolAction, PoolEvent, PoolPlan,
     PoolScheduler, PoolStatus, RequestId, TierRank, UpstreamIndex, UpstreamState, UpstreamStatus,
@@ -45,7 +45,7 @@
     /// Software version of the pool's upstreams; `None` if it accepts any version.
     pub version: Option<SoftwareVersion>,
     pub driver: Arc<dyn UpstreamDriver>,
-    clock: TrafficClock,
+    clock: MonotonicClock,
     event_tokens: AtomicU32,
     /// Longest time that an upstream reserves a slot, in milliseconds; 0 without reservations.
     reservation: AtomicU64,
@@ -59,7 +59,7 @@
         version: Option<SoftwareVersion>,
         plan: PoolPlan,
         driver: Arc<dyn UpstreamDriver>,
-        clock: TrafficClock,
+        clock: MonotonicClock,
         seed: u64,
     ) -> Arc<Self> {
         let core = PoolCore {
--- a/src/traffic/state/mod.rs
+++ b/src/traffic/state/mod.rs
@@ -12,7 +12,7 @@
 use super::quarantine_gate::QuarantineGate;
 use super::rollout_gate::RolloutGate;
 use super::routed::CallDialect;
-use crate::clock::TrafficClock;
+use crate::clock::MonotonicClock;
 use crate::control::ClaimClient;
 use crate::policy::{
     LimitTable, Mechanism, MechanismSet, Moment, PoolEvent, PoolPlan, RequestSizes, RetryBound,
@@ -56,7 +56,7 @@
 pub struct TrafficState {
     pub daemon: DaemonName,
     pub log: Logger,
-    pub clock: TrafficClock,
+    pub clock: MonotonicClock,
     snapshot: ArcSwap<TableSnapshot>,
     pools: ArcSwap<HashMap<ServiceName, Arc<PoolRuntime>>>,
     organisation_indices: Mutex<OrganisationIndices>,
@@ -108,7 +108,7 @@
         Arc::new(TrafficState {
             daemon,
             log,
-            clock: TrafficClock::start(),
+            clock: MonotonicClock::start(),
             snapshot: ArcSwap::default(),
             pools: ArcSwap::default(),
             organisation_indices: Mutex::default(),
