--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -256,7 +256,7 @@
     /// Drains and stops the daemon.
     pub(super) async fn stop(self) {
         self.daemon.drain();
-        self.daemon.finished().await;
+        self.daemon.stop_when_drained().await;
     }
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -328,7 +328,7 @@
     }
 
     /// Waits until the daemon has drained, then stops it.
-    pub async fn finished(self) {
+    pub async fn stop_when_drained(self) {
         self.ended().await;
         self.stop().await;
     }
