--- a/src/daemon/upkeep.rs
+++ b/src/daemon/background.rs
@@ -44,7 +44,7 @@
 const POLLS_AT_ONCE: usize = 64;
 
 /// Starts the background tasks on the current runtime.
-pub fn start_upkeep(state: Arc<TrafficState>, settings: &DaemonSettings) {
+pub fn start_background_tasks(state: Arc<TrafficState>, settings: &DaemonSettings) {
     tokio::spawn(tick_pools(Arc::clone(&state)));
     if let Some(place) = settings.platform_list.clone() {
         let lister = Box::new(DocumentLister { place });
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,6 +1,6 @@
 //! Assembles a daemon: the control thread, the traffic threads and the background tasks.
 
-mod upkeep;
+mod background;
 
 use crate::control::{
     AgentSettings, ClaimClient, ClaimClientSettings, ControlHandle, ControlSetup, FleetKey,
@@ -16,6 +16,7 @@
     without_frontend,
 };
 use crate::upstream::connection_chart;
+pub use background::start_background_tasks;
 use slog::{Logger, info, warn};
 use snafu::{ResultExt, Snafu};
 use std::net::SocketAddr;
@@ -23,7 +24,6 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
-pub use upkeep::start_upkeep;
 
 /// Time for which a drained daemon keeps its control thread, so that the leader can reclaim its
 /// shares.
@@ -146,7 +146,7 @@
     starting.await.unwrap_or_else(|_| {
         Err(StartError::Thread { detail: "the control thread exited during startup".to_owned() })
     })?;
-    start_upkeep(Arc::clone(&state), settings);
+    start_background_tasks(Arc::clone(&state), settings);
     info!(log, "daemon started"; "version" => env!("CARGO_PKG_VERSION"), "boot" => seed, "voter" => settings.data_folder.is_some(), "callers" => front.address.to_string(), "control" => control.to_string());
     Ok(RunningDaemon {
         callers: front.address,
--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -226,7 +226,7 @@
         "fleet_key_file": "key", "data_folder": "data", "platform_list": url,
     });
     let settings = DaemonSettings::read(&settings.to_string()).expect("good settings");
-    tarragonknot::daemon::start_upkeep(Arc::clone(&bench.fleet.state), &settings);
+    tarragonknot::daemon::start_background_tasks(Arc::clone(&bench.fleet.state), &settings);
 
     let before = bench.call(1, "note", 3).await;
     *list.lock().unwrap() = format!(
--- a/tests/test_traffic.rs
+++ b/tests/test_traffic.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tarragonknot::answer::{AnswerKind, ExecutionStatus, ProblemBody};
-use tarragonknot::daemon::start_upkeep;
+use tarragonknot::daemon::start_background_tasks;
 use tarragonknot::policy::Moment;
 use tarragonknot::settings::DaemonSettings;
 use tarragonknot::table::LimitMode;
@@ -145,7 +145,7 @@
     .await;
     let settings = r#"{"daemon": "entry-1", "data_centre": "hall-a", "callers": "127.0.0.1:0",
         "control": "127.0.0.1:0", "fleet_key_file": "key", "peers": [{"daemon": "entry-2", "control": "127.0.0.1:1"}]}"#;
-    start_upkeep(Arc::clone(&fleet.state), &DaemonSettings::read(settings).unwrap());
+    start_background_tasks(Arc::clone(&fleet.state), &DaemonSettings::read(settings).unwrap());
     let address = fleet.front.address;
     let (long, short) = (chat(true, 4_000), chat(false, 1));
     let running = tokio::spawn(async move {
