--- a/src/daemon/background.rs
+++ b/src/daemon/background.rs
@@ -21,34 +21,34 @@
 use tokio::task::JoinSet;
 
 /// Interval of scheduler ticks while requests wait or a floor is raised.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval of scheduler ticks otherwise.
-const IDLE_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between reads of the list as a document.
-const LIST_PAUSE: Duration = Duration::from_millis(500);
+const DOCUMENT_READ_PAUSE: Duration = Duration::from_millis(500);
 /// Timeout of one read of the list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a list read over HTTP, in bytes.
-const LIST_LIMIT: usize = 16 << 20;
+const MAX_LIST_BYTES: usize = 16 << 20;
 /// Pause between reads of the list over the platform's interface, where calls are charged for and
 /// their rate is limited across all daemons. An upstream must get no new work from 3 s after the
 /// list shows it as leaving.
-const INSTANCE_PAUSE: Duration = Duration::from_millis(1_000);
+const INSTANCE_READ_PAUSE: Duration = Duration::from_millis(1_000);
 /// Interval at which a daemon that does not read the list checks whether it has to.
-const READER_CHECK: Duration = Duration::from_millis(100);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of probes of unreachable upstreams.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Maximum number of distinct causes of unread entries that are logged.
-const MOST_CAUSES: usize = 64;
+const MAX_LOGGED_CAUSES: usize = 64;
 /// Maximum number of concurrent load report polls.
-const POLLS_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_POLLS: usize = 64;
 
 /// Starts the background tasks on the current runtime.
 pub fn start_background_tasks(state: Arc<TrafficState>, settings: &DaemonSettings) {
     tokio::spawn(tick_pools(Arc::clone(&state)));
-    if let Some(place) = settings.platform_list.clone() {
-        let lister = Box::new(DocumentLister { place });
-        tokio::spawn(read_lists(Arc::clone(&state), lister, LIST_PAUSE));
+    if let Some(location) = settings.platform_list.clone() {
+        let lister = Box::new(DocumentLister { location });
+        tokio::spawn(read_lists(Arc::clone(&state), lister, DOCUMENT_READ_PAUSE));
     }
     let Some(platform) = &settings.platform else {
         tokio::spawn(poll_reports(state, settings.report_poll_ms));
@@ -58,7 +58,7 @@
     if let Some(address) = platform.list {
         state.expect_upstream_list();
         let lister = Box::new(InstanceLister::new(address, Arc::clone(state.connections())));
-        tokio::spawn(read_lists(state, lister, INSTANCE_PAUSE));
+        tokio::spawn(read_lists(state, lister, INSTANCE_READ_PAUSE));
     }
 }
 
@@ -68,7 +68,7 @@
         state.limits().record_alive(state.clock.now());
         let mut is_busy = false;
         for (service, pool) in state.pools().iter() {
-            refuse_without_lease(&state, pool);
+            refuse_after_lease_expiry(&state, pool);
             pool.handle_event(PoolEvent::Tick);
             let floor =
                 pool.inspect(|scheduler| (scheduler.wanted_floor(), scheduler.effective_floor()));
@@ -78,14 +78,14 @@
                 state.floor_changes.notify_one();
             }
         }
-        tokio::time::sleep(if is_busy { TICK } else { IDLE_TICK }).await;
+        tokio::time::sleep(if is_busy { TICK_INTERVAL } else { IDLE_TICK_INTERVAL }).await;
     }
 }
 
 /// Refuses waiting requests once the lease has expired, since none may be dispatched any more. This
 /// is checked at each tick and not by the agent, which may be blocked on a leader that does not
 /// answer.
-fn refuse_without_lease(state: &TrafficState, pool: &PoolRuntime) {
+fn refuse_after_lease_expiry(state: &TrafficState, pool: &PoolRuntime) {
     if !state.is_current() && pool.status().waiting > 0 {
         warn!(state.log, "lease expired; refusing waiting requests"; "service" => pool.service.as_str());
         pool.handle_event(PoolEvent::LeaseExpired);
@@ -106,20 +106,20 @@
                 let (state, pool, path) = (Arc::clone(&state), Arc::clone(pool), path.clone());
                 tokio::spawn(async move {
                     let outcome = probe(&state, address, name.as_str(), path.as_deref()).await;
-                    if let Some(event) = word_of(outcome) {
+                    if let Some(event) = event_of_outcome(outcome) {
                         info!(state.log, "suspect upstream answered a probe"; "upstream" => name.as_str(), "event" => format!("{event:?}"));
                         pool.handle_event(PoolEvent::Lifecycle { upstream, event });
                     }
                 });
             }
         }
-        tokio::time::sleep(PROBE_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
 /// Returns the event of an unreachable upstream for a probe's outcome, or `None` if it is still
 /// unreachable.
-fn word_of(outcome: ProbeOutcome) -> Option<UpstreamEvent> {
+fn event_of_outcome(outcome: ProbeOutcome) -> Option<UpstreamEvent> {
     match outcome {
         ProbeOutcome::Answered => Some(UpstreamEvent::Answered),
         ProbeOutcome::OtherIncarnation => Some(UpstreamEvent::Leaving),
@@ -132,10 +132,10 @@
         let mut polls = JoinSet::new();
         for pool in state.pools().values() {
             for (upstream, address, is_suspect) in pool.addresses() {
-                if polls.len() >= POLLS_AT_ONCE {
+                if polls.len() >= MAX_CONCURRENT_POLLS {
                     polls.join_next().await;
                 }
-                polls.spawn(poll_one(Arc::clone(pool), upstream, address, is_suspect));
+                polls.spawn(poll_upstream(Arc::clone(pool), upstream, address, is_suspect));
             }
         }
         polls.join_all().await;
@@ -143,7 +143,7 @@
     }
 }
 
-async fn poll_one(
+async fn poll_upstream(
     pool: Arc<PoolRuntime>,
     upstream: UpstreamIndex,
     address: SocketAddr,
@@ -160,15 +160,15 @@
 
 /// Reads the list repeatedly and applies changes. If a read fails, the last list stays in force.
 async fn read_lists(state: Arc<TrafficState>, lister: Box<dyn UpstreamLister>, pause: Duration) {
-    let mut last = None;
-    let mut was_read = true;
-    let mut causes = BTreeSet::new();
+    let mut last_list = None;
+    let mut is_readable = true;
+    let mut logged_causes = BTreeSet::new();
     loop {
         let has_table = state.snapshot().version > 0;
         if !state.fleet.is_list_read_due(has_table, state.clock.now()) {
             // A list received from another daemon may differ from the one last read here.
-            last = None;
-            tokio::time::sleep(READER_CHECK).await;
+            last_list = None;
+            tokio::time::sleep(READER_CHECK_INTERVAL).await;
             continue;
         }
         let read = tokio::time::timeout(LIST_TIMEOUT, lister.read()).await;
@@ -177,25 +177,25 @@
         });
         match read {
             Ok(reading) => {
-                note_unread(&state, &reading.unread, &mut causes);
+                record_unread_entries(&state, &reading.unread, &mut logged_causes);
                 let list = reading.applied_to(&state.platform_list());
-                if !was_read {
+                if !is_readable {
                     info!(state.log, "platform list can be read again");
                 }
-                was_read = true;
+                is_readable = true;
                 state.fleet.store_reading(&list, state.clock.now());
-                if last.as_ref() != Some(&list) {
+                if last_list.as_ref() != Some(&list) {
                     state.apply_platform_list(list.clone());
-                    last = Some(list);
+                    last_list = Some(list);
                 }
             }
             Err(error) => {
                 state.fleet.record_read_failure(state.clock.now());
                 // Logs only the first of consecutive failures, as the list is read every second.
-                if was_read {
+                if is_readable {
                     warn!(state.log, "platform list not read"; "fault" => error.detail);
                 }
-                was_read = false;
+                is_readable = false;
             }
         }
         tokio::time::sleep(pause).await;
@@ -204,10 +204,14 @@
 
 /// Counts entries that could not be read and logs each cause once, because such entries stay in the
 /// list for long and the list is read every second.
-fn note_unread(state: &TrafficState, unread: &[UnreadEntry], causes: &mut BTreeSet<String>) {
+fn record_unread_entries(
+    state: &TrafficState,
+    unread: &[UnreadEntry],
+    logged_causes: &mut BTreeSet<String>,
+) {
     metrics::counter!("platform_list_entries_unread").increment(unread.len() as u64);
     for entry in unread {
-        if causes.len() < MOST_CAUSES && causes.insert(entry.cause.clone()) {
+        if logged_causes.len() < MAX_LOGGED_CAUSES && logged_causes.insert(entry.cause.clone()) {
             let name = entry.upstream.as_ref().map_or("", |name| name.as_str());
             warn!(state.log, "entry of the platform list not read"; "upstream" => name, "cause" => &entry.cause);
         }
@@ -216,31 +220,31 @@
 
 /// Reads the list as a JSON document from a file or over HTTP.
 struct DocumentLister {
-    place: String,
+    location: String,
 }
 
 impl UpstreamLister for DocumentLister {
     fn read(&self) -> BoxFuture<'_, Result<ListReading, ListError>> {
         Box::pin(async move {
-            let text = fetch_text(&self.place).await?;
+            let text = fetch_text(&self.location).await?;
             let list = PlatformList::read(&text).map_err(ListError::from_display)?;
             Ok(list.into())
         })
     }
 }
 
-async fn fetch_text(place: &str) -> Result<String, ListError> {
-    if !place.starts_with("http://") {
-        return tokio::fs::read_to_string(place).await.map_err(ListError::from_display);
+async fn fetch_text(location: &str) -> Result<String, ListError> {
+    if !location.starts_with("http://") {
+        return tokio::fs::read_to_string(location).await.map_err(ListError::from_display);
     }
     let request =
-        Request::get(place).body(Full::<Bytes>::default()).map_err(ListError::from_display)?;
+        Request::get(location).body(Full::<Bytes>::default()).map_err(ListError::from_display)?;
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let response = client.request(request).await.map_err(ListError::from_display)?;
     if !response.status().is_success() {
         return Err(ListError { detail: format!("status {}", response.status()) });
     }
-    let body = Limited::new(response.into_body(), LIST_LIMIT)
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
         .collect()
         .await
         .map_err(ListError::from_display)?;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -27,7 +27,7 @@
 
 /// Time for which a drained daemon keeps its control thread, so that the leader can reclaim its
 /// shares.
-const FAREWELL: Duration = Duration::from_millis(600);
+const SHARE_RECLAIM_TIME: Duration = Duration::from_millis(600);
 
 /// Error of starting a daemon.
 #[derive(Debug, Snafu)]
@@ -42,13 +42,13 @@
     },
     /// The data folder could not be used.
     #[snafu(display("data folder: {source}"))]
-    Folder {
+    DataFolder {
         /// The error.
         source: StoreError,
     },
     /// A thread or server could not be started, or a state chart is invalid.
     #[snafu(display("cannot start: {detail}"))]
-    Thread {
+    Component {
         /// What happened.
         detail: String,
     },
@@ -63,7 +63,7 @@
     /// State shared by the traffic tasks.
     pub state: Arc<TrafficState>,
     voters: KnownVoters,
-    front: FrontendHandle,
+    frontend: FrontendHandle,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -99,14 +99,14 @@
         let now = state.clock.now();
         state.limits().start_empty(now);
     }
-    state.limits().set_tolerance(tolerance(settings));
+    state.limits().set_tolerance(limit_tolerance(settings));
     state
         .set_retry_bound(RetryBound { ratio: settings.repeat_ratio, slack: settings.repeat_slack });
     state.set_mechanisms(MechanismSet::without(&settings.mechanisms_off));
     if settings.when_cut_off == LeaseExpiryMode::Serve {
         state.allow_expired_table();
     }
-    let front = match settings.callers {
+    let frontend = match settings.callers {
         Some(callers) => {
             let listener = listen(callers).await?;
             start_frontend(Arc::clone(&state), listener, settings.balancer_wait_ms)
@@ -134,7 +134,7 @@
         agent,
         listener: control_listener,
         operators,
-        drain: front.drain_sender(),
+        drain: frontend.drain_sender(),
         state: Arc::clone(&state),
         stop: stopped,
         started,
@@ -142,18 +142,18 @@
     let thread = std::thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || run_control_thread(start));
-    let thread = thread.map_err(|error| StartError::Thread { detail: error.to_string() })?;
+    let thread = thread.map_err(|error| StartError::Component { detail: error.to_string() })?;
     starting.await.unwrap_or_else(|_| {
-        Err(StartError::Thread { detail: "the control thread exited during startup".to_owned() })
+        Err(StartError::Component { detail: "the control thread exited during startup".to_owned() })
     })?;
     start_background_tasks(Arc::clone(&state), settings);
-    info!(log, "daemon started"; "version" => env!("CARGO_PKG_VERSION"), "boot" => seed, "voter" => settings.data_folder.is_some(), "callers" => front.address.to_string(), "control" => control.to_string());
+    info!(log, "daemon started"; "version" => env!("CARGO_PKG_VERSION"), "boot" => seed, "voter" => settings.data_folder.is_some(), "callers" => frontend.address.to_string(), "control" => control.to_string());
     Ok(RunningDaemon {
-        callers: front.address,
+        callers: frontend.address,
         control,
         state,
         voters,
-        front,
+        frontend,
         stop: Some(stop),
         thread: Some(thread),
     })
@@ -185,12 +185,12 @@
         drain_chart().faults(),
     ];
     match faults.into_iter().flatten().next() {
-        Some(detail) => Err(StartError::Thread { detail }),
+        Some(detail) => Err(StartError::Component { detail }),
         None => Ok(()),
     }
 }
 
-fn tolerance(settings: &DaemonSettings) -> LimitTolerance {
+fn limit_tolerance(settings: &DaemonSettings) -> LimitTolerance {
     LimitTolerance { overage: settings.limit_overage, slack: settings.limit_slack_tokens }
 }
 
@@ -249,7 +249,7 @@
     match runtime {
         Ok(runtime) => runtime.block_on(run_control(start)),
         Err(error) => {
-            drop(start.started.send(Err(StartError::Thread { detail: error.to_string() })))
+            drop(start.started.send(Err(StartError::Component { detail: error.to_string() })))
         }
     }
 }
@@ -258,7 +258,7 @@
     let ControlStart { setup, agent, listener, operators, drain, state, stop, started } = start;
     let key = setup.key.clone();
     let hint = LeaderHint::default();
-    let control = match start_control(setup, drain).context(FolderSnafu) {
+    let control = match start_control(setup, drain).context(DataFolderSnafu) {
         Ok(control) => control,
         Err(error) => return drop(started.send(Err(error))),
     };
@@ -270,7 +270,7 @@
     let server = match start_server(listener, key.clone(), control, hint.clone()).await {
         Ok(server) => server,
         Err(error) => {
-            return drop(started.send(Err(StartError::Thread { detail: error.to_string() })));
+            return drop(started.send(Err(StartError::Component { detail: error.to_string() })));
         }
     };
     state.set_claims(ClaimClient::start(ClaimClientSettings {
@@ -294,10 +294,10 @@
     control: ControlHandle,
     state: &Arc<TrafficState>,
 ) -> Result<(), StartError> {
-    let Some(manner) = state.interface() else { return Ok(()) };
+    let Some(interface) = state.interface() else { return Ok(()) };
     let listener = listen(address).await?;
-    let door = OperatorClient::new(control, Arc::clone(&manner.reader), state.log.clone());
-    let router = platform::operators_router(Arc::new(door), address.port());
+    let client = OperatorClient::new(control, Arc::clone(&interface.reader), state.log.clone());
+    let router = platform::operators_router(Arc::new(client), address.port());
     tokio::spawn(async move { axum::serve(listener, router).await });
     Ok(())
 }
@@ -305,26 +305,26 @@
 impl RunningDaemon {
     /// Starts the drain; further calls have no effect.
     pub fn drain(&self) {
-        self.front.drain();
+        self.frontend.drain();
     }
 
     /// Applies reloaded settings. Only the seeds and the limit tolerance take effect in a running
     /// daemon.
     pub fn apply_settings(&self, settings: &DaemonSettings) {
         self.voters.set(voter_addresses(settings, self.control));
-        self.state.limits().set_tolerance(tolerance(settings));
+        self.state.limits().set_tolerance(limit_tolerance(settings));
         info!(self.state.log, "settings in force"; "seeds" => format!("{:?}", settings.seeds));
     }
 
     /// Returns a sender that starts the drain, for a signal handler.
     pub fn drain_sender(&self) -> watch::Sender<bool> {
-        self.front.drain_sender()
+        self.frontend.drain_sender()
     }
 
     /// Resolves once the daemon has drained, whether it was told by [`drain`](Self::drain), a
     /// signal or an operator.
     pub fn ended(&self) -> impl Future<Output = ()> + use<> {
-        self.front.ended()
+        self.frontend.ended()
     }
 
     /// Waits until the daemon has drained, then stops it.
@@ -336,7 +336,7 @@
     /// Stops a drained daemon.
     pub async fn stop(mut self) {
         self.state.floor_changes.notify_one();
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(SHARE_RECLAIM_TIME).await;
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
