--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -34,22 +34,14 @@
 pub enum StartError {
     /// An address could not be bound.
     #[snafu(display("{address}: {source}"))]
-    Bind {
-        /// The address.
-        address: SocketAddr,
-        /// The error.
-        source: std::io::Error,
-    },
+    Bind { address: SocketAddr, source: std::io::Error },
     /// The data folder could not be used.
     #[snafu(display("data folder: {source}"))]
-    DataFolder {
-        /// The error.
-        source: StoreError,
-    },
+    DataFolder { source: StoreError },
     /// A thread or server could not be started, or a state chart is invalid.
     #[snafu(display("cannot start: {detail}"))]
     Component {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -24,7 +24,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Maximum time since its last complete answer within which a connection is known to be alive and
+/// Maximum time since its last complete answer within which a connection is considered alive and
 /// may be reused, unless the user of the pool sets another one.
 pub const DEFAULT_MAX_IDLE_TIME: Duration = Duration::from_millis(1_000);
 /// Safety margin before the upstream's idle timeout. By the daemon's clock the upstream may close
@@ -93,13 +93,13 @@
     /// No byte of the request was sent.
     #[snafu(display("nothing was sent: {detail}"))]
     NotSent {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
     /// The request may have been sent, in whole or in part.
     #[snafu(display("sent, but no answer received: {detail}"))]
     Lost {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -32,7 +32,6 @@
 pub struct UpstreamCall {
     /// Request id assigned by the daemon and echoed by the upstream.
     pub id: Arc<str>,
-    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
@@ -58,7 +57,6 @@
 /// Status and headers of an upstream's answer.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
-    /// HTTP status.
     pub status: StatusCode,
     /// Headers to forward.
     pub headers: HeaderMap,
--- a/src/upstream/platform_list.rs
+++ b/src/upstream/platform_list.rs
@@ -18,7 +18,7 @@
 /// Error of reading the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListError {
-    /// What happened.
+    /// Description of the failure.
     pub detail: String,
 }
 
