--- a/src/daemon/background.rs
+++ b/src/daemon/background.rs
@@ -107,7 +107,7 @@
                 tokio::spawn(async move {
                     let outcome = probe(&state, address, name.as_str(), path.as_deref()).await;
                     if let Some(event) = event_of_outcome(outcome) {
-                        info!(state.log, "suspect upstream answered a probe"; "upstream" => name.as_str(), "event" => format!("{event:?}"));
+                        info!(state.log, "suspect upstream answered a probe"; "upstream" => name.as_str(), "word" => format!("{event:?}"));
                         pool.handle_event(PoolEvent::Lifecycle { upstream, event });
                     }
                 });
