--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -265,7 +265,7 @@
     /// Drains the daemon and stops it.
     pub(super) async fn stop(self) {
         self.daemon.drain();
-        self.daemon.finished().await;
+        self.daemon.stop_when_drained().await;
     }
 }
 
--- a/src/daemon/upkeep.rs
+++ b/src/daemon/background.rs
@@ -1,11 +1,12 @@
-//! What a daemon does as time passes: scheduler ticks, load reports, the platform's list.
+//! Periodic background tasks: scheduler ticks, load report polls, probes and reads of the
+//! platform's list.
 
 use crate::platform::InstanceLister;
 use crate::policy::{PoolEvent, TierRank, UpstreamEvent, UpstreamIndex};
 use crate::settings::DaemonSettings;
 use crate::table::ServiceName;
 use crate::traffic::{PoolRuntime, ProbeOutcome, TrafficState, probe};
-use crate::upstream::{ListFault, ListReading, PlatformList, UnreadEntry, UpstreamLister};
+use crate::upstream::{ListError, ListReading, PlatformList, UnreadEntry, UpstreamLister};
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 use http::Request;
@@ -19,34 +20,35 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Time between scheduler ticks.
-const TICK: Duration = Duration::from_millis(10);
-/// Time between ticks while nothing waits and no floor is raised.
-const IDLE_TICK: Duration = Duration::from_millis(100);
-/// Time between readings of the platform's list.
-const LIST_PAUSE: Duration = Duration::from_millis(500);
-/// A list over HTTP is answered within this time.
+/// Interval of scheduler ticks while requests wait or a floor is raised.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval of scheduler ticks otherwise.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between reads of the list as a document.
+const DOCUMENT_READ_PAUSE: Duration = Duration::from_millis(500);
+/// Timeout of one read of the list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest list, in bytes.
-const LIST_LIMIT: usize = 16 << 20;
-/// Time between readings of the platform's list over its interface, where each call has a price and all daemons
-/// together may make so many a second. An upstream that leaves must get no new work 3 s after the list shows it.
-const INSTANCE_PAUSE: Duration = Duration::from_millis(1_000);
-/// How often a daemon that does not read the list looks whether it must.
-const READER_CHECK: Duration = Duration::from_millis(100);
-/// Time between attempts to connect to upstreams that could not be reached.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// Causes of unread entries that are logged, at most.
-const MOST_CAUSES: usize = 64;
-/// Load reports asked for at once.
-const POLLS_AT_ONCE: usize = 64;
+/// Maximum size of a list read over HTTP, in bytes.
+const MAX_LIST_BYTES: usize = 16 << 20;
+/// Pause between reads of the list over the platform's interface, where calls are charged for and
+/// their rate is limited across all daemons. An upstream must get no new work from 3 s after the
+/// list shows it as leaving.
+const INSTANCE_READ_PAUSE: Duration = Duration::from_millis(1_000);
+/// Interval at which a daemon that does not read the list checks whether it has to.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of probes of unreachable upstreams.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum number of distinct causes of unread entries that are logged.
+const MAX_LOGGED_CAUSES: usize = 64;
+/// Maximum number of concurrent load report polls.
+const MAX_CONCURRENT_POLLS: usize = 64;
 
-/// Starts the upkeep tasks on the current runtime.
-pub fn start_upkeep(state: Arc<TrafficState>, settings: &DaemonSettings) {
+/// Starts the background tasks on the current runtime.
+pub fn start_background_tasks(state: Arc<TrafficState>, settings: &DaemonSettings) {
     tokio::spawn(tick_pools(Arc::clone(&state)));
-    if let Some(place) = settings.platform_list.clone() {
-        let lister = Box::new(DocumentLister { place });
-        tokio::spawn(read_lists(Arc::clone(&state), lister, LIST_PAUSE));
+    if let Some(location) = settings.platform_list.clone() {
+        let lister = Box::new(DocumentLister { location });
+        tokio::spawn(read_lists(Arc::clone(&state), lister, DOCUMENT_READ_PAUSE));
     }
     let Some(platform) = &settings.platform else {
         tokio::spawn(poll_reports(state, settings.report_poll_ms));
@@ -56,7 +58,7 @@
     if let Some(address) = platform.list {
         state.expect_upstream_list();
         let lister = Box::new(InstanceLister::new(address, Arc::clone(state.connections())));
-        tokio::spawn(read_lists(state, lister, INSTANCE_PAUSE));
+        tokio::spawn(read_lists(state, lister, INSTANCE_READ_PAUSE));
     }
 }
 
@@ -66,7 +68,7 @@
         state.limits().record_alive(state.clock.now());
         let mut is_busy = false;
         for (service, pool) in state.pools().iter() {
-            refuse_without_lease(&state, pool);
+            refuse_after_lease_expiry(&state, pool);
             pool.handle_event(PoolEvent::Tick);
             let floor =
                 pool.inspect(|scheduler| (scheduler.wanted_floor(), scheduler.effective_floor()));
@@ -76,20 +78,22 @@
                 state.floor_changes.notify_one();
             }
         }
-        tokio::time::sleep(if is_busy { TICK } else { IDLE_TICK }).await;
+        tokio::time::sleep(if is_busy { TICK_INTERVAL } else { IDLE_TICK_INTERVAL }).await;
     }
 }
 
-/// Once the lease has run out nothing that waits may be dispatched any more. Looked at with each tick, not by
-/// the agent: that one may be kept waiting by a leader that does not answer.
-fn refuse_without_lease(state: &TrafficState, pool: &PoolRuntime) {
+/// Refuses waiting requests once the lease has expired, since none may be dispatched any more. This
+/// is checked at each tick and not by the agent, which may be blocked on a leader that does not
+/// answer.
+fn refuse_after_lease_expiry(state: &TrafficState, pool: &PoolRuntime) {
     if !state.is_current() && pool.status().waiting > 0 {
-        warn!(state.log, "lease ran out; refusing what waits"; "service" => pool.service.as_str());
+        warn!(state.log, "lease expired; refusing waiting requests"; "service" => pool.service.as_str());
         pool.handle_event(PoolEvent::LeaseExpired);
     }
 }
 
-/// Where answers carry the load, only upstreams that could not be reached are looked at.
+/// Probes unreachable upstreams. Used with a platform, where answers carry the load reports and
+/// others need no polling.
 async fn probe_suspects(state: Arc<TrafficState>) {
     loop {
         for pool in state.pools().values() {
@@ -102,19 +106,20 @@
                 let (state, pool, path) = (Arc::clone(&state), Arc::clone(pool), path.clone());
                 tokio::spawn(async move {
                     let outcome = probe(&state, address, name.as_str(), path.as_deref()).await;
-                    if let Some(event) = word_of(outcome) {
-                        info!(state.log, "suspect upstream answers"; "upstream" => name.as_str(), "word" => format!("{event:?}"));
+                    if let Some(event) = event_of_outcome(outcome) {
+                        info!(state.log, "suspect upstream answered a probe"; "upstream" => name.as_str(), "word" => format!("{event:?}"));
                         pool.handle_event(PoolEvent::Lifecycle { upstream, event });
                     }
                 });
             }
         }
-        tokio::time::sleep(PROBE_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// What a probe's outcome says of an upstream that could not be reached; none where it still says nothing.
-fn word_of(outcome: ProbeOutcome) -> Option<UpstreamEvent> {
+/// Returns the event of an unreachable upstream for a probe's outcome, or `None` if it is still
+/// unreachable.
+fn event_of_outcome(outcome: ProbeOutcome) -> Option<UpstreamEvent> {
     match outcome {
         ProbeOutcome::Answered => Some(UpstreamEvent::Answered),
         ProbeOutcome::OtherIncarnation => Some(UpstreamEvent::Leaving),
@@ -127,10 +132,10 @@
         let mut polls = JoinSet::new();
         for pool in state.pools().values() {
             for (upstream, address, is_suspect) in pool.addresses() {
-                if polls.len() >= POLLS_AT_ONCE {
+                if polls.len() >= MAX_CONCURRENT_POLLS {
                     polls.join_next().await;
                 }
-                polls.spawn(poll_one(Arc::clone(pool), upstream, address, is_suspect));
+                polls.spawn(poll_upstream(Arc::clone(pool), upstream, address, is_suspect));
             }
         }
         polls.join_all().await;
@@ -138,7 +143,7 @@
     }
 }
 
-async fn poll_one(
+async fn poll_upstream(
     pool: Arc<PoolRuntime>,
     upstream: UpstreamIndex,
     address: SocketAddr,
@@ -153,91 +158,95 @@
     }
 }
 
-/// Reads the list again as it changes. A list that cannot be read leaves the last one in force.
+/// Reads the list repeatedly and applies changes. If a read fails, the last list stays in force.
 async fn read_lists(state: Arc<TrafficState>, lister: Box<dyn UpstreamLister>, pause: Duration) {
-    let mut last = None;
-    let mut was_read = true;
-    let mut causes = BTreeSet::new();
+    let mut last_list = None;
+    let mut is_readable = true;
+    let mut logged_causes = BTreeSet::new();
     loop {
         let has_table = state.snapshot().version > 0;
         if !state.fleet.is_list_read_due(has_table, state.clock.now()) {
-            // What another daemon told may differ from what this one read last.
-            last = None;
-            tokio::time::sleep(READER_CHECK).await;
+            // A list received from another daemon may differ from the one last read here.
+            last_list = None;
+            tokio::time::sleep(READER_CHECK_INTERVAL).await;
             continue;
         }
         let read = tokio::time::timeout(LIST_TIMEOUT, lister.read()).await;
         let read = read.unwrap_or_else(|_| {
-            Err(ListFault { detail: format!("no answer within {LIST_TIMEOUT:?}") })
+            Err(ListError { detail: format!("no answer within {LIST_TIMEOUT:?}") })
         });
         match read {
             Ok(reading) => {
-                note_unread(&state, &reading.unread, &mut causes);
-                let list = reading.over(&state.platform_list());
-                if !was_read {
-                    info!(state.log, "platform list read again");
+                record_unread_entries(&state, &reading.unread, &mut logged_causes);
+                let list = reading.applied_to(&state.platform_list());
+                if !is_readable {
+                    info!(state.log, "platform list can be read again");
                 }
-                was_read = true;
+                is_readable = true;
                 state.fleet.store_reading(&list, state.clock.now());
-                if last.as_ref() != Some(&list) {
+                if last_list.as_ref() != Some(&list) {
                     state.apply_platform_list(list.clone());
-                    last = Some(list);
+                    last_list = Some(list);
                 }
             }
-            Err(fault) => {
+            Err(error) => {
                 state.fleet.record_read_failure(state.clock.now());
-                // Once for a row of failures: the list is asked for every second.
-                if was_read {
-                    warn!(state.log, "platform list not read"; "fault" => fault.detail);
+                // Logs only the first of consecutive failures, as the list is read every second.
+                if is_readable {
+                    warn!(state.log, "platform list not read"; "fault" => error.detail);
                 }
-                was_read = false;
+                is_readable = false;
             }
         }
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Counts entries that could not be read, and logs each cause once: they stand in the list for long, which is read each
-/// second.
-fn note_unread(state: &TrafficState, unread: &[UnreadEntry], causes: &mut BTreeSet<String>) {
+/// Counts entries that could not be read and logs each cause once, because such entries stay in the
+/// list for long and the list is read every second.
+fn record_unread_entries(
+    state: &TrafficState,
+    unread: &[UnreadEntry],
+    logged_causes: &mut BTreeSet<String>,
+) {
     metrics::counter!("platform_list_entries_unread").increment(unread.len() as u64);
     for entry in unread {
-        if causes.len() < MOST_CAUSES && causes.insert(entry.cause.clone()) {
+        if logged_causes.len() < MAX_LOGGED_CAUSES && logged_causes.insert(entry.cause.clone()) {
             let name = entry.upstream.as_ref().map_or("", |name| name.as_str());
             warn!(state.log, "entry of the platform list not read"; "upstream" => name, "cause" => &entry.cause);
         }
     }
 }
 
-/// The list as a file of JSON, or over HTTP.
+/// Reads the list as a JSON document from a file or over HTTP.
 struct DocumentLister {
-    place: String,
+    location: String,
 }
 
 impl UpstreamLister for DocumentLister {
-    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListFault>> {
+    fn read(&self) -> BoxFuture<'_, Result<ListReading, ListError>> {
         Box::pin(async move {
-            let text = fetch_text(&self.place).await?;
-            let list = PlatformList::read(&text).map_err(ListFault::from_display)?;
+            let text = fetch_text(&self.location).await?;
+            let list = PlatformList::read(&text).map_err(ListError::from_display)?;
             Ok(list.into())
         })
     }
 }
 
-async fn fetch_text(place: &str) -> Result<String, ListFault> {
-    if !place.starts_with("http://") {
-        return tokio::fs::read_to_string(place).await.map_err(ListFault::from_display);
+async fn fetch_text(location: &str) -> Result<String, ListError> {
+    if !location.starts_with("http://") {
+        return tokio::fs::read_to_string(location).await.map_err(ListError::from_display);
     }
     let request =
-        Request::get(place).body(Full::<Bytes>::default()).map_err(ListFault::from_display)?;
+        Request::get(location).body(Full::<Bytes>::default()).map_err(ListError::from_display)?;
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-    let response = client.request(request).await.map_err(ListFault::from_display)?;
+    let response = client.request(request).await.map_err(ListError::from_display)?;
     if !response.status().is_success() {
-        return Err(ListFault { detail: format!("status {}", response.status()) });
+        return Err(ListError { detail: format!("status {}", response.status()) });
     }
-    let body = Limited::new(response.into_body(), LIST_LIMIT)
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
         .collect()
         .await
-        .map_err(ListFault::from_display)?;
-    String::from_utf8(body.to_bytes().to_vec()).map_err(ListFault::from_display)
+        .map_err(ListError::from_display)?;
+    String::from_utf8(body.to_bytes().to_vec()).map_err(ListError::from_display)
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,6 +1,6 @@
-//! One daemon put together: the control thread, the traffic threads, and the work that time calls for.
+//! Assembles a daemon: the control thread, the traffic threads and the background tasks.
 
-mod upkeep;
+mod background;
 
 use crate::control::{
     AgentSettings, ClaimClient, ClaimClientSettings, ControlHandle, ControlSetup, FleetKey,
@@ -16,6 +16,7 @@
     without_frontend,
 };
 use crate::upstream::connection_chart;
+pub use background::start_background_tasks;
 use slog::{Logger, info, warn};
 use snafu::{ResultExt, Snafu};
 use std::net::SocketAddr;
@@ -23,51 +24,43 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
-pub use upkeep::start_upkeep;
 
-/// A drained daemon waits this long for the leader to take its shares back.
-const FAREWELL: Duration = Duration::from_millis(600);
+/// Time for which a drained daemon keeps its control thread, so that the leader can reclaim its
+/// shares.
+const SHARE_RECLAIM_TIME: Duration = Duration::from_millis(600);
 
-/// Why a daemon could not start.
+/// Error of starting a daemon.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// An address could not be bound.
     #[snafu(display("{address}: {source}"))]
-    Bind {
-        /// The address.
-        address: SocketAddr,
-        /// The error.
-        source: std::io::Error,
-    },
-    /// The data folder cannot be used.
+    Bind { address: SocketAddr, source: std::io::Error },
+    /// The data folder could not be used.
     #[snafu(display("data folder: {source}"))]
-    Folder {
-        /// The error.
-        source: StoreError,
-    },
-    /// A thread or server could not be started.
+    DataFolder { source: StoreError },
+    /// A thread or server could not be started, or a state chart is invalid.
     #[snafu(display("cannot start: {detail}"))]
-    Thread {
-        /// What happened.
+    Component {
+        /// Description of the failure.
         detail: String,
     },
 }
 
 /// A running daemon.
 pub struct RunningDaemon {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Control address, for operators and other daemons.
     pub control: SocketAddr,
-    /// The traffic's state.
+    /// State shared by the traffic tasks.
     pub state: Arc<TrafficState>,
     voters: KnownVoters,
-    front: FrontendHandle,
+    frontend: FrontendHandle,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// What the control thread is given.
+/// Arguments of the control thread.
 struct ControlStart {
     setup: ControlSetup,
     agent: AgentSettings,
@@ -79,7 +72,7 @@
     started: oneshot::Sender<Result<(), StartError>>,
 }
 
-/// Starts a daemon on the current (multi-threaded) runtime; control state gets a thread of its own.
+/// Starts a daemon on the current multi-threaded runtime. Control state runs on its own thread.
 pub async fn start_daemon(
     settings: &DaemonSettings,
     key: FleetKey,
@@ -98,14 +91,14 @@
         let now = state.clock.now();
         state.limits().start_empty(now);
     }
-    state.limits().set_tolerance(tolerance(settings));
+    state.limits().set_tolerance(limit_tolerance(settings));
     state
         .set_retry_bound(RetryBound { ratio: settings.repeat_ratio, slack: settings.repeat_slack });
     state.set_mechanisms(MechanismSet::without(&settings.mechanisms_off));
     if settings.when_cut_off == LeaseExpiryMode::Serve {
         state.allow_expired_table();
     }
-    let front = match settings.callers {
+    let frontend = match settings.callers {
         Some(callers) => {
             let listener = listen(callers).await?;
             start_frontend(Arc::clone(&state), listener, settings.balancer_wait_ms)
@@ -133,7 +126,7 @@
         agent,
         listener: control_listener,
         operators,
-        drain: front.drain_sender(),
+        drain: frontend.drain_sender(),
         state: Arc::clone(&state),
         stop: stopped,
         started,
@@ -141,30 +134,30 @@
     let thread = std::thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || run_control_thread(start));
-    let thread = thread.map_err(|error| StartError::Thread { detail: error.to_string() })?;
+    let thread = thread.map_err(|error| StartError::Component { detail: error.to_string() })?;
     starting.await.unwrap_or_else(|_| {
-        Err(StartError::Thread { detail: "the control thread ended".to_owned() })
+        Err(StartError::Component { detail: "the control thread exited during startup".to_owned() })
     })?;
-    start_upkeep(Arc::clone(&state), settings);
-    info!(log, "daemon started"; "version" => env!("CARGO_PKG_VERSION"), "boot" => seed, "voter" => settings.data_folder.is_some(), "callers" => front.address.to_string(), "control" => control.to_string());
+    start_background_tasks(Arc::clone(&state), settings);
+    info!(log, "daemon started"; "version" => env!("CARGO_PKG_VERSION"), "boot" => seed, "voter" => settings.data_folder.is_some(), "callers" => frontend.address.to_string(), "control" => control.to_string());
     Ok(RunningDaemon {
-        callers: front.address,
+        callers: frontend.address,
         control,
         state,
         voters,
-        front,
+        frontend,
         stop: Some(stop),
         thread: Some(thread),
     })
 }
 
-/// Serves readiness and metrics.
+/// Serves the readiness and metrics endpoints on `listener`.
 fn serve_readiness(state: &Arc<TrafficState>, listener: tokio::net::TcpListener) {
     let router = readiness_router(Arc::clone(state));
     tokio::spawn(async move { axum::serve(listener, router).await });
 }
 
-/// Serves metrics on an address of their own. A port that is taken costs the metrics there and not the daemon.
+/// Serves metrics on a separate address. If it cannot be bound, the daemon starts without it.
 async fn serve_metrics(state: &Arc<TrafficState>, address: SocketAddr) {
     match listen(address).await {
         Ok(listener) => serve_readiness(state, listener),
@@ -174,7 +167,8 @@
     }
 }
 
-/// A chart that does not answer every event must stop the daemon at its start, not a request in its middle.
+/// Checks that each state chart handles every event, so that a gap prevents the start instead of
+/// breaking a request.
 fn check_charts() -> Result<(), StartError> {
     let faults = [
         request_chart().faults(),
@@ -183,12 +177,12 @@
         drain_chart().faults(),
     ];
     match faults.into_iter().flatten().next() {
-        Some(detail) => Err(StartError::Thread { detail }),
+        Some(detail) => Err(StartError::Component { detail }),
         None => Ok(()),
     }
 }
 
-fn tolerance(settings: &DaemonSettings) -> LimitTolerance {
+fn limit_tolerance(settings: &DaemonSettings) -> LimitTolerance {
     LimitTolerance { overage: settings.limit_overage, slack: settings.limit_slack_tokens }
 }
 
@@ -235,7 +229,7 @@
     }
 }
 
-/// Where to look for the leader.
+/// Returns the control addresses to ask for the leader.
 fn voter_addresses(settings: &DaemonSettings, control: SocketAddr) -> Vec<SocketAddr> {
     let own = settings.data_folder.as_ref().map(|_| control);
     let others = settings.known_voters().into_iter().map(|peer| peer.control);
@@ -247,7 +241,7 @@
     match runtime {
         Ok(runtime) => runtime.block_on(run_control(start)),
         Err(error) => {
-            drop(start.started.send(Err(StartError::Thread { detail: error.to_string() })))
+            drop(start.started.send(Err(StartError::Component { detail: error.to_string() })))
         }
     }
 }
@@ -256,7 +250,7 @@
     let ControlStart { setup, agent, listener, operators, drain, state, stop, started } = start;
     let key = setup.key.clone();
     let hint = LeaderHint::default();
-    let control = match start_control(setup, drain).context(FolderSnafu) {
+    let control = match start_control(setup, drain).context(DataFolderSnafu) {
         Ok(control) => control,
         Err(error) => return drop(started.send(Err(error))),
     };
@@ -268,7 +262,7 @@
     let server = match start_server(listener, key.clone(), control, hint.clone()).await {
         Ok(server) => server,
         Err(error) => {
-            return drop(started.send(Err(StartError::Thread { detail: error.to_string() })));
+            return drop(started.send(Err(StartError::Component { detail: error.to_string() })));
         }
     };
     state.set_claims(ClaimClient::start(ClaimClientSettings {
@@ -286,45 +280,47 @@
     tokio::net::TcpListener::bind(address).await.with_context(|_| BindSnafu { address })
 }
 
-/// Serves the operators' calls in the platform's manner.
+/// Serves operator calls through the platform's interface.
 async fn serve_operators(
     address: SocketAddr,
     control: ControlHandle,
     state: &Arc<TrafficState>,
 ) -> Result<(), StartError> {
-    let Some(manner) = state.interface() else { return Ok(()) };
+    let Some(interface) = state.interface() else { return Ok(()) };
     let listener = listen(address).await?;
-    let door = OperatorClient::new(control, Arc::clone(&manner.reader), state.log.clone());
-    let router = platform::operators_router(Arc::new(door), address.port());
+    let client = OperatorClient::new(control, Arc::clone(&interface.reader), state.log.clone());
+    let router = platform::operators_router(Arc::new(client), address.port());
     tokio::spawn(async move { axum::serve(listener, router).await });
     Ok(())
 }
 
 impl RunningDaemon {
-    /// Begins the drain; a second call changes nothing.
+    /// Starts the drain; further calls have no effect.
     pub fn drain(&self) {
-        self.front.drain();
+        self.frontend.drain();
     }
 
-    /// Takes settings that were read again: what can change in a running daemon does at once.
+    /// Applies reloaded settings. Only the seeds and the limit tolerance take effect in a running
+    /// daemon.
     pub fn apply_settings(&self, settings: &DaemonSettings) {
         self.voters.set(voter_addresses(settings, self.control));
-        self.state.limits().set_tolerance(tolerance(settings));
+        self.state.limits().set_tolerance(limit_tolerance(settings));
         info!(self.state.log, "settings in force"; "seeds" => format!("{:?}", settings.seeds));
     }
 
-    /// A sender of the drain order, for a signal handler.
+    /// Returns a sender that starts the drain, for a signal handler.
     pub fn drain_sender(&self) -> watch::Sender<bool> {
-        self.front.drain_sender()
+        self.frontend.drain_sender()
     }
 
-    /// Resolves once the daemon has drained, by order or by an operator's call.
+    /// Resolves once the daemon has drained, whether it was told by [`drain`](Self::drain), a
+    /// signal or an operator.
     pub fn ended(&self) -> impl Future<Output = ()> + use<> {
-        self.front.ended()
+        self.frontend.ended()
     }
 
-    /// Waits until the daemon has drained, and stops it.
-    pub async fn finished(self) {
+    /// Waits until the daemon has drained, then stops it.
+    pub async fn stop_when_drained(self) {
         self.ended().await;
         self.stop().await;
     }
@@ -332,7 +328,7 @@
     /// Stops a drained daemon.
     pub async fn stop(mut self) {
         self.state.floor_changes.notify_one();
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(SHARE_RECLAIM_TIME).await;
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,11 +1,12 @@
-//! Connections to upstreams, HTTP/1.1, one exchange at a time.
+//! Pool of HTTP/1.1 connections to upstreams, each with one exchange at a time.
 //!
-//! What goes wrong with ordinary pooling: a connection idle for long has been forgotten by something
-//! in between and swallows the request; a connection whose exchange was abandoned delivers the late
-//! answer to the next caller. One would notice by requests that hang although new connections work,
-//! or by an echoed id of another request. So an idle connection is used again only within
-//! [`PROVEN_ALIVE`] of its last complete answer, never for a non-idempotent request, and a connection
-//! returns to the pool only after its answer was read to the end.
+//! Two failures of ordinary pooling are avoided. A middlebox may have dropped the state of a
+//! connection that was idle for long; a request sent on it then hangs, although new connections
+//! work. And a connection whose exchange was abandoned may deliver the late answer to the next
+//! caller, which shows as the echoed id of another request. An idle connection is therefore reused
+//! only within a maximum time since its last complete answer, which the user of the pool chooses;
+//! for the drivers it is [`DEFAULT_MAX_IDLE_TIME`], and zero for requests that are not idempotent.
+//! A connection returns to the pool only after its answer was read to the end.
 
 use crate::chart::{ChartMachine, StateChart};
 use crate::chart_names;
@@ -23,18 +24,18 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A connection that ended a whole answer this recently counts as proven alive.
-pub const PROVEN_ALIVE: Duration = Duration::from_millis(1_000);
-/// An upstream that closes idle connections after some time may do so a little sooner by our clock: the request
-/// under way then would be lost.
-const CLOSING_MARGIN: Duration = Duration::from_millis(500);
-/// Opening a connection takes at most this long.
+/// Maximum time since its last complete answer within which a connection is considered alive and
+/// may be reused, unless the user of the pool sets another one.
+pub const DEFAULT_MAX_IDLE_TIME: Duration = Duration::from_millis(1_000);
+/// Safety margin before the upstream's idle timeout. By the daemon's clock the upstream may close
+/// the connection slightly early, which would lose a request in transit.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Idle connections kept for each address.
-const IDLE_LIMIT: usize = 64;
+/// Maximum number of idle connections for each address.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 chart_names! {
-    /// Where a connection is.
+    /// State of a connection.
     ConnectionState {
         /// Being opened.
         Opening,
@@ -42,33 +43,33 @@
         Busy,
         /// In the pool.
         Idle,
-        /// Never used again.
+        /// Closed; not used again.
         Closed,
     }
 }
 
 chart_names! {
-    /// What happens to a connection.
+    /// Event on a connection.
     ConnectionEvent {
-        /// It is open.
+        /// The connection was established.
         Opened,
-        /// It failed.
+        /// The connection failed.
         Failed,
         /// Its answer was read to the end.
         Finished,
-        /// Its exchange was given up.
+        /// Its exchange was abandoned before the end of the answer.
         Abandoned,
         /// It was taken from the pool.
         Taken,
-        /// It was idle for too long.
+        /// It was idle for too long to be reused.
         Stale,
     }
 }
 
 chart_names! {
-    /// What the pool does.
+    /// Action of the pool on a transition.
     ConnectionAction {
-        /// Put the connection into the pool.
+        /// Return the connection to the pool.
         Keep,
     }
 }
@@ -81,24 +82,24 @@
         .expect("charts/connection.json is checked by a test")
 });
 
-/// The connection chart, loaded once.
+/// Returns the state chart of connections, loaded on first use.
 pub fn connection_chart() -> &'static ConnectionChart {
     &CHART
 }
 
-/// Why no answer's head came.
+/// Error of a request that received no answer head.
 #[derive(Debug, Snafu)]
-pub enum OpenFault {
-    /// Provably no byte was sent.
+pub enum OpenError {
+    /// No byte of the request was sent.
     #[snafu(display("nothing was sent: {detail}"))]
     NotSent {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
-    /// Something may have been sent.
-    #[snafu(display("sent, but no answer: {detail}"))]
+    /// The request may have been sent, in whole or in part.
+    #[snafu(display("sent, but no answer received: {detail}"))]
     Lost {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
@@ -108,8 +109,8 @@
     machine: ConnectionMachine,
     address: SocketAddr,
     idle_since: Instant,
-    /// How long the upstream keeps it open while idle, as it said last.
-    kept_for: Option<Duration>,
+    /// Idle timeout last announced by the upstream.
+    idle_timeout: Option<Duration>,
     task: AbortHandle,
 }
 
@@ -119,32 +120,32 @@
     }
 }
 
-/// Idle connections by address.
+/// Pool of idle connections, keyed by address.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<OpenConnection>>>,
 }
 
-/// A connection carrying one exchange. Dropped before [`ConnectionGuard::finish`], it closes.
+/// A connection in use by one exchange. It is closed if dropped before [`ConnectionGuard::finish`].
 pub struct ConnectionGuard {
     pool: Arc<ConnectionPool>,
     connection: Option<OpenConnection>,
 }
 
 impl ConnectionGuard {
-    /// Notes how long the upstream will keep the connection open while idle.
-    pub fn kept_for(mut self, time: Option<Duration>) -> Self {
-        self.connection.iter_mut().for_each(|connection| connection.kept_for = time);
+    /// Sets the idle timeout announced by the upstream.
+    pub fn with_idle_timeout(mut self, time: Option<Duration>) -> Self {
+        self.connection.iter_mut().for_each(|connection| connection.idle_timeout = time);
         self
     }
 
-    /// The answer was read to the end: the connection may be used again.
+    /// Returns the connection to the pool, after its answer was read to the end.
     pub fn finish(mut self) {
         let Some(mut connection) = self.connection.take() else { return };
         let actions = connection.machine.step(ConnectionEvent::Finished);
         if actions.contains(&ConnectionAction::Keep) && !connection.sender.is_closed() {
             connection.idle_since = Instant::now();
-            self.pool.keep(connection);
+            self.pool.put_idle(connection);
         }
     }
 }
@@ -158,21 +159,24 @@
 }
 
 impl ConnectionPool {
-    fn keep(&self, connection: OpenConnection) {
+    fn put_idle(&self, connection: OpenConnection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(connection.address).or_default();
-        if connections.len() < IDLE_LIMIT {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
 
-    /// An idle connection proven alive, the latest used first; older ones are closed.
-    fn take(&self, address: SocketAddr, most_idle: Duration) -> Option<OpenConnection> {
+    /// Takes the most recently used idle connection. If that one was idle for too long, it and all
+    /// others of the address, which are older, are closed.
+    fn take(&self, address: SocketAddr, max_idle_time: Duration) -> Option<OpenConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&address)?;
         let mut connection = connections.pop()?;
-        let kept_for = connection.kept_for.map(|time| time.saturating_sub(CLOSING_MARGIN));
-        if connection.idle_since.elapsed() > kept_for.map_or(most_idle, |time| time.min(most_idle))
+        let idle_timeout =
+            connection.idle_timeout.map(|time| time.saturating_sub(IDLE_TIMEOUT_MARGIN));
+        if connection.idle_since.elapsed()
+            > idle_timeout.map_or(max_idle_time, |time| time.min(max_idle_time))
         {
             connection.machine.step(ConnectionEvent::Stale);
             connections.clear();
@@ -185,8 +189,8 @@
         Some(connection)
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<OpenConnection, OpenFault> {
-        let not_sent = |detail: String| OpenFault::NotSent { detail };
+    async fn connect(&self, address: SocketAddr) -> Result<OpenConnection, OpenError> {
+        let not_sent = |detail: String| OpenError::NotSent { detail };
         let mut machine = connection_chart().start();
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
@@ -205,33 +209,33 @@
             machine,
             address,
             idle_since: Instant::now(),
-            kept_for: None,
+            idle_timeout: None,
             task,
         })
     }
 
-    /// Sends a request and waits for the answer's head. A kept connection is used if it was idle for at most
-    /// `most_idle`; zero rules all out.
+    /// Sends a request and waits for the head of the answer. A pooled connection is used if it was
+    /// idle for at most `max_idle_time`; zero always opens a new connection.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        most_idle: Duration,
-    ) -> Result<(Response<Incoming>, ConnectionGuard), OpenFault> {
+        max_idle_time: Duration,
+    ) -> Result<(Response<Incoming>, ConnectionGuard), OpenError> {
         let mut request = request;
-        if !most_idle.is_zero()
-            && let Some(connection) = self.take(address, most_idle)
+        if !max_idle_time.is_zero()
+            && let Some(connection) = self.take(address, max_idle_time)
         {
             match self.send_over(connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(SendFault { unsent: Some(unsent), .. }) => request = *unsent,
-                Err(SendFault { detail, .. }) => return Err(OpenFault::Lost { detail }),
+                Err(SendError { unsent: Some(unsent), .. }) => request = *unsent,
+                Err(SendError { detail, .. }) => return Err(OpenError::Lost { detail }),
             }
         }
         let connection = self.connect(address).await?;
-        self.send_over(connection, request).await.map_err(|fault| match fault.unsent {
-            Some(_) => OpenFault::NotSent { detail: fault.detail },
-            None => OpenFault::Lost { detail: fault.detail },
+        self.send_over(connection, request).await.map_err(|error| match error.unsent {
+            Some(_) => OpenError::NotSent { detail: error.detail },
+            None => OpenError::Lost { detail: error.detail },
         })
     }
 
@@ -239,27 +243,28 @@
         self: &Arc<Self>,
         mut connection: OpenConnection,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, ConnectionGuard), SendFault> {
+    ) -> Result<(Response<Incoming>, ConnectionGuard), SendError> {
         let answer = connection.sender.try_send_request(request);
         let guard = ConnectionGuard { pool: Arc::clone(self), connection: Some(connection) };
         match answer.await {
             Ok(response) => Ok((response, guard)),
-            // The library gives the request back only if it never began to write it.
+            // hyper returns the request only if it has not begun to write it.
             Err(mut error) => {
                 let unsent = error.take_message().map(Box::new);
-                Err(SendFault { unsent, detail: error.error().to_string() })
+                Err(SendError { unsent, detail: error.error().to_string() })
             }
         }
     }
 }
 
-/// True if a connection to `address` opens in time.
+/// Returns whether a connection to `address` opens within the timeout.
 pub async fn can_connect(address: SocketAddr) -> bool {
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(opened, Ok(Ok(_)))
 }
 
-struct SendFault {
+struct SendError {
+    /// The request, if nothing of it was written.
     unsent: Option<Box<Request<Full<Bytes>>>>,
     detail: String,
 }
--- a/src/upstream/engine.rs
+++ b/src/upstream/engine.rs
@@ -1,10 +1,11 @@
-//! The driver for model engines: the chat and completions JSON shape, streamed as server-sent events
-//! (WHATWG HTML, section 9.2) or whole.
+//! Driver for model engines with the chat and completions JSON API. Answers are server-sent events
+//! (WHATWG HTML, section 9.2) or one complete JSON document.
 //!
-//! Resume and cancel go by request id: `GET /v1/requests/ID` with `Last-Event-ID`, and `DELETE` of
-//! the same. Every event carries its number as the event id and the request's id in its JSON.
+//! Requests are resumed and cancelled by id: `GET /v1/requests/ID` with `Last-Event-ID`, and
+//! `DELETE` on the same path. Each event has its sequence number as event id and the request id in
+//! its JSON.
 
-use super::connection::{ConnectionGuard, ConnectionPool, OpenFault};
+use super::connection::{ConnectionGuard, ConnectionPool, OpenError};
 use super::plain::{answer_head, poll_report, upstream_request};
 use super::{AnswerPiece, AnswerStream, PieceRead, PieceSource, UpstreamCall, UpstreamDriver};
 use crate::policy::LoadReport;
@@ -21,14 +22,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest whole answer, in bytes.
-const WHOLE_LIMIT: usize = 16 << 20;
-/// A cancel takes at most this long.
+/// Maximum size of an answer that is not streamed, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The data of the last event of a stream.
+/// Data of the last event of a stream.
 const END_MARK: &str = "[DONE]";
 
-/// The parts of an answer or chunk that the daemon reads.
+/// Fields of an answer or of a streamed chunk that the daemon reads.
 #[derive(Debug, Deserialize)]
 struct ChunkFields {
     #[serde(default)]
@@ -45,28 +45,29 @@
     completion_tokens: u32,
 }
 
-/// The driver for model engines.
+/// Driver for model engines.
 pub struct EngineDriver {
     connections: Arc<ConnectionPool>,
 }
 
 impl EngineDriver {
-    /// A driver over shared connections.
+    /// Creates a driver that uses the pool `connections`.
     pub fn new(connections: Arc<ConnectionPool>) -> Self {
         EngineDriver { connections }
     }
 
-    fn about(
+    /// Builds a request without a body for the resource of a dispatched call.
+    fn request_by_id(
         call: &UpstreamCall,
         address: SocketAddr,
         method: Method,
-    ) -> Result<Request<Full<Bytes>>, OpenFault> {
+    ) -> Result<Request<Full<Bytes>>, OpenError> {
         Request::builder()
             .method(method)
             .uri(format!("/v1/requests/{}", call.id))
             .header(HOST, address.to_string())
             .body(Full::default())
-            .map_err(|error| OpenFault::Lost { detail: error.to_string() })
+            .map_err(|error| OpenError::Lost { detail: error.to_string() })
     }
 }
 
@@ -82,7 +83,7 @@
         let events = BodyDataStream::new(response.into_body()).eventsource();
         Box::new(EventPieces { events, guard: Some(guard), prompt_tokens: None })
     } else {
-        Box::new(WholePiece { answer: Some(response), guard: Some(guard), prompt_tokens: None })
+        Box::new(WholeAnswer { answer: Some(response), guard: Some(guard), prompt_tokens: None })
     };
     AnswerStream { head, pieces }
 }
@@ -92,11 +93,11 @@
         &'a self,
         call: &'a UpstreamCall,
         address: SocketAddr,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async move {
             let request = upstream_request(call, address)?;
             let (response, guard) =
-                self.connections.send(address, request, call.most_idle()).await?;
+                self.connections.send(address, request, call.max_idle_time()).await?;
             Ok(read_answer(response, guard))
         })
     }
@@ -106,16 +107,20 @@
         call: &'a UpstreamCall,
         address: SocketAddr,
         after: u64,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async move {
-            let mut request = Self::about(call, address, Method::GET)?;
+            let mut request = Self::request_by_id(call, address, Method::GET)?;
             request.headers_mut().insert("last-event-id", HeaderValue::from(after));
-            let shape = if call.wants_stream { "text/event-stream" } else { "application/json" };
-            request.headers_mut().insert(ACCEPT, HeaderValue::from_static(shape));
+            let media_type =
+                if call.wants_stream { "text/event-stream" } else { "application/json" };
+            request.headers_mut().insert(ACCEPT, HeaderValue::from_static(media_type));
             let (response, guard) = self.connections.send(address, request, Duration::ZERO).await?;
             match response.status() {
-                StatusCode::NOT_FOUND | StatusCode::GONE => Err(OpenFault::Lost {
-                    detail: format!("the engine answers {} to resume", response.status()),
+                StatusCode::NOT_FOUND | StatusCode::GONE => Err(OpenError::Lost {
+                    detail: format!(
+                        "the engine answered {} to the resume request",
+                        response.status()
+                    ),
                 }),
                 _ => Ok(read_answer(response, guard)),
             }
@@ -124,7 +129,7 @@
 
     fn cancel<'a>(&'a self, call: &'a UpstreamCall, address: SocketAddr) -> BoxFuture<'a, ()> {
         Box::pin(async move {
-            let Ok(request) = Self::about(call, address, Method::DELETE) else { return };
+            let Ok(request) = Self::request_by_id(call, address, Method::DELETE) else { return };
             let _ = tokio::time::timeout(
                 CANCEL_TIMEOUT,
                 self.connections.send(address, request, Duration::ZERO),
@@ -149,8 +154,9 @@
 }
 
 impl EventPieces {
-    /// The end mark is the answer's end; what follows on the connection is only the body's own end,
-    /// and the connection goes back to the pool only if that comes at once.
+    /// Releases the connection after the end marker. Only the end of the body may follow the
+    /// marker; the connection returns to the pool if that arrives within 20 ms and is closed
+    /// otherwise.
     async fn finish(&mut self) {
         let rest = tokio::time::timeout(Duration::from_millis(20), self.events.next()).await;
         if matches!(rest, Ok(None)) {
@@ -189,14 +195,14 @@
     }
 }
 
-/// A whole answer, read to its end before it counts as a piece.
-struct WholePiece {
+/// An answer that is not streamed. It is read to its end and returned as one piece.
+struct WholeAnswer {
     answer: Option<Response<Incoming>>,
     guard: Option<ConnectionGuard>,
     prompt_tokens: Option<u32>,
 }
 
-impl PieceSource for WholePiece {
+impl PieceSource for WholeAnswer {
     fn next(&mut self) -> BoxFuture<'_, PieceRead> {
         Box::pin(async move {
             let Some(answer) = self.answer.take() else {
@@ -207,7 +213,8 @@
             };
             let has_length = answer.headers().contains_key(http::header::CONTENT_LENGTH)
                 || answer.headers().contains_key(http::header::TRANSFER_ENCODING);
-            let Ok(body) = Limited::new(answer.into_body(), WHOLE_LIMIT).collect().await else {
+            let Ok(body) = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await
+            else {
                 return PieceRead::Cut;
             };
             if !has_length {
--- a/src/upstream/plain.rs
+++ b/src/upstream/plain.rs
@@ -1,6 +1,6 @@
-//! The driver for plain HTTP services: any method and path, bodies passed through.
+//! Driver for plain HTTP services. Any method and path is accepted; bodies are forwarded unchanged.
 
-use super::connection::{ConnectionGuard, ConnectionPool, OpenFault, PROVEN_ALIVE};
+use super::connection::{ConnectionGuard, ConnectionPool, DEFAULT_MAX_IDLE_TIME, OpenError};
 use super::orca::{ORCA_HEADER, parse_orca_header, parse_orca_json};
 use super::{
     AnswerHead, AnswerPiece, AnswerStream, PieceRead, PieceSource, REQUEST_ID_HEADER, UpstreamCall,
@@ -18,43 +18,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A polled report takes at most this long.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Where reports are polled.
+/// Path of the polled load report.
 const REPORT_PATH: &str = "/load";
-/// Largest polled report, in bytes.
-const REPORT_LIMIT: usize = 64 * 1024;
+/// Maximum size of a polled report, in bytes.
+const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) and are not passed on.
-const HOP_HEADERS: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, HOST];
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded, and `Host`, which is set
+/// anew.
+const HOP_BY_HOP_HEADERS: [HeaderName; 6] =
+    [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, HOST];
 
-/// Copies the headers that may be passed on.
+/// Copies the end-to-end headers, without hop-by-hop headers and those named in `Connection`.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let passes = |name: &HeaderName| {
-        !HOP_HEADERS.contains(name)
+    let is_end_to_end = |name: &HeaderName| {
+        !HOP_BY_HOP_HEADERS.contains(name)
             && name != "keep-alive"
             && name != "proxy-connection"
-            && !named.iter().any(|hop| hop == name.as_str())
+            && !connection_options.iter().any(|option| option == name.as_str())
     };
     headers
         .iter()
-        .filter(|(name, _)| passes(name))
+        .filter(|(name, _)| is_end_to_end(name))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
-/// Builds the request that goes to the upstream.
+/// Builds the HTTP request for the upstream.
 pub fn upstream_request(
     call: &UpstreamCall,
     address: SocketAddr,
-) -> Result<Request<Full<Bytes>>, OpenFault> {
-    let not_sent = |detail: String| OpenFault::NotSent { detail };
+) -> Result<Request<Full<Bytes>>, OpenError> {
+    let not_sent = |detail: String| OpenError::NotSent { detail };
     let mut request = Request::builder()
         .method(call.method.clone())
         .uri(call.uri.clone())
@@ -71,7 +72,7 @@
     Ok(request)
 }
 
-/// Reads the parts of an answer's head that the daemon needs.
+/// Extracts the parts of an answer's head that the daemon uses.
 pub fn answer_head(response: &Response<Incoming>) -> AnswerHead {
     let text = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
     AnswerHead {
@@ -82,7 +83,7 @@
     }
 }
 
-/// Polls a load report; shared by both drivers.
+/// Polls the load report of an upstream; used by both drivers.
 pub async fn poll_report(
     connections: &Arc<ConnectionPool>,
     address: SocketAddr,
@@ -90,26 +91,27 @@
     let request =
         Request::get(REPORT_PATH).header(HOST, address.to_string()).body(Full::default()).ok()?;
     let poll = async {
-        let (response, guard) = connections.send(address, request, PROVEN_ALIVE).await.ok()?;
-        let is_good = response.status() == StatusCode::OK;
-        let body = http_body_util::Limited::new(response.into_body(), REPORT_LIMIT)
+        let (response, guard) =
+            connections.send(address, request, DEFAULT_MAX_IDLE_TIME).await.ok()?;
+        let is_ok = response.status() == StatusCode::OK;
+        let body = http_body_util::Limited::new(response.into_body(), MAX_REPORT_BYTES)
             .collect()
             .await
             .ok()?
             .to_bytes();
         guard.finish();
-        is_good.then(|| parse_orca_json(&body)).flatten()
+        is_ok.then(|| parse_orca_json(&body)).flatten()
     };
     tokio::time::timeout(REPORT_TIMEOUT, poll).await.ok().flatten()
 }
 
-/// The driver for plain services.
+/// Driver for plain services.
 pub struct PlainDriver {
     connections: Arc<ConnectionPool>,
 }
 
 impl PlainDriver {
-    /// A driver over shared connections.
+    /// Creates a driver that uses the pool `connections`.
     pub fn new(connections: Arc<ConnectionPool>) -> Self {
         PlainDriver { connections }
     }
@@ -120,18 +122,18 @@
         &'a self,
         call: &'a UpstreamCall,
         address: SocketAddr,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async move {
             let request = upstream_request(call, address)?;
             let (response, guard) =
-                self.connections.send(address, request, call.most_idle()).await?;
+                self.connections.send(address, request, call.max_idle_time()).await?;
             let head = answer_head(&response);
-            let has_end_mark = ends_provably(&call.method, &response);
+            let has_detectable_end = has_detectable_end(&call.method, &response);
             let pieces = BodyPieces {
                 body: response.into_body(),
                 guard: Some(guard),
                 sequence: 0,
-                has_end_mark,
+                has_detectable_end,
             };
             Ok(AnswerStream { head, pieces: Box::new(pieces) })
         })
@@ -142,9 +144,9 @@
         _: &'a UpstreamCall,
         _: SocketAddr,
         _: u64,
-    ) -> BoxFuture<'a, Result<AnswerStream, OpenFault>> {
+    ) -> BoxFuture<'a, Result<AnswerStream, OpenError>> {
         Box::pin(async {
-            Err(OpenFault::Lost { detail: "plain services cannot resume".to_owned() })
+            Err(OpenError::Lost { detail: "plain services cannot resume answers".to_owned() })
         })
     }
 
@@ -161,9 +163,10 @@
     }
 }
 
-/// True if the answer's end can be told from a cut: a declared length, chunks, or no body at all. An
-/// answer that ends only with its connection looks the same whole or truncated.
-fn ends_provably(method: &Method, response: &Response<Incoming>) -> bool {
+/// Returns whether a complete answer can be told from a truncated one: it has a declared length,
+/// chunked framing or no body. An answer that is delimited by the close of its connection looks the
+/// same in both cases.
+fn has_detectable_end(method: &Method, response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let has_no_body = method == Method::HEAD
         || response.status().is_informational()
@@ -179,7 +182,7 @@
     body: Incoming,
     guard: Option<ConnectionGuard>,
     sequence: u64,
-    has_end_mark: bool,
+    has_detectable_end: bool,
 }
 
 impl PieceSource for BodyPieces {
@@ -189,7 +192,7 @@
                 let frame = match self.body.frame().await {
                     Some(Ok(frame)) => frame,
                     Some(Err(_)) => return PieceRead::Cut,
-                    None if self.has_end_mark => {
+                    None if self.has_detectable_end => {
                         self.guard.take().into_iter().for_each(ConnectionGuard::finish);
                         return PieceRead::Ended { prompt_tokens: None, end_mark: Bytes::new() };
                     }
