--- a/soak/main.rs
+++ b/soak/main.rs
@@ -1,7 +1,9 @@
-//! A randomized soak of the real programs: processes on loopback, faults from outside, promises checked meanwhile.
+//! Randomised fault test: runs the real program as processes on loopback addresses, injects
+//! faults from outside and checks the system's invariants during and after the faults.
 //!
-//! `cargo test --test soak -- --seed 7 --seconds 60 --entries 6` plays one schedule; the seed decides all of it but the
-//! operating system's own timing. A broken promise ends the run with the seed, the last steps and the logs' folder.
+//! `cargo test --test soak -- --seed 7 --seconds 60 --entries 6` runs one schedule. The seed
+//! determines everything but the timing of the operating system. A seed with violated invariants
+//! ends with the seed, the violations, the last steps and the folder of the logs being printed.
 
 mod callers;
 mod checks;
@@ -22,51 +24,51 @@
 use std::time::Duration;
 use world::SoakWorld;
 
-/// Steps of the schedule that are printed with a broken promise.
+/// Number of the schedule's last steps that are printed with a violation.
 const LAST_STEPS: usize = 20;
 
-/// What is played.
+/// Command-line options.
 #[derive(Clone, Debug, Parser)]
 #[command(
     name = "soak",
-    about = "Randomized faults on the real programs, with the promises checked meanwhile"
+    about = "Injects randomised faults into processes of the real program and checks its invariants"
 )]
 pub struct SoakArgs {
-    /// Decides the schedule of faults, the callers and the engines.
+    /// Seed of the fault schedule, the callers and the engines.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds to play, one after the other.
+    /// Number of consecutive seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long faults are played, in seconds; starting and recovering come on top.
+    /// Duration of the fault schedule in seconds, without start-up and recovery.
     #[arg(long, default_value_t = 6)]
     seconds: u64,
-    /// Entry processes.
+    /// Number of entry processes.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// Voter processes.
+    /// Number of voter processes.
     #[arg(long, default_value_t = 3)]
     voters: usize,
-    /// Stand-ins for engines at the start.
+    /// Number of simulated engines at the start.
     #[arg(long, default_value_t = 4)]
     engines: usize,
-    /// Callers that send one request after the other.
+    /// Number of callers; each sends its requests one after the other.
     #[arg(long, default_value_t = 12)]
     callers: usize,
-    /// The program to play; a copy with a rule broken by hand should fail.
+    /// Program to test; a copy with a deliberately broken rule should fail.
     #[arg(long, default_value = env!("CARGO_BIN_EXE_tarragonknot"))]
     program: PathBuf,
-    /// Keeps the logs' folder also where nothing broke.
+    /// Keep the folder of the logs even if no invariant was violated.
     #[arg(long)]
     keep: bool,
-    /// Filters and flags of the test runner, passed over.
+    /// Filters and flags of the test runner, which are ignored.
     #[arg(hide = true, trailing_var_arg = true)]
     _runner: Vec<String>,
 }
 
 fn main() -> ExitCode {
     let args = SoakArgs::parse();
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("the Tokio runtime starts");
     let mut failed = 0;
     for seed in args.seed..args.seed + args.seeds {
         failed += u64::from(!runtime.block_on(play(&args, seed)));
@@ -75,7 +77,7 @@
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Plays one seed; true if every promise held.
+/// Runs one seed; true if no invariant was violated.
 async fn play(args: &SoakArgs, seed: u64) -> bool {
     let world = Arc::new(SoakWorld::new(args, seed));
     let steps = plan::schedule(
