--- a/soak/callers.rs
+++ b/soak/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: each sends one request after the other over connections that it keeps, and checks its answers.
+//! Simulated callers: each sends its requests one after the other over kept-alive connections and
+//! checks the responses.
 
 use crate::world::{AddressKind, CALLERS_PORT, SentRequest, SoakWorld};
 use bytes::Bytes;
@@ -14,19 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "shop.example";
-/// Keys of the two organisations; the second has a limit.
+/// API keys of the two organisations; the second one has a token limit.
 pub const FREE_KEY: &str = "free-key";
 pub const LIMITED_KEY: &str = "limited-key";
-/// How long a caller waits.
+/// Deadline that callers send with each request.
 const DEADLINE: Duration = Duration::from_secs(4);
-/// Longest pause between two requests.
+/// Upper bound of the pause between two requests of a caller.
 const THINKING_MS: u64 = 60;
-/// Events of a stream, at most.
+/// Maximum number of events in a stream.
 const MOST_EVENTS: u64 = 30;
 
-/// Starts the callers; they end with the world.
+/// Starts the callers; they run until the context is stopped.
 pub fn start(world: &Arc<SoakWorld>, seed: u64) -> JoinHandle<()> {
     let world = Arc::clone(world);
     tokio::spawn(async move {
@@ -57,7 +58,7 @@
     let mut sent = 0u64;
     while !world.is_stopped() {
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..THINKING_MS))).await;
-        // The connection is kept until it fails, also through the entry's shutdown.
+        // Connections are reused until they fail, even while the entry shuts down.
         let connection = match kept.take().filter(|connection| !connection.is_closed()) {
             Some(connection) => Some(connection),
             None => connect(&world, rng.random_range(0..world.sizes.entries)).await,
@@ -72,7 +73,7 @@
         world
             .ledger
             .sent(&id, SentRequest { may_repeat, attempts, status: None, sent_at: Instant::now() });
-        // Some callers leave before their answer.
+        // One request in 20 is abandoned, often before its response arrives.
         let patience = if rng.random_range(0..20) == 0 { DEADLINE / 40 } else { DEADLINE * 2 };
         let answer =
             tokio::time::timeout(patience, exchange(&world, &mut connection, call, &id)).await;
@@ -116,11 +117,11 @@
             .header("tarragonknot-deadline-ms", DEADLINE.as_millis().to_string())
             .header("tarragonknot-token-count", format!("{},{events}", rng.random_range(50..2_000)))
             .body(Full::new(Bytes::from(events.to_string())))
-            .expect("a request of fixed parts")
+            .expect("the request consists of valid parts")
     }
 }
 
-/// One exchange; true if the connection may be kept.
+/// Sends a request and checks the response; true if the connection may be reused.
 async fn exchange(
     world: &SoakWorld,
     connection: &mut Connection,
@@ -138,7 +139,10 @@
         world.ledger.answered(id, status);
         let is_denied = matches!(status, 400..=407 | 409..=420 | 422..=428);
         if is_denied && world.undisturbed_for() > Duration::from_secs(5) {
-            world.ledger.broke("DENIED", format!("{id} was answered {status}"));
+            world.ledger.broke(
+                "DENIED",
+                format!("{id} was refused with status {status} although no fault was active"),
+            );
         }
         return keeps && whole.is_ok();
     }
@@ -150,7 +154,9 @@
         world.ledger.answered(id, status);
     }
     if seal.is_none() {
-        world.ledger.broke("MIXED", format!("{id}: a success without the engine's seal"));
+        world
+            .ledger
+            .broke("MIXED", format!("{id}: successful response without the engine's seal header"));
     }
     let expected = if is_stream {
         (1..=events).map(|event| format!("id: {event}\ndata: {id} {event}\n\n")).collect()
@@ -159,11 +165,13 @@
     };
     let is_right =
         if is_whole { *text == expected } else { is_stream && expected.starts_with(text.as_str()) };
-    // An answer that is cut visibly promises nothing; what came of a stream must still be its own.
+    // A response that is visibly truncated may be incomplete, but the received part of a stream
+    // must still belong to this request.
     if !is_right && (is_whole || is_stream) {
-        world
-            .ledger
-            .broke("MIXED", format!("{id}: {text:?} instead of {expected:?}, whole: {is_whole}"));
+        world.ledger.broke(
+            "MIXED",
+            format!("{id}: received {text:?}, expected {expected:?}, complete: {is_whole}"),
+        );
     }
     keeps && is_whole
 }
@@ -173,7 +181,7 @@
     String::from_utf8_lossy(&bytes).parse().unwrap_or(0)
 }
 
-/// The body, whole or as far as it came.
+/// Reads the response body; `Err` holds the part received before the connection failed.
 async fn collect(mut body: Incoming) -> Result<String, String> {
     let mut text = String::new();
     loop {
