--- a/soak/checks.rs
+++ b/soak/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, from what callers, operators and engines see.
+//! Checks of the invariants, from what callers, operators and engines observe.
 
 use crate::callers::{FREE_KEY, HOST};
 use crate::fleet::{LOOK_PAUSE, PATIENCE};
@@ -15,26 +15,29 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// The limited organisation's tokens a second, and its burst.
+/// Token rate per second of the limited organisation, and also its burst.
 pub const LIMIT_RATE: u64 = 8_000;
-/// Tokens beyond its limit that are tolerated.
+/// Tokens tolerated beyond the limit, as in the processes' settings.
 pub const LIMIT_SLACK: u64 = 20_000;
-/// What the settings tolerate beyond rate and burst.
+/// Factor over rate and burst that the settings (`limit_overage`) tolerate.
 const LIMIT_OVERAGE: f64 = 1.1;
-/// The window in which the limit is looked at.
+/// Length of the window over which the limit is checked.
 const LIMIT_WINDOW: Duration = Duration::from_secs(8);
-/// An engine that is leaving gets no new work this long after the list shows it, with nothing disturbed meanwhile.
+/// Time after which an engine listed as draining must receive no new requests, provided that no
+/// fault was injected meanwhile.
 const LEAVING_TIME: Duration = Duration::from_secs(6);
-/// Statuses that promise that a request has not run.
+/// Response statuses that guarantee that the request was not executed.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Checks a request as it reaches an engine.
+/// Checks a request when it arrives at an engine.
 pub fn check_arrival(world: &SoakWorld, id: &str, engine: &str, has_key: bool) {
     if !world.ledger.was_sent(id) && !id.starts_with("probe") {
-        world.ledger.broke("UNASKED", format!("{engine} got request {id:?} that no caller sent"));
+        world
+            .ledger
+            .broke("UNASKED", format!("{engine} received request {id:?}, which no caller sent"));
     }
     if has_key {
-        world.ledger.broke("UNASKED", format!("{engine} got the caller's key with {id}"));
+        world.ledger.broke("UNASKED", format!("{engine} received the caller's API key with {id}"));
     }
     let left = lock(&world.engines)
         .engines
@@ -43,27 +46,33 @@
         .and_then(|known| known.left_at);
     let is_late = left.is_some_and(|at| at.elapsed() > LEAVING_TIME);
     if is_late && world.undisturbed_for() > LEAVING_TIME {
-        world.ledger.broke("DRAIN", format!("{id} reached {engine} that was leaving"));
+        world.ledger.broke("DRAIN", format!("{id} reached {engine}, which is draining"));
     }
 }
 
-/// Checks an answered read: what was acknowledged before it was sent must be in it.
+/// Checks a configuration read: it must return at least the newest version that was acknowledged
+/// before the read was sent.
 pub fn check_read(world: &SoakWorld, voter: usize, acknowledged: u64, read: &Value) {
     let version = read["version"].as_u64().unwrap_or(0);
     if version < acknowledged {
         world.ledger.broke(
             "CONFIG",
-            format!("voter {voter} read {version} after {acknowledged} was acknowledged"),
+            format!(
+                "voter {voter} returned version {version} after {acknowledged} was acknowledged"
+            ),
         );
     }
     let mark = format!("version-{version}");
     let routes = read["routes"].as_array().cloned().unwrap_or_default();
     if !routes.iter().any(|route| route["name"] == mark) {
-        world.ledger.broke("CONFIG", format!("voter {voter} read another content under {version}"));
+        world.ledger.broke(
+            "CONFIG",
+            format!("voter {voter} returned different content for version {version}"),
+        );
     }
 }
 
-/// Checks what only the whole run tells: runs by id, refusals, limits.
+/// Checks what is known only after the run: executions per request, refusals and limits.
 pub fn check_ledger(world: &SoakWorld) {
     let runs = world.ledger.runs();
     for (id, request) in world.ledger.requests() {
@@ -75,14 +84,16 @@
 fn check_request(world: &SoakWorld, id: &str, request: &SentRequest, runs: u32) {
     if runs > request.attempts {
         let rule = if request.may_repeat { "BUDGET" } else { "TWICE" };
-        world.ledger.broke(rule, format!("{id} ran {runs} times"));
+        world.ledger.broke(rule, format!("{id} was executed {runs} times"));
     }
     let says_not_run = request.status.is_some_and(|status| NOT_RUN.contains(&status));
     if says_not_run && runs > 0 && !request.may_repeat {
-        world.ledger.broke("REFUSED", format!("{id} was answered {:?} and ran", request.status));
+        world
+            .ledger
+            .broke("REFUSED", format!("{id} was answered {:?} but was executed", request.status));
     }
     if request.status == Some(200) && runs == 0 {
-        world.ledger.broke("MIXED", format!("{id} was answered 200 and never ran"));
+        world.ledger.broke("MIXED", format!("{id} was answered 200 but was never executed"));
     }
 }
 
@@ -90,15 +101,17 @@
     let counted = world.ledger.counted();
     let rate = LIMIT_RATE as f64;
     let most = (rate * LIMIT_WINDOW.as_secs_f64() + rate) * LIMIT_OVERAGE + LIMIT_SLACK as f64;
-    // The limit is on what is sent and runs within a window: engines that were cut off run what was let through before.
+    // Counts requests that were both sent and executed within the window: an engine that was cut
+    // off may execute requests that were admitted earlier.
     for start in counted.iter().map(|run| run.sent_at) {
         let within =
             counted.iter().filter(|run| run.sent_at >= start && run.ran_at <= start + LIMIT_WINDOW);
         let sum: u64 = within.map(|run| run.tokens).sum();
         if sum as f64 > most {
-            return world
-                .ledger
-                .broke("QUOTA", format!("{sum} tokens in a window, {most} are tolerated"));
+            return world.ledger.broke(
+                "QUOTA",
+                format!("{sum} tokens within {LIMIT_WINDOW:?}, at most {most} are tolerated"),
+            );
         }
     }
 }
@@ -121,7 +134,7 @@
     Some((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
 }
 
-/// Watches that no process goes back to an older configuration.
+/// Checks continuously that no process returns to an older configuration.
 pub fn start_watch(world: &Arc<SoakWorld>) -> JoinHandle<()> {
     let world = Arc::clone(world);
     tokio::spawn(async move {
@@ -133,7 +146,7 @@
                     if version < *known {
                         world.ledger.broke(
                             "CONFIG",
-                            format!("entry {entry} went from {known} back to {version}"),
+                            format!("entry {entry} went back from version {known} to {version}"),
                         );
                     }
                     *known = version.max(*known);
@@ -144,7 +157,8 @@
     })
 }
 
-/// The version in force at an entry, and what tells one process there from the next.
+/// Start time of an entry's process, which distinguishes it from its successors, and the version
+/// in force there.
 async fn shown_version(world: &SoakWorld, entry: usize) -> Option<(String, u64)> {
     let address = world.address(AddressKind::Entry, entry, READY_PORT);
     let (status, text) = get(address, "/metrics").await?;
@@ -157,7 +171,7 @@
     (status == StatusCode::OK).then_some((boot, version as u64))
 }
 
-/// True if an entry serves a request.
+/// True if an entry serves a probe request.
 async fn serves(world: &SoakWorld, entry: usize) -> bool {
     let address = world.address(AddressKind::Entry, entry, CALLERS_PORT);
     let request = Request::post(format!("http://{address}/safe/a"))
@@ -170,7 +184,7 @@
     matches!(send(request).await, Some((StatusCode::OK, _)))
 }
 
-/// Waits until every entry serves; else the first that does not.
+/// Waits until every entry serves requests; `Err` is the first entry that does not.
 pub async fn wait_until_served(world: &SoakWorld) -> Result<(), usize> {
     let until = Instant::now() + PATIENCE;
     for entry in 0..world.sizes.entries {
@@ -184,17 +198,18 @@
     Ok(())
 }
 
-/// After the last fault everything serves again.
+/// Checks that every entry serves requests again after the last fault.
 pub async fn wait_for_recovery(world: &SoakWorld) {
     if let Err(entry) = wait_until_served(world).await {
         world.ledger.broke(
             "RECOVER",
-            format!("entry {entry} serves nothing {PATIENCE:?} after the last fault"),
+            format!("entry {entry} does not serve requests {PATIENCE:?} after the last fault"),
         );
     }
 }
 
-/// What was acknowledged is still there, at every voter, and in force at every entry.
+/// Checks that the newest acknowledged version is still stored at every voter and in force at every
+/// entry.
 pub async fn check_kept(world: &SoakWorld) {
     let newest = lock(&world.acknowledged).last_key_value().map_or(0, |(version, _)| *version);
     let until = Instant::now() + PATIENCE;
@@ -205,7 +220,9 @@
                 break;
             }
             if Instant::now() > until {
-                world.ledger.broke("LOST", format!("voter {voter} answers no read"));
+                world
+                    .ledger
+                    .broke("LOST", format!("voter {voter} does not answer a configuration read"));
                 break;
             }
             tokio::time::sleep(LOOK_PAUSE).await;
@@ -218,9 +235,10 @@
                 break;
             }
             if Instant::now() > until {
-                world
-                    .ledger
-                    .broke("CONFIG", format!("entry {entry} has {version} in force, not {newest}"));
+                world.ledger.broke(
+                    "CONFIG",
+                    format!("entry {entry} has version {version} in force instead of {newest}"),
+                );
                 break;
             }
             tokio::time::sleep(LOOK_PAUSE).await;
