--- a/soak/engines.rs
+++ b/soak/engines.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for engines and the platform's list: they run requests, count runs by id, and misbehave by the seed.
+//! Simulated engines and the platform's list of them. Engines execute requests, count executions by
+//! request id and inject faults according to the seed.
 
 use crate::world::{AddressKind, ENGINE_PORT, LIST_PORT, SoakWorld, lock};
 use crate::{checks, poison, proxy};
@@ -14,31 +15,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Requests at once.
+/// Requests that an engine executes concurrently.
 pub const PLACES: u32 = 4;
-/// Time between two events.
+/// Time between two events of a stream.
 const STEP: Duration = Duration::from_millis(15);
-/// The service's name.
+/// Name of the service that the engines belong to.
 pub const SERVICE: &str = "pool";
 
-/// One incarnation of an engine.
+/// One incarnation of a simulated engine.
 #[derive(Debug)]
 pub struct EngineStandin {
     pub id: String,
-    /// Its address in the list: a proxy.
+    /// Address in the platform's list, which is that of the engine's proxy.
     pub listed: SocketAddr,
     pub left_at: Option<Instant>,
     task: AbortHandle,
 }
 
-/// The engines, by number.
+/// The running engines, by number.
 #[derive(Debug, Default)]
 pub struct EngineSet {
     pub engines: BTreeMap<usize, EngineStandin>,
     pub next: usize,
 }
 
-/// How often engines misbehave, in a thousand; set by the schedule.
+/// Rate of injected faults per thousand requests, set by the schedule.
 #[derive(Debug, Default)]
 pub struct Misbehaviour {
     pub per_mille: AtomicU64,
@@ -46,12 +47,12 @@
 
 static MISBEHAVIOUR: Misbehaviour = Misbehaviour { per_mille: AtomicU64::new(0) };
 
-/// Sets how many of a thousand runs end badly from now on.
+/// Sets how many of a thousand requests fail from now on.
 pub fn misbehave(per_mille: u64) {
     MISBEHAVIOUR.per_mille.store(per_mille, Ordering::Relaxed);
 }
 
-/// Starts one more engine; its proxy too.
+/// Starts another engine and its proxy.
 pub async fn add(world: &Arc<SoakWorld>) -> std::io::Result<usize> {
     let number = {
         let mut set = lock(&world.engines);
@@ -69,7 +70,8 @@
     Ok(number)
 }
 
-/// Ends an engine at once, as a crash does; it leaves the list a little later.
+/// Stops an engine at once, as a crash does, and resets its open connections; the next read of the
+/// list omits it.
 pub fn crash(world: &SoakWorld, number: usize) {
     if let Some(engine) = lock(&world.engines).engines.remove(&number) {
         engine.task.abort();
@@ -77,7 +79,7 @@
     }
 }
 
-/// Says in the list that an engine is leaving; it serves on.
+/// Lists an engine as draining; it continues to serve requests.
 pub fn leave(world: &SoakWorld, number: usize) {
     if let Some(engine) = lock(&world.engines).engines.get_mut(&number) {
         engine.left_at.get_or_insert_with(Instant::now);
@@ -96,14 +98,14 @@
     }
 }
 
-/// By what an engine is known.
+/// The id and the number of an engine.
 #[derive(Clone, Debug)]
 struct EngineName {
     id: String,
     number: usize,
 }
 
-/// A request's head and body as they came.
+/// A request's head and body as received.
 struct WireRequest {
     head: String,
     body: Vec<u8>,
@@ -139,7 +141,7 @@
     }
 }
 
-/// A place in use, given back when dropped.
+/// A slot in use, released on drop.
 struct PlaceGuard(Arc<Mutex<u32>>);
 
 impl Drop for PlaceGuard {
@@ -206,7 +208,7 @@
     }
 }
 
-/// Runs a request; false if the connection ends with it.
+/// Executes a request; false if the connection closes after it.
 async fn run(
     world: &Arc<SoakWorld>,
     stream: &mut TcpStream,
@@ -228,7 +230,7 @@
         counts.split(',').filter_map(|number| number.trim().parse::<u64>().ok()).sum();
     world.ledger.ran(&id, (organisation == "limited").then_some(tokens));
     if poison::strikes(world, *number, &request.body) {
-        // Ends with the engine.
+        // Never answers: the engine's task is aborted.
         return std::future::pending().await;
     }
     let head =
@@ -240,13 +242,13 @@
     let body = format!("answer to {id}, {}", String::from_utf8_lossy(&request.body));
     let text = plain(200, &head, &body);
     let (text, goes_on) = match fault {
-        // The answer is lost with its connection.
+        // The response is lost with its connection.
         1 => (String::new(), false),
-        // It is shorter than declared.
+        // The body is shorter than its declared length.
         2 => (text[..text.len() - 3].to_owned(), false),
-        // Another answer comes behind it.
+        // A second response, for another request, follows.
         3 => (format!("{text}{}", plain(200, &head.replace(&id, "other"), "not yours")), true),
-        // It fails, and has run.
+        // The request was executed and fails.
         4 => (plain(500, &head, "failed"), true),
         _ => (text, true),
     };
