--- a/soak/fleet.rs
+++ b/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes: our own program, started, signalled and ended by process id.
+//! The processes of the tested program, which are started, signalled and killed by process id.
 
 use crate::operators::document;
 use crate::world::{
@@ -11,19 +11,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Something that must come is waited for this long; a busy machine is no broken promise.
+/// Timeout of the checks that wait for a condition; long enough that a busy machine does not count
+/// as a violation.
 pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Pause between two looks.
+/// Pause between two polls of a condition.
 pub const LOOK_PAUSE: Duration = Duration::from_millis(50);
 
-/// Which process.
+/// Identifies a process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessName {
     Voter(usize),
     Entry(usize),
 }
 
-/// A signal, by its name.
+/// Signals that the schedule sends to processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakSignal {
     Term,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Starts a process; one that runs is left alone.
+/// Starts a process unless it is running already.
 pub fn start(world: &SoakWorld, name: ProcessName) -> std::io::Result<()> {
     let mut processes = lock(&world.processes);
     if processes.running.contains_key(&name) {
@@ -106,7 +107,7 @@
     Ok(())
 }
 
-/// Kills a process at once.
+/// Kills a process with SIGKILL and waits for it.
 pub fn kill(world: &SoakWorld, name: ProcessName) {
     world.disturb();
     if let Some(mut child) = lock(&world.processes).running.remove(&name) {
@@ -115,7 +116,7 @@
     }
 }
 
-/// Sends a signal to a process that was started here.
+/// Sends a signal to a process that this run started.
 pub fn signal(world: &SoakWorld, name: ProcessName, signal: SoakSignal) {
     world.disturb();
     let processes = lock(&world.processes);
@@ -130,7 +131,7 @@
     let _ = rustix::process::kill_process(pid, number);
 }
 
-/// Takes note of processes that have ended by themselves; those that were told to may.
+/// Removes processes that have exited; an exit without a request to terminate is a violation.
 pub fn reap(world: &SoakWorld, was_told: impl Fn(ProcessName) -> bool) {
     let mut processes = lock(&world.processes);
     let ended: Vec<ProcessName> = processes
@@ -141,12 +142,12 @@
     for name in ended {
         processes.running.remove(&name);
         if !was_told(name) {
-            world.ledger.broke("PROCESS", format!("{name:?} ended by itself"));
+            world.ledger.broke("PROCESS", format!("{name:?} exited without being told to"));
         }
     }
 }
 
-/// True while it runs.
+/// True while the process has not been killed or reaped.
 pub fn is_running(world: &SoakWorld, name: ProcessName) -> bool {
     lock(&world.processes).running.contains_key(&name)
 }
@@ -156,7 +157,7 @@
     let _ = std::fs::remove_dir_all(world.folder().join(name.file()));
 }
 
-/// Starts everything, and waits until each entry serves under the first configuration.
+/// Starts all parts and waits until every entry serves requests under the first configuration.
 pub async fn start_all(world: &Arc<SoakWorld>) -> Result<(), String> {
     let text = |error: std::io::Error| error.to_string();
     engines::serve_list(world).await.map_err(text)?;
@@ -175,21 +176,23 @@
     let until = tokio::time::Instant::now() + PATIENCE;
     while !operators::replace(world, 0, 1, &document(1)).await {
         if tokio::time::Instant::now() > until {
-            return Err("no voter takes the first configuration".to_owned());
+            return Err("voter 0 did not accept the first configuration".to_owned());
         }
         tokio::time::sleep(LOOK_PAUSE).await;
     }
-    checks::wait_until_served(world).await.map_err(|entry| format!("entry {entry} does not serve"))
+    checks::wait_until_served(world)
+        .await
+        .map_err(|entry| format!("entry {entry} does not serve requests"))
 }
 
-/// Ends all faults: everything runs, and every proxy passes.
+/// Ends all faults: restarts every process and lets every proxy forward bytes again.
 pub async fn heal(world: &Arc<SoakWorld>) {
     engines::misbehave(0);
     world.proxies.heal();
     for name in names(world) {
         signal(world, name, SoakSignal::Cont);
     }
-    // Those that were told to end need their grace before they can be started again.
+    // Processes that were told to terminate must drain before they can be started again.
     let until = tokio::time::Instant::now() + PATIENCE;
     loop {
         reap(world, |_| true);
@@ -210,7 +213,7 @@
     }
 }
 
-/// Ends all processes of this run.
+/// Kills all processes of this run.
 pub async fn stop_all(world: &SoakWorld) {
     names(world).into_iter().for_each(|name| kill(world, name));
 }
