--- a/soak/operators.rs
+++ b/soak/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: two that change the configuration and send again what got no clear answer, and one that reads it.
+//! Simulated operators: two change the configuration and retry calls without a definite response,
+//! one reads it.
 
 use crate::callers::{FREE_KEY, HOST, LIMITED_KEY};
 use crate::checks;
@@ -17,12 +18,12 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// A call without an answer is sent to another voter after this long.
+/// Time to wait for a voter's response before the call counts as failed and is sent to another.
 const ANSWER_TIME: Duration = Duration::from_secs(1);
-/// A change is given up after so many calls; it may or may not be in force then.
+/// Number of calls after which a change is given up; it may or may not be in force then.
 const MOST_CALLS: usize = 30;
 
-/// The configuration of a version: the same routes, and one whose name tells the version.
+/// The configuration of a version: the same routes, and one whose name contains the version.
 pub fn document(version: u64) -> String {
     let route = |name: &str, kind: &str, attempts: u32, resumable: bool| {
         json!({"name": name, "host": HOST, "path_prefix": format!("/{name}/"), "kind": kind, "timeout_ms": 4000,
@@ -73,7 +74,7 @@
     None
 }
 
-/// Sends a configuration to a voter; true if it was acknowledged.
+/// Sends a configuration to a voter and returns true if it was acknowledged.
 pub async fn replace(world: &SoakWorld, voter: usize, version: u64, document: &str) -> bool {
     let request = Request::post("/-/config/replace").header("content-type", "application/json");
     match call(world, voter, request, document.to_owned()).await {
@@ -91,13 +92,13 @@
     }
 }
 
-/// Reads the configuration at a voter; none if it does not answer, or is not sure.
+/// Reads the configuration from a voter; `None` if it does not answer or cannot confirm it.
 pub async fn read(world: &SoakWorld, voter: usize) -> Option<Value> {
     let (status, body) = call(world, voter, Request::get("/-/config/read"), String::new()).await?;
     (status == StatusCode::OK).then(|| serde_json::from_str(&body).ok())?
 }
 
-/// Starts the operators; they end with the world.
+/// Starts the operators; they run until the context is stopped.
 pub fn start(world: &Arc<SoakWorld>, seed: u64) -> JoinHandle<()> {
     let world = Arc::clone(world);
     tokio::spawn(async move {
@@ -120,7 +121,7 @@
         for _ in 0..MOST_CALLS {
             let voter = rng.random_range(0..world.sizes.voters);
             let is_done = replace(world, voter, version, &document).await;
-            // An acknowledged change that is sent again, to anyone, is acknowledged again.
+            // An acknowledged change that is sent again to any voter must be acknowledged again.
             if is_done && rng.random_range(0..3) > 0 || world.is_stopped() {
                 break;
             }
