--- a/soak/plan.rs
+++ b/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The schedule of faults: worked out from the seed alone, then carried out at its times.
+//! The schedule of faults: computed from the seed alone, then executed at the scheduled times.
 
 use crate::engines;
 use crate::fleet::{self, ProcessName, SoakSignal};
@@ -12,31 +12,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two faults at most this long.
+/// Upper bound of the time between the starts of two faults.
 const MOST_PAUSE_MS: u64 = 900;
-/// After a disk was lost no other one is, for this long: the fleet bears the loss of one at a time.
+/// Time after the loss of a disk in which no other disk is removed: the fleet tolerates the loss of
+/// one disk at a time.
 const CATCH_UP: Duration = Duration::from_secs(8);
 
-/// One thing that is done to the fleet.
+/// One action of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub enum SoakStep {
     Kill(ProcessName),
     Start(ProcessName),
     Signal(ProcessName, SoakSignal),
-    /// Kills a voter and removes its folder.
+    /// Kills a voter and removes its data folder.
     Wipe(usize),
     EntryProxy(usize, ProxyMode),
-    /// The proxies of all engines.
+    /// Sets the mode of the proxies of all engines.
     EngineProxies(ProxyMode),
     AddEngine,
-    /// The engine at this place among those that run.
+    /// Crashes the engine at this index, modulo their count, among those that are not draining.
     CrashEngine(usize),
     LeaveEngine(usize),
-    /// This many of a thousand runs end badly from now on.
+    /// Sets how many of a thousand requests fail at the engines from now on.
     Misbehave(u64),
 }
 
-/// A step and its time after the start.
+/// A step and its time, relative to the start of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedStep {
     pub at: Duration,
@@ -49,7 +50,7 @@
     }
 }
 
-/// The schedule of a seed.
+/// Computes the schedule of a seed.
 pub fn schedule(rng: &mut ChaCha8Rng, length: Duration, sizes: &WorldSizes) -> Vec<TimedStep> {
     let mut steps = Vec::new();
     let mut at = Duration::ZERO;
@@ -68,7 +69,7 @@
     steps
 }
 
-/// A fault: its begin, and its end where it has one.
+/// Draws a fault: the step that starts it and, for a lasting fault, the step that ends it.
 fn draw(
     rng: &mut ChaCha8Rng,
     sizes: &WorldSizes,
@@ -96,7 +97,7 @@
         4 => span(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
         5 => once(SoakStep::Signal(process, SoakSignal::Hangup)),
         6 if may_wipe => span(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter))),
-        // All voters at once: their disks are kept.
+        // Kills all voters at once and keeps their disks.
         6 | 7 => (0..sizes.voters)
             .flat_map(|number| {
                 let voter = ProcessName::Voter(number);
@@ -119,10 +120,10 @@
     }
 }
 
-/// Carries the schedule out.
+/// Executes the schedule.
 pub async fn carry_out(world: &Arc<SoakWorld>, steps: &[TimedStep]) {
     let began = tokio::time::Instant::now();
-    // Processes that were told to end may do so; they are looked after until they are started again.
+    // Processes that were told to terminate may exit until they are started again.
     let mut told = BTreeSet::new();
     for timed in steps {
         tokio::time::sleep_until(began + timed.at).await;
@@ -137,7 +138,7 @@
     match step {
         SoakStep::Kill(name) => fleet::kill(world, name),
         SoakStep::Start(name) => {
-            // A drain that still lasts is cut short by a kill, as a platform does after its grace.
+            // Kills a process that is still draining, as a platform does after the grace period.
             if told.remove(&name) {
                 fleet::kill(world, name);
             }
@@ -177,7 +178,7 @@
     }
 }
 
-/// An engine that runs and is not leaving; none if only one is left.
+/// Picks an engine that is not draining; `None` if fewer than two are left.
 fn pick_engine(world: &SoakWorld, place: usize) -> Option<usize> {
     let set = lock(&world.engines);
     let staying: Vec<usize> = set
