--- a/soak/poison.rs
+++ b/soak/poison.rs
@@ -1,4 +1,5 @@
-//! A request that ends each engine that begins to run it, and the caller who sends it again and again.
+//! A poison request, which crashes every engine that starts to execute it, and the caller that
+//! sends it repeatedly.
 
 use crate::callers::{FREE_KEY, HOST};
 use crate::engines;
@@ -13,23 +14,24 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// The body; no other caller sends it.
+/// Body that identifies the poison request; no other caller sends it.
 const BODY: &str = "poison";
-/// Pause between two attempts while faults are played.
+/// Pause between two attempts while faults are injected.
 const PAUSE: Duration = Duration::from_millis(700);
-/// How long the caller waits.
+/// Deadline that the caller sends.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// An engine that ended is replaced after this long.
+/// Time after which a crashed engine is replaced.
 const REPLACED_AFTER: Duration = Duration::from_millis(300);
-/// All entries hear of engines that ended within this time of calm.
+/// Time without faults within which all entries learn of the crashed engines.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Engines that may end before the request is held back, and sends after that.
+/// Number of engines that may crash before the request is quarantined, and of executions that may
+/// still follow.
 const MOST_ENDS: u32 = 3;
 const MOST_SENDS_AFTER: u32 = 3;
-/// Attempts after the last fault, at each entry in turn.
+/// Attempts after the last fault, sent to the entries in turn.
 const LAST_ATTEMPTS: usize = 8;
 
-/// How often engines began to run the request.
+/// Number of times that engines started to execute the poison request.
 #[derive(Debug, Default)]
 pub struct PoisonCount(AtomicU32);
 
@@ -39,7 +41,7 @@
     }
 }
 
-/// True if the body is the request's; the engine then ends, and another one takes its place.
+/// Returns true for the poison request's body, after scheduling the engine's crash and replacement.
 pub fn strikes(world: &Arc<SoakWorld>, engine: usize, body: &[u8]) -> bool {
     if body != BODY.as_bytes() {
         return false;
@@ -55,7 +57,7 @@
     true
 }
 
-/// Sends the request again and again, to one entry after the other, until the world stops.
+/// Sends the poison request repeatedly, to the entries in turn, until the context is stopped.
 pub fn start(world: &Arc<SoakWorld>) -> JoinHandle<()> {
     let world = Arc::clone(world);
     tokio::spawn(async move {
@@ -77,7 +79,7 @@
         .header("tarragonknot-request-id", &id)
         .header("tarragonknot-deadline-ms", DEADLINE.as_millis().to_string())
         .body(Full::new(Bytes::from_static(BODY.as_bytes())))
-        .expect("a request of fixed parts");
+        .expect("the request consists of valid parts");
     let sent = SentRequest { may_repeat: true, attempts: 2, status: None, sent_at: Instant::now() };
     world.ledger.sent(&id, sent);
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
@@ -92,7 +94,8 @@
     }
 }
 
-/// Once everything is calm, the request reaches engines no more than it may, whichever entries were killed meanwhile.
+/// Checks that after the last fault the request reaches no more engines than the limits allow,
+/// whichever entries were killed before.
 pub async fn check(world: &SoakWorld) {
     tokio::time::sleep(CONTACT).await;
     let before = world.poison.get();
@@ -104,7 +107,7 @@
     if sends > most {
         world.ledger.broke(
             "BUDGET",
-            format!("a request under which {before} engines had ended was sent {sends} times more"),
+            format!("a request that had crashed {before} engines was executed {sends} more times"),
         );
     }
 }
