--- a/soak/proxy.rs
+++ b/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy between callers and entries, and between entries and engines, that delays, resets, cuts and silences.
+//! A fault-injecting TCP proxy between callers and entries and between entries and engines. It can
+//! delay bytes, reset connections, and drop the bytes of one or both directions.
 
 use crate::world::{SoakWorld, lock};
 use std::collections::BTreeMap;
@@ -10,41 +11,42 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Longest that bytes are delayed.
+/// Delay added to a round trip: `ProxyMode::Delay` delays each chunk of either direction by half.
 const DELAY: Duration = Duration::from_millis(120);
 
-/// What a proxy does with the bytes of its connections.
+/// How a proxy treats the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyMode {
     #[default]
     Pass,
-    /// Each piece waits a little.
+    /// Each chunk is delayed.
     Delay,
-    /// Bytes towards the server vanish; the other way is open.
+    /// Bytes towards the server are dropped; the other direction works.
     CutThere,
-    /// Bytes from the server vanish.
+    /// Bytes from the server are dropped; the other direction works.
     CutBack,
-    /// Open connections say nothing for good; new ones work.
+    /// Open connections drop all further bytes in both directions; new connections work.
     SilenceOpen,
-    /// Open connections are reset; new ones work.
+    /// Open connections are reset; new connections work.
     ResetOpen,
 }
 
-/// The modes of all proxies, by the address at which they listen.
+/// The modes of all proxies, by listening address.
 #[derive(Debug, Default)]
 pub struct ProxyModes {
     modes: Mutex<BTreeMap<SocketAddr, watch::Sender<(u64, ProxyMode)>>>,
 }
 
 impl ProxyModes {
-    /// Sets the mode of the proxy at `address`; each order has a number of its own, so that the same one twice counts.
+    /// Sets the mode of the proxy at `address`. Each call has its own number, so that setting the
+    /// same mode twice takes effect twice.
     pub fn set(&self, address: SocketAddr, mode: ProxyMode) {
         if let Some(sender) = lock(&self.modes).get(&address) {
             sender.send_modify(|state| *state = (state.0 + 1, mode));
         }
     }
 
-    /// All proxies pass bytes again.
+    /// Makes all proxies forward bytes again.
     pub fn heal(&self) {
         let modes = lock(&self.modes);
         modes
@@ -53,7 +55,7 @@
     }
 }
 
-/// Starts a proxy at `address` before `server`.
+/// Starts a proxy that listens at `address` and forwards to `server`.
 pub async fn start(
     world: &Arc<SoakWorld>,
     address: SocketAddr,
@@ -76,7 +78,7 @@
     mut modes: watch::Receiver<(u64, ProxyMode)>,
 ) {
     let Ok(server) = TcpStream::connect(server).await else {
-        // A refused connection behind the proxy is a refused one before it.
+        // A connection refused by the server is reset towards the client.
         let _ = close_with_reset(&client);
         return;
     };
@@ -88,12 +90,12 @@
     let back = pump(server_in, client_out, modes.clone(), opened_under, ProxyMode::CutBack);
     tokio::select! {
         () = async { tokio::join!(there, back); } => {}
-        // Dropping both halves with bytes unread resets the connection.
+        // Dropping both halves with unread bytes resets the connection.
         () = reset_ordered(modes) => {}
     }
 }
 
-/// Closes with a reset instead of a good end.
+/// Makes the close of the connection send a reset instead of a regular end.
 fn close_with_reset(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_zero_linger()
 }
@@ -127,7 +129,7 @@
             mode if mode == cut => is_silent = true,
             _ => {}
         }
-        // Once bytes were swallowed the rest would be out of step: this direction is silent for good.
+        // Once bytes were dropped, later ones would corrupt the stream: the direction stays silent.
         if !is_silent && to.write_all(&buffer[..count]).await.is_err() {
             break;
         }
