--- a/soak/world.rs
+++ b/soak/world.rs
@@ -1,4 +1,5 @@
-//! What all parts of one run share: addresses, the ledger of what happened, the processes.
+//! State shared by all parts of one run: addresses, the record of requests and violations, and the
+//! processes.
 
 use crate::SoakArgs;
 use crate::fleet::FleetProcesses;
@@ -12,17 +13,17 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Ports, the same on all addresses; each process has an address of its own in 127.0.0.0/8.
+/// Ports, which are the same on all addresses; each process has its own address in 127.0.0.0/8.
 pub const CALLERS_PORT: u16 = 18_221;
 pub const READY_PORT: u16 = 18_224;
 pub const LIST_PORT: u16 = 18_225;
 pub const OPERATORS_PORT: u16 = 18_229;
 pub const CONTROL_PORT: u16 = 17_600;
 pub const ENGINE_PORT: u16 = 18_080;
-/// Broken promises that are told of one run.
+/// Maximum number of violations that are printed for one run.
 const MOST_TOLD: usize = 12;
 
-/// How many of each there are.
+/// Number of each kind of participant.
 #[derive(Clone, Copy, Debug)]
 pub struct WorldSizes {
     pub entries: usize,
@@ -31,7 +32,7 @@
     pub callers: usize,
 }
 
-/// A kind of address: the third byte.
+/// Kinds of participants; the value is the third octet of their addresses.
 #[derive(Clone, Copy, Debug)]
 pub enum AddressKind {
     Voter = 0,
@@ -42,7 +43,7 @@
     List = 20,
 }
 
-/// A request as its caller sent it, and what came of it.
+/// A request as its caller sent it, and its outcome.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
     pub may_repeat: bool,
@@ -51,7 +52,7 @@
     pub sent_at: Instant,
 }
 
-/// The first run of a request of the organisation with a limit.
+/// The first execution of a request of the organisation that has a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct CountedRun {
     pub sent_at: Instant,
@@ -59,13 +60,13 @@
     pub tokens: u64,
 }
 
-/// What happened, by request.
+/// Record of requests, executions and violations.
 #[derive(Debug, Default)]
 pub struct SoakLedger {
     sent: Mutex<BTreeMap<String, SentRequest>>,
-    /// Runs, by request id.
+    /// Number of executions, by request id.
     runs: Mutex<BTreeMap<String, u32>>,
-    /// What ran for the organisation with a limit.
+    /// Executions for the organisation that has a limit.
     counted: Mutex<Vec<CountedRun>>,
     broken: Mutex<Vec<String>>,
 }
@@ -88,7 +89,7 @@
         let mut runs = lock(&self.runs);
         let count = runs.entry(id.to_owned()).or_default();
         *count += 1;
-        // A second run of one request is not asked for a second time.
+        // The limit counts each request once, so a second execution is not counted.
         if let (1, Some(tokens), Some(sent_at)) = (*count, limited_tokens, sent_at) {
             lock(&self.counted).push(CountedRun { sent_at, ran_at: Instant::now(), tokens });
         }
@@ -110,7 +111,7 @@
         lock(&self.counted).clone()
     }
 
-    /// Notes a broken promise.
+    /// Records the violation of a rule.
     pub fn broke(&self, rule: &str, detail: impl std::fmt::Display) {
         lock(&self.broken).push(format!("{rule}: {detail}"));
     }
@@ -120,7 +121,7 @@
         broken.iter().take(MOST_TOLD).cloned().collect()
     }
 
-    /// Counts, for the table of results.
+    /// Counts of requests by status, for the printed result.
     pub fn summary(&self) -> String {
         let sent = lock(&self.sent);
         let with = |status: u16| {
@@ -139,7 +140,7 @@
     }
 }
 
-/// One run.
+/// State of one run.
 pub struct SoakWorld {
     pub seed: u64,
     pub sizes: WorldSizes,
@@ -148,11 +149,11 @@
     pub processes: Mutex<FleetProcesses>,
     pub engines: Mutex<crate::engines::EngineSet>,
     pub proxies: ProxyModes,
-    /// Versions of the configuration that were acknowledged, with their documents' marks.
+    /// Acknowledged versions of the configuration, with the time of their first acknowledgement.
     pub acknowledged: Mutex<BTreeMap<u64, Instant>>,
-    /// When a process or an engine was last disturbed.
+    /// Time of the last fault injected into a process, a proxy or an engine.
     pub disturbed: Mutex<Instant>,
-    /// Runs of the request that ends engines.
+    /// Executions of the poison request.
     pub poison: PoisonCount,
     folder: Mutex<Option<TempDir>>,
     base: u8,
@@ -179,14 +180,16 @@
             acknowledged: Mutex::default(),
             disturbed: Mutex::new(Instant::now()),
             poison: PoisonCount::default(),
-            folder: Mutex::new(Some(tempfile::tempdir().expect("a temporary folder"))),
+            folder: Mutex::new(Some(
+                tempfile::tempdir().expect("a temporary folder can be created"),
+            )),
             base: free_base(),
             is_stopped: AtomicBool::new(false),
             steps_done: AtomicUsize::new(0),
         }
     }
 
-    /// The address of the `number`th of a kind.
+    /// IP address of participant `number` of a kind.
     pub fn ip(&self, kind: AddressKind, number: usize) -> IpAddr {
         let (high, low) = (kind as usize + number / 250 * 100, number % 250 + 1);
         IpAddr::V4(Ipv4Addr::new(127, self.base, high as u8, low as u8))
@@ -200,7 +203,7 @@
         lock(&self.folder).as_ref().map(|folder| folder.path().to_owned()).unwrap_or_default()
     }
 
-    /// Leaves the folder where it is after the run.
+    /// Keeps the folder after the run and returns its path.
     pub fn keep_folder(&self) -> PathBuf {
         lock(&self.folder).take().map(TempDir::keep).unwrap_or_default()
     }
@@ -230,7 +233,7 @@
     }
 }
 
-/// The second byte of this run's addresses, so that runs beside each other do not meet.
+/// Finds a free second octet for this run's addresses, so that concurrent runs do not collide.
 fn free_base() -> u8 {
     let first = (std::process::id() % 200) as u8;
     let bases = (0..200).map(|step| 20 + (first + step) % 200);
@@ -238,5 +241,5 @@
         let probe = SocketAddr::from(([127, *base, 20, 1], LIST_PORT));
         std::net::TcpListener::bind(probe).is_ok()
     };
-    bases.into_iter().find(is_free).expect("a free range of loopback addresses")
+    bases.into_iter().find(is_free).expect("a range of loopback addresses is free")
 }
