--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,8 +1,8 @@
-//! Measures a fleet of processes of our own binary: `cargo bench --bench fleet`. Prints one line for each
-//! figure, with the machine's own sync time beside them.
+//! Measures a fleet of processes of this crate's binary: `cargo bench --bench fleet`. Prints one
+//! line per figure, and the disk's sync time for comparison.
 
 #[path = "../tests/workdir.rs"]
-#[allow(dead_code, reason = "the bench uses a part of the helper")]
+#[allow(dead_code, reason = "the bench uses only a part of the helper")]
 mod workdir;
 
 use std::io::Write;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Applies a table through any daemon that answers; returns the version.
+    /// Applies a table through any daemon that accepts it; returns the table with its new version.
     async fn apply(
         &self,
         base: &VersionedTable,
@@ -135,7 +135,7 @@
         "upstreams": [{{"upstream": "engine", "service": "slow", "address": "{engine}", "data_centre": "hall-a"}}]}}"#,
         KeyDigest::of(CALLER_KEY).0
     );
-    read_table(&text).expect("a good table")
+    read_table(&text).expect("the table is valid")
 }
 
 fn quantile(times: &mut [Duration], share: f64) -> Duration {
@@ -148,15 +148,16 @@
     println!("{what:<62} {value}");
 }
 
-/// Time of one small write and sync on this machine's disk.
+/// Times of small writes with a sync on this machine's disk.
 fn sync_times() -> Vec<Duration> {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    let mut file = std::fs::File::create(folder.path().join("file")).expect("a file");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let mut file =
+        std::fs::File::create(folder.path().join("file")).expect("the file can be created");
     let mut times = Vec::new();
     for _ in 0..200 {
         let started = Instant::now();
-        file.write_all(&[7; 400]).expect("a write");
-        file.sync_data().expect("a sync");
+        file.write_all(&[7; 400]).expect("the write succeeds");
+        file.sync_data().expect("the sync succeeds");
         times.push(started.elapsed());
     }
     times
@@ -177,7 +178,7 @@
     line.split_whitespace().nth(1).and_then(|field| field.parse().ok()).unwrap_or(0.0)
 }
 
-/// Bytes received on loopback so far, by every process of the machine.
+/// Bytes received on loopback so far by all processes of the machine.
 fn loopback_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
@@ -195,7 +196,7 @@
     say("one write and sync on this disk, p50", format!("{sync:.2?}"));
     let engine = start_engine(EngineShape::with_step(20_000), Default::default(), Duration::ZERO)
         .await
-        .expect("an engine");
+        .expect("the simulated engine starts");
     let mut fleet = Fleet::start(VOTERS, DAEMONS);
     let empty = VersionedTable::new(0, OperatorTable::default());
     let mut current = fleet.apply(&empty, table(1, engine.address), "first", true).await;
@@ -241,7 +242,7 @@
     let leader = fleet.leader().await;
     let control = connect(fleet.daemons[leader].control, &FleetKey::from_text(KEY))
         .await
-        .expect("the leader");
+        .expect("the leader accepts a control connection");
     let mut current = first;
     let mut times = Vec::new();
     for number in 0..EDITS {
@@ -322,7 +323,7 @@
         })
     });
     let counts = futures_util::future::join_all(claimers).await;
-    let total: u64 = counts.into_iter().map(|count| count.expect("a claimer ends")).sum();
+    let total: u64 = counts.into_iter().map(|count| count.expect("a claimer does not panic")).sum();
     say(
         "claims a second, 256 callers",
         format!("{:.0}", total as f64 / started.elapsed().as_secs_f64()),
@@ -354,15 +355,17 @@
         }
     }
     let (p50, most) = (quantile(&mut times, 0.5), quantile(&mut times, 1.0));
-    say("leader killed to next edit accepted, p50 and most of 5", format!("{p50:.2?} {most:.2?}"));
+    say("leader killed to next edit accepted, p50 and max of 5", format!("{p50:.2?} {most:.2?}"));
     let most = quantile(&mut in_force, 1.0);
-    say("the same to in force everywhere (the dead one's lease is 3 s)", format!("{most:.2?}"));
+    say("leader killed to edit in force everywhere (its lease is 3 s)", format!("{most:.2?}"));
     current
 }
 
 async fn measure_restart(fleet: &mut Fleet) {
     let leader = fleet.leader().await;
-    let follower = (0..VOTERS).find(|number| *number != leader).expect("three voters");
+    let follower = (0..VOTERS)
+        .find(|number| *number != leader)
+        .expect("there are other voters than the leader");
     let mut times = Vec::new();
     for _ in 0..5 {
         fleet.kill(follower);
@@ -379,7 +382,7 @@
     );
 }
 
-/// Memory of requests that wait, over HTTP/2 so that connections weigh little.
+/// Measures the memory of waiting requests, over HTTP/2 so that connections add little to it.
 async fn measure_waiting(engine: SocketAddr) {
     let fleet = Fleet::start(1, 1);
     fleet
