--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,4 +1,5 @@
-//! Times of the pure decisions: placement, admit-and-pop, and the memory of waiting requests.
+//! Benchmarks of decisions without I/O: placement, queueing, the pool scheduler, the leader's
+//! handling of reports, and putting a table in force.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
@@ -118,7 +119,7 @@
     group.finish();
 }
 
-/// A request's whole way through the scheduler: arrival, placement, end.
+/// A request's life cycle in the scheduler: arrival, dispatch, end.
 fn scheduler(criterion: &mut Criterion) {
     let plan = PoolPlan {
         tiers: SHARES.to_vec(),
@@ -178,7 +179,7 @@
     });
 }
 
-/// A table of `organisations` rows and `services` model services.
+/// A table with the given numbers of organisations and model services.
 fn table(organisations: usize, services: usize) -> VersionedTable {
     let digest = |number: usize| KeyDigest::of(&format!("key-{number}"));
     let row = |number: usize| OrganisationRow {
@@ -198,12 +199,12 @@
         r#"{{"tiers": [{{"tier": "t", "rank": 0, "weight": 1}}], "organisations": [], "services": [{}]}}"#,
         services.join(",")
     );
-    let mut table = read_table(&text).expect("a good table");
+    let mut table = read_table(&text).expect("the table is valid");
     table.organisations = (0..organisations).map(row).collect();
     VersionedTable::new(1, table)
 }
 
-/// The leader's work for one report, by the size of the fleet.
+/// The leader's work for one report of a daemon, by the number of daemons.
 fn fleet_book(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("leader-report");
     let table = table(5, 17);
@@ -255,17 +256,17 @@
     group.finish();
 }
 
-/// Reading a table and putting it in force, by the number of organisations.
+/// Parsing a table and indexing it for use, by the number of organisations.
 fn table_in_force(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("table-in-force");
     for count in [5, 330, 3_300] {
         let versioned = table(count, 17);
-        let text = serde_json::to_string(&versioned).expect("a table as text");
+        let text = serde_json::to_string(&versioned).expect("the table can be serialised");
         println!("a table of {count} organisations and 17 services: {} bytes", text.len());
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
-                let versioned: VersionedTable =
-                    serde_json::from_str(black_box(&text)).expect("its own text");
+                let versioned: VersionedTable = serde_json::from_str(black_box(&text))
+                    .expect("a serialised table can be parsed");
                 AccessIndex::new(&versioned.table, &mut OrganisationIndices::default())
             });
         });
