--- a/benches/seeds.rs
+++ b/benches/seeds.rs
@@ -1,4 +1,5 @@
-//! Many seeded schedules of faults over the replicated state and the fleet's agreement: `cargo bench --bench seeds -- SEEDS`.
+//! Runs many seeded fault schedules against the replicated state and the fleet's control protocol:
+//! `cargo bench --bench seeds -- SEEDS`.
 
 #[path = "../tests/fleet_schedule.rs"]
 #[allow(dead_code, reason = "the bench breaks no rules by hand")]
