--- a/benches/size_share.rs
+++ b/benches/size_share.rs
@@ -1,7 +1,9 @@
-//! What the promise by size costs, in virtual time: `cargo bench --bench size_share`.
+//! Measures the cost of the guaranteed share by size in virtual time:
+//! `cargo bench --bench size_share`.
 //!
-//! For each level of the promise and each number of daemons, at twice what the engines do: the part of all requests that is
-//! served, and served in time, and by kind the part of all and of the largest tenth.
+//! For each `size_share` and each number of daemons, at twice the engines' capacity, prints the
+//! fractions of all requests that are served, served in time, and lost, and for each kind of
+//! request the fractions of all and of the largest tenth that are served.
 
 #[allow(dead_code)]
 #[path = "../tests/burst_pool.rs"]
@@ -22,7 +24,7 @@
     ends.iter().filter(|end| end.is_lost).count() as f64 / ends.len().max(1) as f64
 }
 
-/// Of a kind, the part of all and of the largest tenth that is served.
+/// Fractions of all requests of a kind, and of its largest tenth, that are served.
 fn of_kind(ends: &[SizedEnd], kind: usize) -> String {
     let own = by_size(ends, kind);
     let largest = &own[own.len() * 9 / 10..];
@@ -40,11 +42,11 @@
 
 fn main() {
     let mut table = Table::new();
-    table.set_header(["load", "served", "in time", "in vain", "kind 0", "kind 1", "kind 2"]);
+    table.set_header(["load", "served", "in time", "lost", "kind 0", "kind 1", "kind 2"]);
     for daemons in DAEMONS {
         for promise in PROMISES {
             let ends = play_with(&SizedLoad::overload(daemons), |plan| plan.size_share = promise);
-            table.add_row(row(&format!("{daemons} daemons, promise {promise}"), &ends));
+            table.add_row(row(&format!("{daemons} daemons, size share {promise}"), &ends));
         }
     }
     let calm = play(&SizedLoad { times: 0.5, ..SizedLoad::overload(7) });
