--- a/benches/waiting.rs
+++ b/benches/waiting.rs
@@ -1,5 +1,5 @@
-//! Memory of waiting requests beside their bodies and connections, counted at the allocator:
-//! `cargo bench --bench waiting`.
+//! Measures the memory of waiting requests without connections, counted in the allocator, and
+//! prints the size of their bodies beside it: `cargo bench --bench waiting`.
 
 use http::Request;
 use slog::{Discard, Logger, o};
@@ -13,12 +13,12 @@
 use tarragonknot::traffic::{TrafficState, frontend_router};
 use tower::ServiceExt;
 
-/// Passes everything on to the system's allocator and counts the bytes in use.
+/// Forwards all calls to the system allocator and counts the bytes in use.
 struct CountingAllocator;
 
 static IN_USE: AtomicIsize = AtomicIsize::new(0);
 
-// SAFETY: every call is passed on unchanged to the system's allocator.
+// SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size() as isize, Ordering::Relaxed);
@@ -38,7 +38,7 @@
 async fn main() {
     let engine = start_engine(EngineShape::with_step(50_000), Default::default(), Duration::ZERO)
         .await
-        .expect("an engine");
+        .expect("the simulated engine starts");
     let text = format!(
         r#"{{"tiers": [{{"tier": "only", "rank": 0, "weight": 1}}],
         "organisations": [{{"organisation": "org", "key_digests": ["{}"], "weight": 1}}],
@@ -48,13 +48,13 @@
         KeyDigest::of("key").0,
         engine.address
     );
-    let table = read_table(&text).expect("a good table");
+    let table = read_table(&text).expect("the table is valid");
     let state = TrafficState::new("bench".into(), Logger::root(Discard, o!()), 1);
     state.apply_table(&VersionedTable::new(1, table));
     state.set_current_until(Moment(u64::MAX));
     let router = frontend_router(Arc::clone(&state));
-    // One long answer holds the engine; the others ask for little, so that 100,000 of them still wait in vain
-    // for less than the deadline.
+    // One long response occupies the engine. The other requests ask for little output, so that the
+    // estimated wait of 100,000 of them stays below the deadline and none is refused.
     let long = r#"{"model":"slow","stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"hello"}]}"#;
     let body = r#"{"model":"slow","stream":true,"max_tokens":1,"messages":[{"role":"user","content":"hello"}]}"#;
     let call = |body: &'static str| {
@@ -68,7 +68,7 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         let before = IN_USE.load(Ordering::Relaxed);
         let calls: Vec<_> = (0..count).map(|_| call(body)).collect();
-        let pool = state.pool(&"slow".into()).expect("the pool");
+        let pool = state.pool(&"slow".into()).expect("the service has a pool");
         while pool.status().waiting < count {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
