--- a/soak/checks.rs
+++ b/soak/checks.rs
@@ -1,9 +1,9 @@
 //! Checks of the invariants, from what callers, operators and engines observe.
 
-use crate::callers::{FREE_KEY, HOST};
-use crate::fleet::{LOOK_PAUSE, PATIENCE};
-use crate::operators::read;
-use crate::world::{AddressKind, CALLERS_PORT, READY_PORT, SentRequest, SoakWorld, lock};
+use crate::callers::{FREE_KEY, ROUTE_HOST};
+use crate::context::{AddressKind, CALLERS_PORT, READY_PORT, SentRequest, SoakContext, lock};
+use crate::fleet::{POLL_INTERVAL, WAIT_TIMEOUT};
+use crate::operators::read_config;
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -16,56 +16,65 @@
 use tokio::task::JoinHandle;
 
 /// Token rate per second of the limited organisation, and also its burst.
-pub const LIMIT_RATE: u64 = 8_000;
+pub const LIMIT_TOKENS_PER_SECOND: u64 = 8_000;
 /// Tokens tolerated beyond the limit, as in the processes' settings.
-pub const LIMIT_SLACK: u64 = 20_000;
+pub const LIMIT_SLACK_TOKENS: u64 = 20_000;
 /// Factor over rate and burst that the settings (`limit_overage`) tolerate.
-const LIMIT_OVERAGE: f64 = 1.1;
+const LIMIT_OVERAGE_FACTOR: f64 = 1.1;
 /// Length of the window over which the limit is checked.
 const LIMIT_WINDOW: Duration = Duration::from_secs(8);
 /// Time after which an engine listed as draining must receive no new requests, provided that no
 /// fault was injected meanwhile.
-const LEAVING_TIME: Duration = Duration::from_secs(6);
+const DRAIN_GRACE: Duration = Duration::from_secs(6);
 /// Response statuses that guarantee that the request was not executed.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Checks a request when it arrives at an engine.
-pub fn check_arrival(world: &SoakWorld, id: &str, engine: &str, has_key: bool) {
-    if !world.ledger.was_sent(id) && !id.starts_with("probe") {
-        world
-            .ledger
-            .broke("UNASKED", format!("{engine} received request {id:?}, which no caller sent"));
+pub fn check_arrival(ctx: &SoakContext, id: &str, engine: &str, has_key: bool) {
+    if !ctx.recorder.was_sent(id) && !id.starts_with("probe") {
+        ctx.recorder.record_violation(
+            "UNASKED",
+            format!("{engine} received request {id:?}, which no caller sent"),
+        );
     }
     if has_key {
-        world.ledger.broke("UNASKED", format!("{engine} received the caller's API key with {id}"));
+        ctx.recorder.record_violation(
+            "UNASKED",
+            format!("{engine} received the caller's API key with {id}"),
+        );
     }
-    let left = lock(&world.engines)
+    let draining_since = lock(&ctx.engines)
         .engines
         .values()
         .find(|known| known.id == engine)
-        .and_then(|known| known.left_at);
-    let is_late = left.is_some_and(|at| at.elapsed() > LEAVING_TIME);
-    if is_late && world.undisturbed_for() > LEAVING_TIME {
-        world.ledger.broke("DRAIN", format!("{id} reached {engine}, which is draining"));
+        .and_then(|known| known.draining_since);
+    let is_late = draining_since.is_some_and(|at| at.elapsed() > DRAIN_GRACE);
+    if is_late && ctx.time_since_disturbance() > DRAIN_GRACE {
+        ctx.recorder.record_violation("DRAIN", format!("{id} reached {engine}, which is draining"));
     }
 }
 
 /// Checks a configuration read: it must return at least the newest version that was acknowledged
 /// before the read was sent.
-pub fn check_read(world: &SoakWorld, voter: usize, acknowledged: u64, read: &Value) {
-    let version = read["version"].as_u64().unwrap_or(0);
-    if version < acknowledged {
-        world.ledger.broke(
+pub fn check_config_read(
+    ctx: &SoakContext,
+    voter: usize,
+    acknowledged_version: u64,
+    document: &Value,
+) {
+    let version = document["version"].as_u64().unwrap_or(0);
+    if version < acknowledged_version {
+        ctx.recorder.record_violation(
             "CONFIG",
             format!(
-                "voter {voter} returned version {version} after {acknowledged} was acknowledged"
+                "voter {voter} returned version {version} after {acknowledged_version} was acknowledged"
             ),
         );
     }
-    let mark = format!("version-{version}");
-    let routes = read["routes"].as_array().cloned().unwrap_or_default();
-    if !routes.iter().any(|route| route["name"] == mark) {
-        world.ledger.broke(
+    let route_name = format!("version-{version}");
+    let routes = document["routes"].as_array().cloned().unwrap_or_default();
+    if !routes.iter().any(|route| route["name"] == route_name) {
+        ctx.recorder.record_violation(
             "CONFIG",
             format!("voter {voter} returned different content for version {version}"),
         );
@@ -73,56 +82,63 @@
 }
 
 /// Checks what is known only after the run: executions per request, refusals and limits.
-pub fn check_ledger(world: &SoakWorld) {
-    let runs = world.ledger.runs();
-    for (id, request) in world.ledger.requests() {
-        check_request(world, &id, &request, runs.get(&id).copied().unwrap_or(0));
+pub fn check_recorded_runs(ctx: &SoakContext) {
+    let executions = ctx.recorder.executions();
+    for (id, request) in ctx.recorder.requests() {
+        check_request(ctx, &id, &request, executions.get(&id).copied().unwrap_or(0));
     }
-    check_limit(world);
+    check_limit(ctx);
 }
 
-fn check_request(world: &SoakWorld, id: &str, request: &SentRequest, runs: u32) {
-    if runs > request.attempts {
+fn check_request(ctx: &SoakContext, id: &str, request: &SentRequest, executions: u32) {
+    if executions > request.max_attempts {
         let rule = if request.may_repeat { "BUDGET" } else { "TWICE" };
-        world.ledger.broke(rule, format!("{id} was executed {runs} times"));
+        ctx.recorder.record_violation(rule, format!("{id} was executed {executions} times"));
     }
-    let says_not_run = request.status.is_some_and(|status| NOT_RUN.contains(&status));
-    if says_not_run && runs > 0 && !request.may_repeat {
-        world
-            .ledger
-            .broke("REFUSED", format!("{id} was answered {:?} but was executed", request.status));
+    let reports_not_executed =
+        request.status.is_some_and(|status| NOT_EXECUTED_STATUSES.contains(&status));
+    if reports_not_executed && executions > 0 && !request.may_repeat {
+        ctx.recorder.record_violation(
+            "REFUSED",
+            format!("{id} was answered {:?} but was executed", request.status),
+        );
     }
-    if request.status == Some(200) && runs == 0 {
-        world.ledger.broke("MIXED", format!("{id} was answered 200 but was never executed"));
+    if request.status == Some(200) && executions == 0 {
+        ctx.recorder
+            .record_violation("MIXED", format!("{id} was answered 200 but was never executed"));
     }
 }
 
-fn check_limit(world: &SoakWorld) {
-    let counted = world.ledger.counted();
-    let rate = LIMIT_RATE as f64;
-    let most = (rate * LIMIT_WINDOW.as_secs_f64() + rate) * LIMIT_OVERAGE + LIMIT_SLACK as f64;
+fn check_limit(ctx: &SoakContext) {
+    let executions = ctx.recorder.limited_executions();
+    let rate = LIMIT_TOKENS_PER_SECOND as f64;
+    let max_tokens = (rate * LIMIT_WINDOW.as_secs_f64() + rate) * LIMIT_OVERAGE_FACTOR
+        + LIMIT_SLACK_TOKENS as f64;
     // Counts requests that were both sent and executed within the window: an engine that was cut
     // off may execute requests that were admitted earlier.
-    for start in counted.iter().map(|run| run.sent_at) {
-        let within =
-            counted.iter().filter(|run| run.sent_at >= start && run.ran_at <= start + LIMIT_WINDOW);
-        let sum: u64 = within.map(|run| run.tokens).sum();
-        if sum as f64 > most {
-            return world.ledger.broke(
+    for start in executions.iter().map(|execution| execution.sent_at) {
+        let window_executions = executions.iter().filter(|execution| {
+            execution.sent_at >= start && execution.executed_at <= start + LIMIT_WINDOW
+        });
+        let token_sum: u64 = window_executions.map(|execution| execution.tokens).sum();
+        if token_sum as f64 > max_tokens {
+            return ctx.recorder.record_violation(
                 "QUOTA",
-                format!("{sum} tokens within {LIMIT_WINDOW:?}, at most {most} are tolerated"),
+                format!(
+                    "{token_sum} tokens within {LIMIT_WINDOW:?}, at most {max_tokens} are tolerated"
+                ),
             );
         }
     }
 }
 
-async fn get(address: std::net::SocketAddr, path: &str) -> Option<(StatusCode, String)> {
+async fn http_get(address: std::net::SocketAddr, path: &str) -> Option<(StatusCode, String)> {
     let request =
         Request::get(format!("http://{address}{path}")).body(Full::<Bytes>::default()).ok()?;
-    send(request).await
+    http_send(request).await
 }
 
-async fn send(request: Request<Full<Bytes>>) -> Option<(StatusCode, String)> {
+async fn http_send(request: Request<Full<Bytes>>) -> Option<(StatusCode, String)> {
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let response =
         tokio::time::timeout(Duration::from_secs(2), client.request(request)).await.ok()?.ok()?;
@@ -135,21 +151,23 @@
 }
 
 /// Checks continuously that no process returns to an older configuration.
-pub fn start_watch(world: &Arc<SoakWorld>) -> JoinHandle<()> {
-    let world = Arc::clone(world);
+pub fn start_version_watch(ctx: &Arc<SoakContext>) -> JoinHandle<()> {
+    let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
-        let mut seen: BTreeMap<(usize, String), u64> = BTreeMap::new();
-        while !world.is_stopped() {
-            for entry in 0..world.sizes.entries {
-                if let Some((boot, version)) = shown_version(&world, entry).await {
-                    let known = seen.entry((entry, boot)).or_default();
-                    if version < *known {
-                        world.ledger.broke(
+        let mut last_versions: BTreeMap<(usize, String), u64> = BTreeMap::new();
+        while !ctx.is_stopped() {
+            for entry in 0..ctx.sizes.entries {
+                if let Some((process_start, version)) = active_version(&ctx, entry).await {
+                    let last_version = last_versions.entry((entry, process_start)).or_default();
+                    if version < *last_version {
+                        ctx.recorder.record_violation(
                             "CONFIG",
-                            format!("entry {entry} went back from version {known} to {version}"),
+                            format!(
+                                "entry {entry} went back from version {last_version} to {version}"
+                            ),
                         );
                     }
-                    *known = version.max(*known);
+                    *last_version = version.max(*last_version);
                 }
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -159,89 +177,93 @@
 
 /// Start time of an entry's process, which distinguishes it from its successors, and the version
 /// in force there.
-async fn shown_version(world: &SoakWorld, entry: usize) -> Option<(String, u64)> {
-    let address = world.address(AddressKind::Entry, entry, READY_PORT);
-    let (status, text) = get(address, "/metrics").await?;
-    let value = |name: &str| {
+async fn active_version(ctx: &SoakContext, entry: usize) -> Option<(String, u64)> {
+    let address = ctx.address(AddressKind::Entry, entry, READY_PORT);
+    let (status, text) = http_get(address, "/metrics").await?;
+    let metric_value = |name: &str| {
         let line = text.lines().find(|line| line.starts_with(name))?;
         line.rsplit(' ').next().map(str::to_owned)
     };
-    let boot = value("process_start_time_seconds ")?;
-    let version = value("tarragonknot_table_version ")?.parse::<f64>().ok()?;
-    (status == StatusCode::OK).then_some((boot, version as u64))
+    let process_start = metric_value("process_start_time_seconds ")?;
+    let version = metric_value("tarragonknot_table_version ")?.parse::<f64>().ok()?;
+    (status == StatusCode::OK).then_some((process_start, version as u64))
 }
 
 /// True if an entry serves a probe request.
-async fn serves(world: &SoakWorld, entry: usize) -> bool {
-    let address = world.address(AddressKind::Entry, entry, CALLERS_PORT);
+async fn serves_requests(ctx: &SoakContext, entry: usize) -> bool {
+    let address = ctx.address(AddressKind::Entry, entry, CALLERS_PORT);
     let request = Request::post(format!("http://{address}/safe/a"))
-        .header("host", HOST)
+        .header("host", ROUTE_HOST)
         .header("authorization", format!("Bearer {FREE_KEY}"))
         .header("tarragonknot-request-id", format!("probe-{entry}"))
         .header("tarragonknot-deadline-ms", "2000")
         .body(Full::new(Bytes::from_static(b"1")));
     let Ok(request) = request else { return false };
-    matches!(send(request).await, Some((StatusCode::OK, _)))
+    matches!(http_send(request).await, Some((StatusCode::OK, _)))
 }
 
 /// Waits until every entry serves requests; `Err` is the first entry that does not.
-pub async fn wait_until_served(world: &SoakWorld) -> Result<(), usize> {
-    let until = Instant::now() + PATIENCE;
-    for entry in 0..world.sizes.entries {
-        while !serves(world, entry).await {
-            if Instant::now() > until {
+pub async fn wait_until_serving(ctx: &SoakContext) -> Result<(), usize> {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    for entry in 0..ctx.sizes.entries {
+        while !serves_requests(ctx, entry).await {
+            if Instant::now() > deadline {
                 return Err(entry);
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
 /// Checks that every entry serves requests again after the last fault.
-pub async fn wait_for_recovery(world: &SoakWorld) {
-    if let Err(entry) = wait_until_served(world).await {
-        world.ledger.broke(
+pub async fn wait_for_recovery(ctx: &SoakContext) {
+    if let Err(entry) = wait_until_serving(ctx).await {
+        ctx.recorder.record_violation(
             "RECOVER",
-            format!("entry {entry} does not serve requests {PATIENCE:?} after the last fault"),
+            format!("entry {entry} does not serve requests {WAIT_TIMEOUT:?} after the last fault"),
         );
     }
 }
 
 /// Checks that the newest acknowledged version is still stored at every voter and in force at every
 /// entry.
-pub async fn check_kept(world: &SoakWorld) {
-    let newest = lock(&world.acknowledged).last_key_value().map_or(0, |(version, _)| *version);
-    let until = Instant::now() + PATIENCE;
-    for voter in 0..world.sizes.voters {
+pub async fn check_durability(ctx: &SoakContext) {
+    let newest_version =
+        lock(&ctx.acknowledged_versions).last_key_value().map_or(0, |(version, _)| *version);
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    for voter in 0..ctx.sizes.voters {
         loop {
-            if let Some(document) = read(world, voter).await {
-                check_read(world, voter, newest, &document);
+            if let Some(document) = read_config(ctx, voter).await {
+                check_config_read(ctx, voter, newest_version, &document);
                 break;
             }
-            if Instant::now() > until {
-                world
-                    .ledger
-                    .broke("LOST", format!("voter {voter} does not answer a configuration read"));
+            if Instant::now() > deadline {
+                ctx.recorder.record_violation(
+                    "LOST",
+                    format!("voter {voter} does not answer a configuration read"),
+                );
                 break;
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
-    for entry in 0..world.sizes.entries {
+    for entry in 0..ctx.sizes.entries {
         loop {
-            let version = shown_version(world, entry).await.map_or(0, |(_, version)| version);
-            if version >= newest {
+            let version = active_version(ctx, entry).await.map_or(0, |(_, version)| version);
+            if version >= newest_version {
                 break;
             }
-            if Instant::now() > until {
-                world.ledger.broke(
+            if Instant::now() > deadline {
+                ctx.recorder.record_violation(
                     "CONFIG",
-                    format!("entry {entry} has version {version} in force instead of {newest}"),
+                    format!(
+                        "entry {entry} has version {version} in force instead of {newest_version}"
+                    ),
                 );
                 break;
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/soak/world.rs
+++ b/soak/context.rs
@@ -3,7 +3,7 @@
 
 use crate::SoakArgs;
 use crate::fleet::FleetProcesses;
-use crate::poison::PoisonCount;
+use crate::poison::PoisonExecutions;
 use crate::proxy::ProxyModes;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -21,11 +21,11 @@
 pub const CONTROL_PORT: u16 = 17_600;
 pub const ENGINE_PORT: u16 = 18_080;
 /// Maximum number of violations that are printed for one run.
-const MOST_TOLD: usize = 12;
+const MAX_PRINTED_VIOLATIONS: usize = 12;
 
 /// Number of each kind of participant.
 #[derive(Clone, Copy, Debug)]
-pub struct WorldSizes {
+pub struct FleetSizes {
     pub entries: usize,
     pub voters: usize,
     pub engines: usize,
@@ -47,143 +47,149 @@
 #[derive(Clone, Debug)]
 pub struct SentRequest {
     pub may_repeat: bool,
-    pub attempts: u32,
+    pub max_attempts: u32,
     pub status: Option<u16>,
     pub sent_at: Instant,
 }
 
 /// The first execution of a request of the organisation that has a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct CountedRun {
+pub struct LimitedExecution {
     pub sent_at: Instant,
-    pub ran_at: Instant,
+    pub executed_at: Instant,
     pub tokens: u64,
 }
 
 /// Record of requests, executions and violations.
 #[derive(Debug, Default)]
-pub struct SoakLedger {
-    sent: Mutex<BTreeMap<String, SentRequest>>,
+pub struct RunRecorder {
+    requests: Mutex<BTreeMap<String, SentRequest>>,
     /// Number of executions, by request id.
-    runs: Mutex<BTreeMap<String, u32>>,
+    executions: Mutex<BTreeMap<String, u32>>,
     /// Executions for the organisation that has a limit.
-    counted: Mutex<Vec<CountedRun>>,
-    broken: Mutex<Vec<String>>,
+    limited_executions: Mutex<Vec<LimitedExecution>>,
+    violations: Mutex<Vec<String>>,
 }
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl SoakLedger {
-    pub fn sent(&self, id: &str, request: SentRequest) {
-        lock(&self.sent).insert(id.to_owned(), request);
+impl RunRecorder {
+    pub fn record_request(&self, id: &str, request: SentRequest) {
+        lock(&self.requests).insert(id.to_owned(), request);
     }
 
-    pub fn answered(&self, id: &str, status: u16) {
-        lock(&self.sent).entry(id.to_owned()).and_modify(|request| request.status = Some(status));
+    pub fn record_status(&self, id: &str, status: u16) {
+        lock(&self.requests)
+            .entry(id.to_owned())
+            .and_modify(|request| request.status = Some(status));
     }
 
-    pub fn ran(&self, id: &str, limited_tokens: Option<u64>) {
-        let sent_at = lock(&self.sent).get(id).map(|request| request.sent_at);
-        let mut runs = lock(&self.runs);
-        let count = runs.entry(id.to_owned()).or_default();
+    pub fn record_execution(&self, id: &str, limited_tokens: Option<u64>) {
+        let sent_at = lock(&self.requests).get(id).map(|request| request.sent_at);
+        let mut executions = lock(&self.executions);
+        let count = executions.entry(id.to_owned()).or_default();
         *count += 1;
         // The limit counts each request once, so a second execution is not counted.
         if let (1, Some(tokens), Some(sent_at)) = (*count, limited_tokens, sent_at) {
-            lock(&self.counted).push(CountedRun { sent_at, ran_at: Instant::now(), tokens });
+            lock(&self.limited_executions).push(LimitedExecution {
+                sent_at,
+                executed_at: Instant::now(),
+                tokens,
+            });
         }
     }
 
     pub fn was_sent(&self, id: &str) -> bool {
-        lock(&self.sent).contains_key(id)
+        lock(&self.requests).contains_key(id)
     }
 
     pub fn requests(&self) -> BTreeMap<String, SentRequest> {
-        lock(&self.sent).clone()
+        lock(&self.requests).clone()
     }
 
-    pub fn runs(&self) -> BTreeMap<String, u32> {
-        lock(&self.runs).clone()
+    pub fn executions(&self) -> BTreeMap<String, u32> {
+        lock(&self.executions).clone()
     }
 
-    pub fn counted(&self) -> Vec<CountedRun> {
-        lock(&self.counted).clone()
+    pub fn limited_executions(&self) -> Vec<LimitedExecution> {
+        lock(&self.limited_executions).clone()
     }
 
     /// Records the violation of a rule.
-    pub fn broke(&self, rule: &str, detail: impl std::fmt::Display) {
-        lock(&self.broken).push(format!("{rule}: {detail}"));
+    pub fn record_violation(&self, rule: &str, detail: impl std::fmt::Display) {
+        lock(&self.violations).push(format!("{rule}: {detail}"));
     }
 
-    pub fn broken(&self) -> Vec<String> {
-        let broken = lock(&self.broken);
-        broken.iter().take(MOST_TOLD).cloned().collect()
+    pub fn violations(&self) -> Vec<String> {
+        let violations = lock(&self.violations);
+        violations.iter().take(MAX_PRINTED_VIOLATIONS).cloned().collect()
     }
 
     /// Counts of requests by status, for the printed result.
     pub fn summary(&self) -> String {
-        let sent = lock(&self.sent);
-        let with = |status: u16| {
-            sent.values().filter(move |request| request.status == Some(status)).count()
+        let requests = lock(&self.requests);
+        let count_status = |status: u16| {
+            requests.values().filter(move |request| request.status == Some(status)).count()
         };
-        let unanswered = sent.values().filter(|request| request.status.is_none()).count();
+        let unanswered = requests.values().filter(|request| request.status.is_none()).count();
         format!(
             "{} requests, 200: {}, 429: {}, 503: {}, 502: {}, 504: {}, cut or none: {unanswered}",
-            sent.len(),
-            with(200),
-            with(429),
-            with(503),
-            with(502),
-            with(504)
+            requests.len(),
+            count_status(200),
+            count_status(429),
+            count_status(503),
+            count_status(502),
+            count_status(504)
         )
     }
 }
 
 /// State of one run.
-pub struct SoakWorld {
+pub struct SoakContext {
     pub seed: u64,
-    pub sizes: WorldSizes,
+    pub sizes: FleetSizes,
     pub program: PathBuf,
-    pub ledger: SoakLedger,
+    pub recorder: RunRecorder,
     pub processes: Mutex<FleetProcesses>,
     pub engines: Mutex<crate::engines::EngineSet>,
     pub proxies: ProxyModes,
     /// Acknowledged versions of the configuration, with the time of their first acknowledgement.
-    pub acknowledged: Mutex<BTreeMap<u64, Instant>>,
-    /// Time of the last fault injected into a process, a proxy or an engine.
-    pub disturbed: Mutex<Instant>,
+    pub acknowledged_versions: Mutex<BTreeMap<u64, Instant>>,
+    /// Time of the last disturbance: a fault, or the end of one, at a process, a proxy or an engine.
+    pub last_disturbance: Mutex<Instant>,
     /// Executions of the poison request.
-    pub poison: PoisonCount,
+    pub poison_executions: PoisonExecutions,
     folder: Mutex<Option<TempDir>>,
-    base: u8,
+    network_octet: u8,
     is_stopped: AtomicBool,
     steps_done: AtomicUsize,
 }
 
-impl SoakWorld {
+impl SoakContext {
     pub fn new(args: &SoakArgs, seed: u64) -> Self {
-        let sizes = WorldSizes {
+        let sizes = FleetSizes {
             entries: args.entries,
             voters: args.voters,
             engines: args.engines,
             callers: args.callers,
         };
-        SoakWorld {
+        SoakContext {
             seed,
             sizes,
             program: args.program.clone(),
-            ledger: SoakLedger::default(),
+            recorder: RunRecorder::default(),
             processes: Mutex::default(),
             engines: Mutex::default(),
             proxies: ProxyModes::default(),
-            acknowledged: Mutex::default(),
-            disturbed: Mutex::new(Instant::now()),
-            poison: PoisonCount::default(),
+            acknowledged_versions: Mutex::default(),
+            last_disturbance: Mutex::new(Instant::now()),
+            poison_executions: PoisonExecutions::default(),
             folder: Mutex::new(Some(
                 tempfile::tempdir().expect("a temporary folder can be created"),
             )),
-            base: free_base(),
+            network_octet: free_network_octet(),
             is_stopped: AtomicBool::new(false),
             steps_done: AtomicUsize::new(0),
         }
@@ -192,7 +198,7 @@
     /// IP address of participant `number` of a kind.
     pub fn ip(&self, kind: AddressKind, number: usize) -> IpAddr {
         let (high, low) = (kind as usize + number / 250 * 100, number % 250 + 1);
-        IpAddr::V4(Ipv4Addr::new(127, self.base, high as u8, low as u8))
+        IpAddr::V4(Ipv4Addr::new(127, self.network_octet, high as u8, low as u8))
     }
 
     pub fn address(&self, kind: AddressKind, number: usize, port: u16) -> SocketAddr {
@@ -208,12 +214,12 @@
         lock(&self.folder).take().map(TempDir::keep).unwrap_or_default()
     }
 
-    pub fn disturb(&self) {
-        *lock(&self.disturbed) = Instant::now();
+    pub fn record_disturbance(&self) {
+        *lock(&self.last_disturbance) = Instant::now();
     }
 
-    pub fn undisturbed_for(&self) -> Duration {
-        lock(&self.disturbed).elapsed()
+    pub fn time_since_disturbance(&self) -> Duration {
+        lock(&self.last_disturbance).elapsed()
     }
 
     pub fn stop(&self) {
@@ -224,7 +230,7 @@
         self.is_stopped.load(Ordering::Acquire)
     }
 
-    pub fn step_done(&self) {
+    pub fn record_done_step(&self) {
         self.steps_done.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -234,12 +240,12 @@
 }
 
 /// Finds a free second octet for this run's addresses, so that concurrent runs do not collide.
-fn free_base() -> u8 {
+fn free_network_octet() -> u8 {
     let first = (std::process::id() % 200) as u8;
-    let bases = (0..200).map(|step| 20 + (first + step) % 200);
-    let is_free = |base: &u8| {
-        let probe = SocketAddr::from(([127, *base, 20, 1], LIST_PORT));
+    let octets = (0..200).map(|step| 20 + (first + step) % 200);
+    let is_free = |network_octet: &u8| {
+        let probe = SocketAddr::from(([127, *network_octet, 20, 1], LIST_PORT));
         std::net::TcpListener::bind(probe).is_ok()
     };
-    bases.into_iter().find(is_free).expect("a range of loopback addresses is free")
+    octets.into_iter().find(is_free).expect("a range of loopback addresses is free")
 }
--- a/soak/engines.rs
+++ b/soak/engines.rs
@@ -1,7 +1,7 @@
 //! Simulated engines and the platform's list of them. Engines execute requests, count executions by
 //! request id and inject faults according to the seed.
 
-use crate::world::{AddressKind, ENGINE_PORT, LIST_PORT, SoakWorld, lock};
+use crate::context::{AddressKind, ENGINE_PORT, LIST_PORT, SoakContext, lock};
 use crate::{checks, poison, proxy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,91 +16,103 @@
 use tokio::task::AbortHandle;
 
 /// Requests that an engine executes concurrently.
-pub const PLACES: u32 = 4;
+pub const ENGINE_SLOTS: u32 = 4;
 /// Time between two events of a stream.
-const STEP: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 /// Name of the service that the engines belong to.
-pub const SERVICE: &str = "pool";
+pub const SERVICE_NAME: &str = "pool";
 
 /// One incarnation of a simulated engine.
 #[derive(Debug)]
-pub struct EngineStandin {
+pub struct SimulatedEngine {
     pub id: String,
     /// Address in the platform's list, which is that of the engine's proxy.
-    pub listed: SocketAddr,
-    pub left_at: Option<Instant>,
+    pub listed_address: SocketAddr,
+    pub draining_since: Option<Instant>,
     task: AbortHandle,
 }
 
 /// The running engines, by number.
 #[derive(Debug, Default)]
 pub struct EngineSet {
-    pub engines: BTreeMap<usize, EngineStandin>,
-    pub next: usize,
+    pub engines: BTreeMap<usize, SimulatedEngine>,
+    pub last_number: usize,
 }
 
 /// Rate of injected faults per thousand requests, set by the schedule.
 #[derive(Debug, Default)]
-pub struct Misbehaviour {
+pub struct FaultRate {
     pub per_mille: AtomicU64,
 }
 
-static MISBEHAVIOUR: Misbehaviour = Misbehaviour { per_mille: AtomicU64::new(0) };
+static FAULT_RATE: FaultRate = FaultRate { per_mille: AtomicU64::new(0) };
 
 /// Sets how many of a thousand requests fail from now on.
-pub fn misbehave(per_mille: u64) {
-    MISBEHAVIOUR.per_mille.store(per_mille, Ordering::Relaxed);
+pub fn set_fault_rate(per_mille: u64) {
+    FAULT_RATE.per_mille.store(per_mille, Ordering::Relaxed);
 }
 
 /// Starts another engine and its proxy.
-pub async fn add(world: &Arc<SoakWorld>) -> std::io::Result<usize> {
+pub async fn add(ctx: &Arc<SoakContext>) -> std::io::Result<usize> {
     let number = {
-        let mut set = lock(&world.engines);
-        set.next += 1;
-        set.next
+        let mut set = lock(&ctx.engines);
+        set.last_number += 1;
+        set.last_number
     };
-    let own = world.address(AddressKind::Engine, number, ENGINE_PORT);
-    let listed = world.address(AddressKind::EngineProxy, number, ENGINE_PORT);
-    let listener = TcpListener::bind(own).await?;
-    proxy::start(world, listed, own).await?;
+    let engine_address = ctx.address(AddressKind::Engine, number, ENGINE_PORT);
+    let listed_address = ctx.address(AddressKind::EngineProxy, number, ENGINE_PORT);
+    let listener = TcpListener::bind(engine_address).await?;
+    proxy::start(ctx, listed_address, engine_address).await?;
     let id = format!("i-{number:04}");
-    let task = tokio::spawn(accept(Arc::clone(world), listener, id.clone(), number));
-    let engine = EngineStandin { id, listed, left_at: None, task: task.abort_handle() };
-    lock(&world.engines).engines.insert(number, engine);
+    let task = tokio::spawn(accept_connections(Arc::clone(ctx), listener, id.clone(), number));
+    let engine =
+        SimulatedEngine { id, listed_address, draining_since: None, task: task.abort_handle() };
+    lock(&ctx.engines).engines.insert(number, engine);
     Ok(number)
 }
 
 /// Stops an engine at once, as a crash does, and resets its open connections; the next read of the
 /// list omits it.
-pub fn crash(world: &SoakWorld, number: usize) {
-    if let Some(engine) = lock(&world.engines).engines.remove(&number) {
+pub fn crash(ctx: &SoakContext, number: usize) {
+    if let Some(engine) = lock(&ctx.engines).engines.remove(&number) {
         engine.task.abort();
-        world.proxies.set(engine.listed, proxy::ProxyMode::ResetOpen);
+        ctx.proxies.set(engine.listed_address, proxy::ProxyMode::ResetOpen);
     }
 }
 
 /// Lists an engine as draining; it continues to serve requests.
-pub fn leave(world: &SoakWorld, number: usize) {
-    if let Some(engine) = lock(&world.engines).engines.get_mut(&number) {
-        engine.left_at.get_or_insert_with(Instant::now);
+pub fn start_drain(ctx: &SoakContext, number: usize) {
+    if let Some(engine) = lock(&ctx.engines).engines.get_mut(&number) {
+        engine.draining_since.get_or_insert_with(Instant::now);
     }
 }
 
-async fn accept(world: Arc<SoakWorld>, listener: TcpListener, id: String, number: usize) {
-    let held = Arc::new(Mutex::new(0u32));
+async fn accept_connections(
+    ctx: Arc<SoakContext>,
+    listener: TcpListener,
+    id: String,
+    number: usize,
+) {
+    let used_slots = Arc::new(Mutex::new(0u32));
     let mut connections = tokio::task::JoinSet::new();
-    let mut seed = world.seed ^ ((number as u64) << 32);
+    let mut seed = ctx.seed ^ ((number as u64) << 32);
     while let Ok((stream, _)) = listener.accept().await {
         seed += 1;
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let engine = EngineName { id: id.clone(), number };
-        connections.spawn(serve(Arc::clone(&world), stream, engine, Arc::clone(&held), rng));
+        let engine = EngineIdentity { id: id.clone(), number };
+        connections.spawn(serve_connection(
+            Arc::clone(&ctx),
+            stream,
+            engine,
+            Arc::clone(&used_slots),
+            rng,
+        ));
     }
 }
 
 /// The id and the number of an engine.
 #[derive(Clone, Debug)]
-struct EngineName {
+struct EngineIdentity {
     id: String,
     number: usize,
 }
@@ -113,8 +125,8 @@
 
 impl WireRequest {
     fn header(&self, name: &str) -> Option<&str> {
-        let mut rows = self.head.lines().filter_map(|line| line.split_once(": "));
-        rows.find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+        let mut headers = self.head.lines().filter_map(|line| line.split_once(": "));
+        headers.find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
     fn path(&self) -> &str {
@@ -126,7 +138,7 @@
     let mut bytes = Vec::new();
     let mut buffer = [0; 8 << 10];
     loop {
-        if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
+        if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
             let mut request = WireRequest { head, body: bytes.split_off(end + 4) };
             let length = request.header("content-length").and_then(|text| text.parse().ok());
@@ -142,61 +154,63 @@
 }
 
 /// A slot in use, released on drop.
-struct PlaceGuard(Arc<Mutex<u32>>);
+struct SlotGuard(Arc<Mutex<u32>>);
 
-impl Drop for PlaceGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         *lock(&self.0) -= 1;
     }
 }
 
-fn take_place(held: &Arc<Mutex<u32>>) -> Option<PlaceGuard> {
-    let mut used = lock(held);
-    if *used >= PLACES {
+fn acquire_slot(used_slots: &Arc<Mutex<u32>>) -> Option<SlotGuard> {
+    let mut used = lock(used_slots);
+    if *used >= ENGINE_SLOTS {
         return None;
     }
     *used += 1;
-    Some(PlaceGuard(Arc::clone(held)))
+    Some(SlotGuard(Arc::clone(used_slots)))
 }
 
-fn plain(status: u16, headers: &str, body: &str) -> String {
+fn response_text(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} X\r\n{headers}content-length: {}\r\n\r\n{body}", body.len())
 }
 
-async fn serve(
-    world: Arc<SoakWorld>,
+async fn serve_connection(
+    ctx: Arc<SoakContext>,
     mut stream: TcpStream,
-    engine: EngineName,
-    held: Arc<Mutex<u32>>,
+    engine: EngineIdentity,
+    used_slots: Arc<Mutex<u32>>,
     mut rng: ChaCha8Rng,
 ) {
     let _ = stream.set_nodelay(true);
     let id = &engine.id;
-    let mut reserved = None;
+    let mut reserved_slot = None;
     while let Some(request) = read_request(&mut stream).await {
-        if request.header("tarragonknot-expect-instance").is_some_and(|meant| meant != id.as_str())
+        if request
+            .header("tarragonknot-expect-instance")
+            .is_some_and(|expected_id| expected_id != id.as_str())
         {
-            if stream.write_all(plain(421, "", "").as_bytes()).await.is_err() {
+            if stream.write_all(response_text(421, "", "").as_bytes()).await.is_err() {
                 return;
             }
             continue;
         }
         let text = match request.path() {
-            "/-/hold-take" => match take_place(&held) {
-                Some(place) => {
-                    reserved = Some(place);
-                    plain(
+            "/-/hold-take" => match acquire_slot(&used_slots) {
+                Some(slot) => {
+                    reserved_slot = Some(slot);
+                    response_text(
                         200,
                         "",
                         &json!({"hold": format!("h-{}", rng.random::<u32>())}).to_string(),
                     )
                 }
-                None => plain(503, "", ""),
+                None => response_text(503, "", ""),
             },
-            "/healthz" => plain(200, &format!("tarragonknot-instance-id: {id}\r\n"), ""),
+            "/healthz" => response_text(200, &format!("tarragonknot-instance-id: {id}\r\n"), ""),
             _ => {
-                let _place = reserved.take().or_else(|| take_place(&held));
-                if !run(&world, &mut stream, &request, &engine, &mut rng).await {
+                let _slot = reserved_slot.take().or_else(|| acquire_slot(&used_slots));
+                if !execute_request(&ctx, &mut stream, &request, &engine, &mut rng).await {
                     return;
                 }
                 continue;
@@ -209,27 +223,27 @@
 }
 
 /// Executes a request; false if the connection closes after it.
-async fn run(
-    world: &Arc<SoakWorld>,
+async fn execute_request(
+    ctx: &Arc<SoakContext>,
     stream: &mut TcpStream,
     request: &WireRequest,
-    EngineName { id: engine, number }: &EngineName,
+    EngineIdentity { id: engine, number }: &EngineIdentity,
     rng: &mut ChaCha8Rng,
 ) -> bool {
     let id = request.header("tarragonknot-request-id").unwrap_or_default().to_owned();
-    checks::check_arrival(world, &id, engine, request.header("authorization").is_some());
-    let bad = rng.random_range(0..1_000) < MISBEHAVIOUR.per_mille.load(Ordering::Relaxed);
-    let fault = if bad { rng.random_range(0..6) } else { u32::MAX };
+    checks::check_arrival(ctx, &id, engine, request.header("authorization").is_some());
+    let is_faulty = rng.random_range(0..1_000) < FAULT_RATE.per_mille.load(Ordering::Relaxed);
+    let fault = if is_faulty { rng.random_range(0..6) } else { u32::MAX };
     if fault == 0 {
-        let not_run = plain(503, "tarragonknot-not-executed: 1\r\n", "");
-        return stream.write_all(not_run.as_bytes()).await.is_ok();
+        let not_executed = response_text(503, "tarragonknot-not-executed: 1\r\n", "");
+        return stream.write_all(not_executed.as_bytes()).await.is_ok();
     }
     let organisation = request.header("tarragonknot-tenant").unwrap_or_default();
     let counts = request.header("tarragonknot-token-count").unwrap_or("200,0");
     let tokens: u64 =
         counts.split(',').filter_map(|number| number.trim().parse::<u64>().ok()).sum();
-    world.ledger.ran(&id, (organisation == "limited").then_some(tokens));
-    if poison::strikes(world, *number, &request.body) {
+    ctx.recorder.record_execution(&id, (organisation == "limited").then_some(tokens));
+    if poison::crash_if_poison(ctx, *number, &request.body) {
         // Never answers: the engine's task is aborted.
         return std::future::pending().await;
     }
@@ -240,19 +254,22 @@
     }
     tokio::time::sleep(Duration::from_millis(rng.random_range(1..40))).await;
     let body = format!("answer to {id}, {}", String::from_utf8_lossy(&request.body));
-    let text = plain(200, &head, &body);
-    let (text, goes_on) = match fault {
+    let text = response_text(200, &head, &body);
+    let (text, keeps_open) = match fault {
         // The response is lost with its connection.
         1 => (String::new(), false),
         // The body is shorter than its declared length.
         2 => (text[..text.len() - 3].to_owned(), false),
         // A second response, for another request, follows.
-        3 => (format!("{text}{}", plain(200, &head.replace(&id, "other"), "not yours")), true),
+        3 => (
+            format!("{text}{}", response_text(200, &head.replace(&id, "other"), "not yours")),
+            true,
+        ),
         // The request was executed and fails.
-        4 => (plain(500, &head, "failed"), true),
+        4 => (response_text(500, &head, "failed"), true),
         _ => (text, true),
     };
-    stream.write_all(text.as_bytes()).await.is_ok() && goes_on
+    stream.write_all(text.as_bytes()).await.is_ok() && keeps_open
 }
 
 async fn stream_events(
@@ -263,8 +280,8 @@
     fault: u32,
     rng: &mut ChaCha8Rng,
 ) -> bool {
-    let count: u64 = String::from_utf8_lossy(&request.body).trim().parse().unwrap_or(3);
-    let from =
+    let event_count: u64 = String::from_utf8_lossy(&request.body).trim().parse().unwrap_or(3);
+    let last_received =
         request.header("last-event-id").and_then(|last| last.parse::<u64>().ok()).unwrap_or(0);
     let head = format!(
         "HTTP/1.1 200 OK\r\n{head}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -272,14 +289,17 @@
     if fault == 1 || stream.write_all(head.as_bytes()).await.is_err() {
         return false;
     }
-    let cut_at =
-        if fault < 6 { rng.random_range(from + 1..=count.max(from + 1)) } else { u64::MAX };
-    for event in from + 1..=count {
-        tokio::time::sleep(STEP).await;
+    let cut_event = if fault < 6 {
+        rng.random_range(last_received + 1..=event_count.max(last_received + 1))
+    } else {
+        u64::MAX
+    };
+    for event in last_received + 1..=event_count {
+        tokio::time::sleep(EVENT_INTERVAL).await;
         let text = format!("id: {event}\ndata: {id} {event}\n\n");
-        let text = if event == cut_at { text[..text.len() / 2].to_owned() } else { text };
+        let text = if event == cut_event { text[..text.len() / 2].to_owned() } else { text };
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
-        if stream.write_all(chunk.as_bytes()).await.is_err() || event == cut_at {
+        if stream.write_all(chunk.as_bytes()).await.is_err() || event == cut_event {
             return false;
         }
     }
@@ -287,15 +307,15 @@
 }
 
 /// Serves the platform's list.
-pub async fn serve_list(world: &Arc<SoakWorld>) -> std::io::Result<()> {
-    let listener = TcpListener::bind(world.address(AddressKind::List, 0, LIST_PORT)).await?;
-    let world = Arc::clone(world);
+pub async fn serve_platform_list(ctx: &Arc<SoakContext>) -> std::io::Result<()> {
+    let listener = TcpListener::bind(ctx.address(AddressKind::List, 0, LIST_PORT)).await?;
+    let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let world = Arc::clone(&world);
+            let ctx = Arc::clone(&ctx);
             tokio::spawn(async move {
                 while read_request(&mut stream).await.is_some() {
-                    let text = plain(200, "", &list_document(&world).to_string());
+                    let text = response_text(200, "", &list_document(&ctx).to_string());
                     if stream.write_all(text.as_bytes()).await.is_err() {
                         return;
                     }
@@ -306,11 +326,11 @@
     Ok(())
 }
 
-fn list_document(world: &SoakWorld) -> Value {
-    let set = lock(&world.engines);
+fn list_document(ctx: &SoakContext) -> Value {
+    let set = lock(&ctx.engines);
     let rows = set.engines.values().map(|engine| {
-        let state = if engine.left_at.is_some() { "draining" } else { "ready" };
-        json!({"id": engine.id, "service": SERVICE, "address": engine.listed, "zone": "a", "slots": PLACES,
+        let state = if engine.draining_since.is_some() { "draining" } else { "ready" };
+        json!({"id": engine.id, "service": SERVICE_NAME, "address": engine.listed_address, "zone": "a", "slots": ENGINE_SLOTS,
                "state": state, "version": "v1", "cold_left_ms": 0})
     });
     json!({"instances": rows.collect::<Vec<Value>>(), "next_token": null})
--- /dev/null
+++ b/soak/fault_schedule.rs
@@ -0,0 +1,206 @@
+//! The schedule of faults: computed from the seed alone, then executed at the scheduled times.
+
+use crate::context::{AddressKind, CALLERS_PORT, FleetSizes, SoakContext, lock};
+use crate::engines;
+use crate::fleet::{self, ProcessName, SoakSignal};
+use crate::proxy::ProxyMode;
+use rand::Rng;
+use rand::seq::IndexedRandom;
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeSet;
+use std::fmt;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Upper bound of the time between the starts of two faults.
+const MAX_FAULT_INTERVAL_MS: u64 = 900;
+/// Time after the loss of a disk in which no other disk is removed: the fleet tolerates the loss of
+/// one disk at a time.
+const VOTER_CATCH_UP_TIME: Duration = Duration::from_secs(8);
+
+/// One action of the schedule.
+#[derive(Clone, Copy, Debug)]
+pub enum SoakStep {
+    Kill(ProcessName),
+    Start(ProcessName),
+    Signal(ProcessName, SoakSignal),
+    /// Kills a voter and removes its data folder.
+    Wipe(usize),
+    EntryProxy(usize, ProxyMode),
+    /// Sets the mode of the proxies of all engines.
+    EngineProxies(ProxyMode),
+    AddEngine,
+    /// Crashes the engine at this index, modulo their count, among those that are not draining.
+    CrashEngine(usize),
+    LeaveEngine(usize),
+    /// Sets how many of a thousand requests fail at the engines from now on.
+    Misbehave(u64),
+}
+
+/// A step and its time, relative to the start of the schedule.
+#[derive(Clone, Copy, Debug)]
+pub struct TimedStep {
+    pub at: Duration,
+    pub step: SoakStep,
+}
+
+impl fmt::Display for TimedStep {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:7.3} s  {:?}", self.at.as_secs_f64(), self.step)
+    }
+}
+
+/// Computes the schedule of a seed.
+pub fn schedule(rng: &mut ChaCha8Rng, length: Duration, sizes: &FleetSizes) -> Vec<TimedStep> {
+    let mut steps = Vec::new();
+    let mut at = Duration::ZERO;
+    let mut disk_lost_at: Option<Duration> = None;
+    while at < length {
+        let may_remove_disk =
+            disk_lost_at.is_none_or(|lost_at| at >= lost_at + VOTER_CATCH_UP_TIME);
+        let duration = Duration::from_millis(rng.random_range(200..3_000));
+        let mut fault = draw_fault(rng, sizes, at, duration, may_remove_disk);
+        if fault.iter().any(|timed| matches!(timed.step, SoakStep::Wipe(_))) {
+            disk_lost_at = Some(at + duration);
+        }
+        steps.append(&mut fault);
+        at += Duration::from_millis(rng.random_range(50..MAX_FAULT_INTERVAL_MS));
+    }
+    steps.sort_by_key(|timed| timed.at);
+    steps
+}
+
+/// Draws a fault: the step that starts it and, for a lasting fault, the step that ends it.
+fn draw_fault(
+    rng: &mut ChaCha8Rng,
+    sizes: &FleetSizes,
+    at: Duration,
+    duration: Duration,
+    may_remove_disk: bool,
+) -> Vec<TimedStep> {
+    let entry = rng.random_range(0..sizes.entries);
+    let voter = rng.random_range(0..sizes.voters);
+    let process = match rng.random_range(0..sizes.entries + sizes.voters) {
+        number if number < sizes.entries => ProcessName::Entry(number),
+        number => ProcessName::Voter(number - sizes.entries),
+    };
+    let timed = |at, step| TimedStep { at, step };
+    let lasting_fault = |first, last| vec![timed(at, first), timed(at + duration, last)];
+    let instant_fault = |step| vec![timed(at, step)];
+    let cut_modes = [ProxyMode::Delay, ProxyMode::CutThere, ProxyMode::CutBack];
+    let break_modes = [ProxyMode::SilenceOpen, ProxyMode::ResetOpen];
+    match rng.random_range(0..15) {
+        0 | 1 => lasting_fault(SoakStep::Kill(process), SoakStep::Start(process)),
+        2 | 3 => lasting_fault(
+            SoakStep::Signal(process, SoakSignal::Stop),
+            SoakStep::Signal(process, SoakSignal::Cont),
+        ),
+        4 => lasting_fault(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
+        5 => instant_fault(SoakStep::Signal(process, SoakSignal::Hangup)),
+        6 if may_remove_disk => {
+            lasting_fault(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter)))
+        }
+        // Kills all voters at once and keeps their disks.
+        6 | 7 => (0..sizes.voters)
+            .flat_map(|number| {
+                let voter = ProcessName::Voter(number);
+                [timed(at, SoakStep::Kill(voter)), timed(at + duration / 2, SoakStep::Start(voter))]
+            })
+            .collect(),
+        8 => {
+            let cut = cut_modes.choose(rng).copied().unwrap_or_default();
+            lasting_fault(
+                SoakStep::EntryProxy(entry, cut),
+                SoakStep::EntryProxy(entry, ProxyMode::Pass),
+            )
+        }
+        9 => {
+            let cut = cut_modes.choose(rng).copied().unwrap_or_default();
+            lasting_fault(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
+        }
+        10 => instant_fault(SoakStep::EntryProxy(
+            entry,
+            break_modes.choose(rng).copied().unwrap_or_default(),
+        )),
+        11 => instant_fault(SoakStep::EngineProxies(
+            break_modes.choose(rng).copied().unwrap_or_default(),
+        )),
+        12 => lasting_fault(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
+        13 => lasting_fault(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
+        _ => lasting_fault(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
+    }
+}
+
+/// Executes the schedule.
+pub async fn execute(ctx: &Arc<SoakContext>, steps: &[TimedStep]) {
+    let started_at = tokio::time::Instant::now();
+    // Processes that were told to terminate may exit until they are started again.
+    let mut terminating = BTreeSet::new();
+    for timed in steps {
+        tokio::time::sleep_until(started_at + timed.at).await;
+        fleet::reap(ctx, |name| terminating.contains(&name));
+        execute_step(ctx, timed.step, &mut terminating).await;
+        ctx.record_done_step();
+    }
+    fleet::reap(ctx, |name| terminating.contains(&name));
+}
+
+async fn execute_step(
+    ctx: &Arc<SoakContext>,
+    step: SoakStep,
+    terminating: &mut BTreeSet<ProcessName>,
+) {
+    match step {
+        SoakStep::Kill(name) => fleet::kill(ctx, name),
+        SoakStep::Start(name) => {
+            // Kills a process that is still draining, as a platform does after the grace period.
+            if terminating.remove(&name) {
+                fleet::kill(ctx, name);
+            }
+            if let Err(error) = fleet::start(ctx, name) {
+                ctx.recorder.record_violation("START", format!("{name:?}: {error}"));
+            }
+        }
+        SoakStep::Signal(name, signal) => {
+            if signal == SoakSignal::Term {
+                terminating.insert(name);
+            }
+            fleet::signal(ctx, name, signal);
+        }
+        SoakStep::Wipe(voter) => {
+            fleet::kill(ctx, ProcessName::Voter(voter));
+            fleet::remove_data_folder(ctx, ProcessName::Voter(voter));
+        }
+        SoakStep::EntryProxy(entry, mode) => {
+            ctx.record_disturbance();
+            ctx.proxies.set(ctx.address(AddressKind::EntryProxy, entry, CALLERS_PORT), mode);
+        }
+        SoakStep::EngineProxies(mode) => {
+            ctx.record_disturbance();
+            let addresses: Vec<_> =
+                lock(&ctx.engines).engines.values().map(|engine| engine.listed_address).collect();
+            addresses.into_iter().for_each(|address| ctx.proxies.set(address, mode));
+        }
+        SoakStep::AddEngine => drop(engines::add(ctx).await),
+        SoakStep::CrashEngine(idx) => {
+            ctx.record_disturbance();
+            pick_engine(ctx, idx).into_iter().for_each(|number| engines::crash(ctx, number));
+        }
+        SoakStep::LeaveEngine(idx) => {
+            pick_engine(ctx, idx).into_iter().for_each(|number| engines::start_drain(ctx, number));
+        }
+        SoakStep::Misbehave(per_mille) => engines::set_fault_rate(per_mille),
+    }
+}
+
+/// Picks an engine that is not draining; `None` if fewer than two are left.
+fn pick_engine(ctx: &SoakContext, idx: usize) -> Option<usize> {
+    let set = lock(&ctx.engines);
+    let active: Vec<usize> = set
+        .engines
+        .iter()
+        .filter(|(_, engine)| engine.draining_since.is_none())
+        .map(|(number, _)| *number)
+        .collect();
+    if active.len() < 2 { None } else { active.get(idx % active.len()).copied() }
+}
--- a/soak/main.rs
+++ b/soak/main.rs
@@ -7,25 +7,25 @@
 
 mod callers;
 mod checks;
+mod context;
 mod engines;
+mod fault_schedule;
 mod fleet;
 mod operators;
-mod plan;
 mod poison;
 mod proxy;
-mod world;
 
 use clap::Parser;
+use context::SoakContext;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use world::SoakWorld;
 
 /// Number of the schedule's last steps that are printed with a violation.
-const LAST_STEPS: usize = 20;
+const PRINTED_STEPS: usize = 20;
 
 /// Command-line options.
 #[derive(Clone, Debug, Parser)]
@@ -71,55 +71,55 @@
     let runtime = tokio::runtime::Runtime::new().expect("the Tokio runtime starts");
     let mut failed = 0;
     for seed in args.seed..args.seed + args.seeds {
-        failed += u64::from(!runtime.block_on(play(&args, seed)));
+        failed += u64::from(!runtime.block_on(run_seed(&args, seed)));
     }
     println!("soak: {} passed, {failed} failed", args.seeds - failed);
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Runs one seed; true if no invariant was violated.
-async fn play(args: &SoakArgs, seed: u64) -> bool {
-    let world = Arc::new(SoakWorld::new(args, seed));
-    let steps = plan::schedule(
+async fn run_seed(args: &SoakArgs, seed: u64) -> bool {
+    let ctx = Arc::new(SoakContext::new(args, seed));
+    let steps = fault_schedule::schedule(
         &mut ChaCha8Rng::seed_from_u64(seed),
         Duration::from_secs(args.seconds),
-        &world.sizes,
+        &ctx.sizes,
     );
-    if let Err(detail) = fleet::start_all(&world).await {
-        world.ledger.broke("START", detail);
+    if let Err(detail) = fleet::start_all(&ctx).await {
+        ctx.recorder.record_violation("START", detail);
     } else {
-        let traffic = callers::start(&world, seed);
-        let operators = operators::start(&world, seed);
-        let watch = checks::start_watch(&world);
-        let poison = poison::start(&world);
-        plan::carry_out(&world, &steps).await;
-        fleet::heal(&world).await;
-        checks::wait_for_recovery(&world).await;
-        world.stop();
-        let _ = tokio::join!(traffic, operators, watch, poison);
-        poison::check(&world).await;
-        checks::check_ledger(&world);
-        checks::check_kept(&world).await;
+        let traffic = callers::start(&ctx, seed);
+        let operators = operators::start(&ctx, seed);
+        let version_watch = checks::start_version_watch(&ctx);
+        let poison_caller = poison::start(&ctx);
+        fault_schedule::execute(&ctx, &steps).await;
+        fleet::heal(&ctx).await;
+        checks::wait_for_recovery(&ctx).await;
+        ctx.stop();
+        let _ = tokio::join!(traffic, operators, version_watch, poison_caller);
+        poison::check(&ctx).await;
+        checks::check_recorded_runs(&ctx);
+        checks::check_durability(&ctx).await;
     }
-    fleet::stop_all(&world).await;
-    report(&world, &steps, args.keep)
+    fleet::kill_all(&ctx).await;
+    report(&ctx, &steps, args.keep)
 }
 
-fn report(world: &SoakWorld, steps: &[plan::TimedStep], keep: bool) -> bool {
-    let broken = world.ledger.broken();
-    let summary = world.ledger.summary();
-    if broken.is_empty() {
-        println!("seed {}: kept, {} steps; {summary}", world.seed, steps.len());
+fn report(ctx: &SoakContext, steps: &[fault_schedule::TimedStep], keep: bool) -> bool {
+    let violations = ctx.recorder.violations();
+    let summary = ctx.recorder.summary();
+    if violations.is_empty() {
+        println!("seed {}: kept, {} steps; {summary}", ctx.seed, steps.len());
         if keep {
-            println!("  logs: {}", world.keep_folder().display());
+            println!("  logs: {}", ctx.keep_folder().display());
         }
         return true;
     }
-    println!("seed {}: BROKEN; {summary}", world.seed);
-    broken.iter().for_each(|line| println!("  {line}"));
-    let done = world.steps_done().min(steps.len());
-    let last = &steps[done.saturating_sub(LAST_STEPS)..done];
-    last.iter().for_each(|step| println!("  {step}"));
-    println!("  logs: {}", world.keep_folder().display());
+    println!("seed {}: BROKEN; {summary}", ctx.seed);
+    violations.iter().for_each(|line| println!("  {line}"));
+    let done_count = ctx.steps_done().min(steps.len());
+    let last_steps = &steps[done_count.saturating_sub(PRINTED_STEPS)..done_count];
+    last_steps.iter().for_each(|step| println!("  {step}"));
+    println!("  logs: {}", ctx.keep_folder().display());
     false
 }
--- a/soak/poison.rs
+++ b/soak/poison.rs
@@ -1,9 +1,9 @@
 //! A poison request, which crashes every engine that starts to execute it, and the caller that
 //! sends it repeatedly.
 
-use crate::callers::{FREE_KEY, HOST};
+use crate::callers::{FREE_KEY, ROUTE_HOST};
+use crate::context::{AddressKind, CALLERS_PORT, SentRequest, SoakContext};
 use crate::engines;
-use crate::world::{AddressKind, CALLERS_PORT, SentRequest, SoakWorld};
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -15,73 +15,74 @@
 use tokio::task::JoinHandle;
 
 /// Body that identifies the poison request; no other caller sends it.
-const BODY: &str = "poison";
+const POISON_BODY: &str = "poison";
 /// Pause between two attempts while faults are injected.
-const PAUSE: Duration = Duration::from_millis(700);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(700);
 /// Deadline that the caller sends.
-const DEADLINE: Duration = Duration::from_millis(1_500);
+const REQUEST_DEADLINE: Duration = Duration::from_millis(1_500);
 /// Time after which a crashed engine is replaced.
-const REPLACED_AFTER: Duration = Duration::from_millis(300);
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(300);
 /// Time without faults within which all entries learn of the crashed engines.
-const CONTACT: Duration = Duration::from_secs(3);
+const QUARANTINE_SPREAD_TIME: Duration = Duration::from_secs(3);
 /// Number of engines that may crash before the request is quarantined, and of executions that may
 /// still follow.
-const MOST_ENDS: u32 = 3;
-const MOST_SENDS_AFTER: u32 = 3;
+const MAX_CRASHED_ENGINES: u32 = 3;
+const MAX_LATER_EXECUTIONS: u32 = 3;
 /// Attempts after the last fault, sent to the entries in turn.
-const LAST_ATTEMPTS: usize = 8;
+const FINAL_ATTEMPTS: usize = 8;
 
 /// Number of times that engines started to execute the poison request.
 #[derive(Debug, Default)]
-pub struct PoisonCount(AtomicU32);
+pub struct PoisonExecutions(AtomicU32);
 
-impl PoisonCount {
+impl PoisonExecutions {
     fn get(&self) -> u32 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 /// Returns true for the poison request's body, after scheduling the engine's crash and replacement.
-pub fn strikes(world: &Arc<SoakWorld>, engine: usize, body: &[u8]) -> bool {
-    if body != BODY.as_bytes() {
+pub fn crash_if_poison(ctx: &Arc<SoakContext>, engine: usize, body: &[u8]) -> bool {
+    if body != POISON_BODY.as_bytes() {
         return false;
     }
-    world.poison.0.fetch_add(1, Ordering::Relaxed);
-    let world = Arc::clone(world);
+    ctx.poison_executions.0.fetch_add(1, Ordering::Relaxed);
+    let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
-        world.disturb();
-        engines::crash(&world, engine);
-        tokio::time::sleep(REPLACED_AFTER).await;
-        drop(engines::add(&world).await);
+        ctx.record_disturbance();
+        engines::crash(&ctx, engine);
+        tokio::time::sleep(REPLACEMENT_DELAY).await;
+        drop(engines::add(&ctx).await);
     });
     true
 }
 
 /// Sends the poison request repeatedly, to the entries in turn, until the context is stopped.
-pub fn start(world: &Arc<SoakWorld>) -> JoinHandle<()> {
-    let world = Arc::clone(world);
+pub fn start(ctx: &Arc<SoakContext>) -> JoinHandle<()> {
+    let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
-        let mut number = 0;
-        while !world.is_stopped() {
-            send(&world, AddressKind::EntryProxy, number).await;
-            number += 1;
-            tokio::time::sleep(PAUSE).await;
+        let mut attempt = 0;
+        while !ctx.is_stopped() {
+            send_poison(&ctx, AddressKind::EntryProxy, attempt).await;
+            attempt += 1;
+            tokio::time::sleep(ATTEMPT_INTERVAL).await;
         }
     })
 }
 
-async fn send(world: &SoakWorld, kind: AddressKind, number: usize) {
-    let address = world.address(kind, number % world.sizes.entries, CALLERS_PORT);
-    let id = format!("{:x}-poison-{kind:?}-{number}", world.seed);
+async fn send_poison(ctx: &SoakContext, kind: AddressKind, attempt: usize) {
+    let address = ctx.address(kind, attempt % ctx.sizes.entries, CALLERS_PORT);
+    let id = format!("{:x}-poison-{kind:?}-{attempt}", ctx.seed);
     let request = Request::post(format!("http://{address}/resumable/a"))
-        .header("host", HOST)
+        .header("host", ROUTE_HOST)
         .header("authorization", format!("Bearer {FREE_KEY}"))
         .header("tarragonknot-request-id", &id)
-        .header("tarragonknot-deadline-ms", DEADLINE.as_millis().to_string())
-        .body(Full::new(Bytes::from_static(BODY.as_bytes())))
+        .header("tarragonknot-deadline-ms", REQUEST_DEADLINE.as_millis().to_string())
+        .body(Full::new(Bytes::from_static(POISON_BODY.as_bytes())))
         .expect("the request consists of valid parts");
-    let sent = SentRequest { may_repeat: true, attempts: 2, status: None, sent_at: Instant::now() };
-    world.ledger.sent(&id, sent);
+    let sent_request =
+        SentRequest { may_repeat: true, max_attempts: 2, status: None, sent_at: Instant::now() };
+    ctx.recorder.record_request(&id, sent_request);
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let answer = async {
         let response = client.request(request).await.ok()?;
@@ -89,25 +90,25 @@
         let _ = response.into_body().collect().await;
         Some(status)
     };
-    if let Ok(Some(status)) = tokio::time::timeout(DEADLINE * 2, answer).await {
-        world.ledger.answered(&id, status);
+    if let Ok(Some(status)) = tokio::time::timeout(REQUEST_DEADLINE * 2, answer).await {
+        ctx.recorder.record_status(&id, status);
     }
 }
 
 /// Checks that after the last fault the request reaches no more engines than the limits allow,
 /// whichever entries were killed before.
-pub async fn check(world: &SoakWorld) {
-    tokio::time::sleep(CONTACT).await;
-    let before = world.poison.get();
-    for number in 0..LAST_ATTEMPTS {
-        send(world, AddressKind::Entry, number).await;
+pub async fn check(ctx: &SoakContext) {
+    tokio::time::sleep(QUARANTINE_SPREAD_TIME).await;
+    let crashed_before = ctx.poison_executions.get();
+    for attempt in 0..FINAL_ATTEMPTS {
+        send_poison(ctx, AddressKind::Entry, attempt).await;
     }
-    let sends = world.poison.get() - before;
-    let most = MOST_SENDS_AFTER + MOST_ENDS.saturating_sub(before);
-    if sends > most {
-        world.ledger.broke(
+    let later_executions = ctx.poison_executions.get() - crashed_before;
+    let max_executions = MAX_LATER_EXECUTIONS + MAX_CRASHED_ENGINES.saturating_sub(crashed_before);
+    if later_executions > max_executions {
+        ctx.recorder.record_violation(
             "BUDGET",
-            format!("a request that had crashed {before} engines was executed {sends} more times"),
+            format!("a request that had crashed {crashed_before} engines was executed {later_executions} more times"),
         );
     }
 }
--- a/soak/proxy.rs
+++ b/soak/proxy.rs
@@ -1,7 +1,7 @@
 //! A fault-injecting TCP proxy between callers and entries and between entries and engines. It can
 //! delay bytes, reset connections, and drop the bytes of one or both directions.
 
-use crate::world::{SoakWorld, lock};
+use crate::context::{SoakContext, lock};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 /// Delay added to a round trip: `ProxyMode::Delay` delays each chunk of either direction by half.
-const DELAY: Duration = Duration::from_millis(120);
+const ROUND_TRIP_DELAY: Duration = Duration::from_millis(120);
 
 /// How a proxy treats the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,22 +57,22 @@
 
 /// Starts a proxy that listens at `address` and forwards to `server`.
 pub async fn start(
-    world: &Arc<SoakWorld>,
+    ctx: &Arc<SoakContext>,
     address: SocketAddr,
     server: SocketAddr,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     let (sender, modes) = watch::channel((0, ProxyMode::Pass));
-    lock(&world.proxies.modes).insert(address, sender);
+    lock(&ctx.proxies.modes).insert(address, sender);
     tokio::spawn(async move {
         while let Ok((client, _)) = listener.accept().await {
-            tokio::spawn(carry(client, server, modes.clone()));
+            tokio::spawn(forward_connection(client, server, modes.clone()));
         }
     });
     Ok(())
 }
 
-async fn carry(
+async fn forward_connection(
     client: TcpStream,
     server: SocketAddr,
     mut modes: watch::Receiver<(u64, ProxyMode)>,
@@ -83,15 +83,27 @@
         return;
     };
     modes.mark_unchanged();
-    let opened_under = modes.borrow().0;
-    let (client_in, client_out) = client.into_split();
-    let (server_in, server_out) = server.into_split();
-    let there = pump(client_in, server_out, modes.clone(), opened_under, ProxyMode::CutThere);
-    let back = pump(server_in, client_out, modes.clone(), opened_under, ProxyMode::CutBack);
+    let opened_generation = modes.borrow().0;
+    let (client_reader, client_writer) = client.into_split();
+    let (server_reader, server_writer) = server.into_split();
+    let to_server = forward_bytes(
+        client_reader,
+        server_writer,
+        modes.clone(),
+        opened_generation,
+        ProxyMode::CutThere,
+    );
+    let to_client = forward_bytes(
+        server_reader,
+        client_writer,
+        modes.clone(),
+        opened_generation,
+        ProxyMode::CutBack,
+    );
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
+        () = async { tokio::join!(to_server, to_client); } => {}
         // Dropping both halves with unread bytes resets the connection.
-        () = reset_ordered(modes) => {}
+        () = wait_for_reset(modes) => {}
     }
 }
 
@@ -100,7 +112,7 @@
     stream.set_zero_linger()
 }
 
-async fn reset_ordered(mut modes: watch::Receiver<(u64, ProxyMode)>) {
+async fn wait_for_reset(mut modes: watch::Receiver<(u64, ProxyMode)>) {
     while modes.changed().await.is_ok() {
         if modes.borrow_and_update().1 == ProxyMode::ResetOpen {
             return;
@@ -109,33 +121,33 @@
     std::future::pending().await
 }
 
-async fn pump(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
+async fn forward_bytes(
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
     modes: watch::Receiver<(u64, ProxyMode)>,
-    opened_under: u64,
-    cut: ProxyMode,
+    opened_generation: u64,
+    cut_mode: ProxyMode,
 ) {
     let mut buffer = vec![0; 16 << 10];
     let mut is_silent = false;
-    while let Ok(count) = from.read(&mut buffer).await {
+    while let Ok(count) = reader.read(&mut buffer).await {
         if count == 0 {
             break;
         }
-        let (order, mode) = *modes.borrow();
-        is_silent |= mode == ProxyMode::SilenceOpen && order > opened_under;
+        let (generation, mode) = *modes.borrow();
+        is_silent |= mode == ProxyMode::SilenceOpen && generation > opened_generation;
         match mode {
-            ProxyMode::Delay => tokio::time::sleep(DELAY / 2).await,
-            mode if mode == cut => is_silent = true,
+            ProxyMode::Delay => tokio::time::sleep(ROUND_TRIP_DELAY / 2).await,
+            mode if mode == cut_mode => is_silent = true,
             _ => {}
         }
         // Once bytes were dropped, later ones would corrupt the stream: the direction stays silent.
-        if !is_silent && to.write_all(&buffer[..count]).await.is_err() {
+        if !is_silent && writer.write_all(&buffer[..count]).await.is_err() {
             break;
         }
     }
     if !is_silent {
-        let _ = to.shutdown().await;
+        let _ = writer.shutdown().await;
     } else {
         std::future::pending::<()>().await;
     }
