--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -20,22 +20,22 @@
 const VOTERS: usize = 3;
 const DAEMONS: usize = 7;
 const IDLE_SECONDS: u64 = 10;
-const EDITS: u64 = 500;
+const EDIT_COUNT: u64 = 500;
 const CLAIM_SECONDS: u64 = 4;
 const CLAIMERS: usize = 256;
-const WAITING: usize = 4_000;
-const KEY: &str = "a-fleet-key";
+const WAITING_REQUESTS: usize = 4_000;
+const FLEET_KEY: &str = "a-fleet-key";
 const CALLER_KEY: &str = "a-caller-key";
 
-struct Fleet {
+struct BenchFleet {
     work: WorkDir,
     daemons: Vec<FleetDaemon>,
 }
 
-impl Fleet {
+impl BenchFleet {
     fn start(voters: usize, count: usize) -> Self {
         let daemons = (1..=count).map(FleetDaemon::new).collect();
-        let mut fleet = Fleet { work: WorkDir::new(), daemons };
+        let mut fleet = BenchFleet { work: WorkDir::new(), daemons };
         for number in 0..count {
             let daemon = &fleet.daemons[number];
             let mut settings = daemon.settings(&fleet.daemons[..voters]);
@@ -73,13 +73,13 @@
             for (number, daemon) in
                 self.daemons.iter().enumerate().filter(|(_, daemon)| daemon.process.is_some())
             {
-                if let Ok(control) = connect(daemon.control, &FleetKey::from_text(KEY)).await
+                if let Ok(control) = connect(daemon.control, &FleetKey::from_text(FLEET_KEY)).await
                     && control.status().await.is_ok_and(|status| status.role == "leader")
                 {
                     return number;
                 }
             }
-            pause().await;
+            poll_pause().await;
         }
     }
 
@@ -88,11 +88,11 @@
         &self,
         base: &VersionedTable,
         table: OperatorTable,
-        id: &str,
+        edit_id: &str,
         wait: bool,
     ) -> VersionedTable {
         let edit = TableEdit {
-            edit_id: id.to_owned(),
+            edit_id: edit_id.to_owned(),
             operator: "bench".to_owned(),
             at: 0,
             base_version: base.version,
@@ -101,7 +101,8 @@
         };
         loop {
             for daemon in self.daemons.iter().filter(|daemon| daemon.process.is_some()) {
-                let Ok(control) = connect(daemon.control, &FleetKey::from_text(KEY)).await else {
+                let Ok(control) = connect(daemon.control, &FleetKey::from_text(FLEET_KEY)).await
+                else {
                     continue;
                 };
                 if let Ok(LeaderAnswer::Done(answer)) = control.apply(edit.clone(), wait).await
@@ -122,7 +123,7 @@
     hyper_util::client::legacy::Client::builder(hyper_util::rt::TokioExecutor::new()).build_http()
 }
 
-async fn pause() {
+async fn poll_pause() {
     tokio::time::sleep(Duration::from_millis(10)).await;
 }
 
@@ -138,14 +139,14 @@
     read_table(&text).expect("the table is valid")
 }
 
-fn quantile(times: &mut [Duration], share: f64) -> Duration {
+fn quantile(times: &mut [Duration], fraction: f64) -> Duration {
     times.sort_unstable();
-    let position = ((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1));
+    let position = ((times.len() as f64 * fraction) as usize).min(times.len().saturating_sub(1));
     times.get(position).copied().unwrap_or_default()
 }
 
-fn say(what: &str, value: impl std::fmt::Display) {
-    println!("{what:<62} {value}");
+fn print_figure(label: &str, value: impl std::fmt::Display) {
+    println!("{label:<62} {value}");
 }
 
 /// Times of small writes with a sync on this machine's disk.
@@ -192,66 +193,70 @@
 #[tokio::main]
 async fn main() {
     let mut syncs = sync_times();
-    let sync = quantile(&mut syncs, 0.5);
-    say("one write and sync on this disk, p50", format!("{sync:.2?}"));
+    let sync_p50 = quantile(&mut syncs, 0.5);
+    print_figure("one write and sync on this disk, p50", format!("{sync_p50:.2?}"));
     let engine = start_engine(EngineShape::with_step(20_000), Default::default(), Duration::ZERO)
         .await
         .expect("the simulated engine starts");
-    let mut fleet = Fleet::start(VOTERS, DAEMONS);
+    let mut fleet = BenchFleet::start(VOTERS, DAEMONS);
     let empty = VersionedTable::new(0, OperatorTable::default());
-    let mut current = fleet.apply(&empty, table(1, engine.address), "first", true).await;
+    let mut current_table = fleet.apply(&empty, table(1, engine.address), "first", true).await;
     for number in 0..DAEMONS {
         while !fleet.is_ready(number).await {
-            pause().await;
+            poll_pause().await;
         }
     }
     measure_idle(&fleet).await;
-    current = measure_edits(&fleet, current, engine.address).await;
-    measure_claims(&fleet, sync).await;
-    current = measure_failover(&mut fleet, current, engine.address).await;
+    current_table = measure_edits(&fleet, current_table, engine.address).await;
+    measure_claims(&fleet, sync_p50).await;
+    current_table = measure_failover(&mut fleet, current_table, engine.address).await;
     measure_restart(&mut fleet).await;
-    drop(current);
+    drop(current_table);
     drop(fleet);
     measure_waiting(engine.address).await;
 }
 
-async fn measure_idle(fleet: &Fleet) {
+async fn measure_idle(fleet: &BenchFleet) {
     let leader = fleet.leader().await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before: Vec<f64> = (0..DAEMONS).map(|number| cpu_seconds(fleet.pid(number))).collect();
     let bytes = loopback_bytes();
     tokio::time::sleep(Duration::from_secs(IDLE_SECONDS)).await;
     let bytes = loopback_bytes() - bytes;
-    let share = |number: usize| {
+    let cpu_percent = |number: usize| {
         (cpu_seconds(fleet.pid(number)) - before[number]) / IDLE_SECONDS as f64 * 100.0
     };
-    say("idle leader, share of a core", format!("{:.2} %", share(leader)));
+    print_figure("idle leader, share of a core", format!("{:.2} %", cpu_percent(leader)));
     let others: Vec<usize> = (0..DAEMONS).filter(|number| *number != leader).collect();
-    let most = others.iter().map(|number| share(*number)).fold(0.0, f64::max);
-    say("idle daemon that does not lead, largest share of a core", format!("{most:.2} %"));
+    let max = others.iter().map(|number| cpu_percent(*number)).fold(0.0, f64::max);
+    print_figure("idle daemon that does not lead, largest share of a core", format!("{max:.2} %"));
     let per_daemon = bytes / IDLE_SECONDS as f64 / DAEMONS as f64;
-    say(
+    print_figure(
         "idle traffic on loopback of the fleet, by daemon, both ways",
         format!("{:.1} KB/s", per_daemon / 1_000.0),
     );
-    let most = (0..DAEMONS).map(|number| resident_kib(fleet.pid(number))).fold(0.0, f64::max);
-    say("idle daemon, largest resident memory", format!("{:.1} MB", most * 1_024.0 / 1e6));
+    let max = (0..DAEMONS).map(|number| resident_kib(fleet.pid(number))).fold(0.0, f64::max);
+    print_figure("idle daemon, largest resident memory", format!("{:.1} MB", max * 1_024.0 / 1e6));
 }
 
-async fn measure_edits(fleet: &Fleet, first: VersionedTable, engine: SocketAddr) -> VersionedTable {
+async fn measure_edits(
+    fleet: &BenchFleet,
+    initial_table: VersionedTable,
+    engine: SocketAddr,
+) -> VersionedTable {
     let leader = fleet.leader().await;
-    let control = connect(fleet.daemons[leader].control, &FleetKey::from_text(KEY))
+    let control = connect(fleet.daemons[leader].control, &FleetKey::from_text(FLEET_KEY))
         .await
         .expect("the leader accepts a control connection");
-    let mut current = first;
+    let mut current_table = initial_table;
     let mut times = Vec::new();
-    for number in 0..EDITS {
+    for number in 0..EDIT_COUNT {
         let edit = TableEdit {
             edit_id: format!("edit-{number}"),
             operator: "bench".to_owned(),
             at: 0,
-            base_version: current.version,
-            base_hash: current.hash.clone(),
+            base_version: current_table.version,
+            base_hash: current_table.hash.clone(),
             table: table(number as u32 % 9 + 1, engine),
         };
         let started = Instant::now();
@@ -259,21 +264,21 @@
         let Ok(LeaderAnswer::Done(answer)) = answer else { panic!("edit {number}: {answer:?}") };
         assert!(answer.progress.is_in_force, "{:?}", answer.progress);
         times.push(started.elapsed());
-        current = VersionedTable::new(current.version + 1, edit.table);
+        current_table = VersionedTable::new(current_table.version + 1, edit.table);
     }
     let (p50, p99) = (quantile(&mut times, 0.5), quantile(&mut times, 0.99));
-    say("edit sent to in force on 7 daemons, p50 and p99", format!("{p50:.2?} {p99:.2?}"));
-    current
+    print_figure("edit sent to in force on 7 daemons, p50 and p99", format!("{p50:.2?} {p99:.2?}"));
+    current_table
 }
 
-async fn measure_claims(fleet: &Fleet, sync: Duration) {
+async fn measure_claims(fleet: &BenchFleet, sync_p50: Duration) {
     let voters: Vec<SocketAddr> =
         fleet.daemons[..VOTERS].iter().map(|daemon| daemon.control).collect();
     let hint = LeaderHint::default();
     hint.set(Some(fleet.daemons[fleet.leader().await].control));
     let client = ClaimClient::start(ClaimClientSettings {
         voters: KnownVoters::new(voters),
-        key: FleetKey::from_text(KEY),
+        key: FleetKey::from_text(FLEET_KEY),
         hint,
     });
     let owner =
@@ -290,9 +295,9 @@
         client.settle(&key, &owner(number), ClaimOutcome::Unknown);
     }
     let p50 = quantile(&mut times, 0.5);
-    say(
+    print_figure(
         "one claim, p50, and in syncs of this disk",
-        format!("{p50:.2?} {:.1}", p50.as_secs_f64() / sync.as_secs_f64()),
+        format!("{p50:.2?} {:.1}", p50.as_secs_f64() / sync_p50.as_secs_f64()),
     );
     let started = Instant::now();
     let until = started + Duration::from_secs(CLAIM_SECONDS);
@@ -324,44 +329,50 @@
     });
     let counts = futures_util::future::join_all(claimers).await;
     let total: u64 = counts.into_iter().map(|count| count.expect("a claimer does not panic")).sum();
-    say(
+    print_figure(
         "claims a second, 256 callers",
         format!("{:.0}", total as f64 / started.elapsed().as_secs_f64()),
     );
 }
 
 async fn measure_failover(
-    fleet: &mut Fleet,
-    first: VersionedTable,
+    fleet: &mut BenchFleet,
+    initial_table: VersionedTable,
     engine: SocketAddr,
 ) -> VersionedTable {
-    let mut current = first;
+    let mut current_table = initial_table;
     let (mut times, mut in_force) = (Vec::new(), Vec::new());
     for round in 0..5u32 {
         let leader = fleet.leader().await;
         let started = Instant::now();
         fleet.kill(leader);
-        current = fleet
-            .apply(&current, table(round + 1, engine), &format!("failover-{round}"), false)
+        current_table = fleet
+            .apply(&current_table, table(round + 1, engine), &format!("failover-{round}"), false)
             .await;
         times.push(started.elapsed());
-        current = fleet
-            .apply(&current, table(round + 2, engine), &format!("in-force-{round}"), true)
+        current_table = fleet
+            .apply(&current_table, table(round + 2, engine), &format!("in-force-{round}"), true)
             .await;
         in_force.push(started.elapsed());
         fleet.restart(leader);
         while !fleet.is_ready(leader).await {
-            pause().await;
+            poll_pause().await;
         }
     }
-    let (p50, most) = (quantile(&mut times, 0.5), quantile(&mut times, 1.0));
-    say("leader killed to next edit accepted, p50 and max of 5", format!("{p50:.2?} {most:.2?}"));
-    let most = quantile(&mut in_force, 1.0);
-    say("leader killed to edit in force everywhere (its lease is 3 s)", format!("{most:.2?}"));
-    current
+    let (p50, max) = (quantile(&mut times, 0.5), quantile(&mut times, 1.0));
+    print_figure(
+        "leader killed to next edit accepted, p50 and max of 5",
+        format!("{p50:.2?} {max:.2?}"),
+    );
+    let max = quantile(&mut in_force, 1.0);
+    print_figure(
+        "leader killed to edit in force everywhere (its lease is 3 s)",
+        format!("{max:.2?}"),
+    );
+    current_table
 }
 
-async fn measure_restart(fleet: &mut Fleet) {
+async fn measure_restart(fleet: &mut BenchFleet) {
     let leader = fleet.leader().await;
     let follower = (0..VOTERS)
         .find(|number| *number != leader)
@@ -376,7 +387,7 @@
         }
         times.push(started.elapsed());
     }
-    say(
+    print_figure(
         "voter restarted after 500 edits to ready, p50 of 5",
         format!("{:.2?}", quantile(&mut times, 0.5)),
     );
@@ -384,15 +395,15 @@
 
 /// Measures the memory of waiting requests, over HTTP/2 so that connections add little to it.
 async fn measure_waiting(engine: SocketAddr) {
-    let fleet = Fleet::start(1, 1);
+    let fleet = BenchFleet::start(1, 1);
     fleet
         .apply(&VersionedTable::new(0, OperatorTable::default()), table(1, engine), "first", true)
         .await;
     while !fleet.is_ready(0).await {
-        pause().await;
+        poll_pause().await;
     }
     let body = r#"{"model":"slow","stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"hello"}]}"#;
-    let clients: Vec<_> = (0..WAITING / 100)
+    let clients: Vec<_> = (0..WAITING_REQUESTS / 100)
         .map(|_| {
             hyper_util::client::legacy::Client::builder(hyper_util::rt::TokioExecutor::new())
                 .http2_only(true)
@@ -408,14 +419,14 @@
                 .expect("a good request");
         tokio::spawn(async move { client.request(request).await.map(|_| ()) })
     };
-    let mut calls: Vec<_> = (0..WAITING / 10).map(send).collect();
+    let mut calls: Vec<_> = (0..WAITING_REQUESTS / 10).map(send).collect();
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = resident_kib(fleet.pid(0));
-    calls.extend((WAITING / 10..WAITING).map(send));
+    calls.extend((WAITING_REQUESTS / 10..WAITING_REQUESTS).map(send));
     tokio::time::sleep(Duration::from_secs(4)).await;
     let after = resident_kib(fleet.pid(0));
-    let per_request = (after - before) / (WAITING - WAITING / 10) as f64;
-    say(
+    let per_request = (after - before) / (WAITING_REQUESTS - WAITING_REQUESTS / 10) as f64;
+    print_figure(
         "one waiting request, resident memory with its HTTP/2 stream",
         format!("{per_request:.2} KiB"),
     );
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -27,7 +27,7 @@
 ];
 const ORGANISATIONS: u64 = 3_300;
 
-fn sources(count: usize) -> Vec<UpstreamSource> {
+fn upstream_sources(count: usize) -> Vec<UpstreamSource> {
     let source = |number: usize| UpstreamSource {
         name: format!("engine-{number}").as_str().into(),
         incarnation: 0,
@@ -38,7 +38,7 @@
     (0..count).map(source).collect()
 }
 
-fn waiting(id: u64) -> WaitingRequest {
+fn waiting_request(id: u64) -> WaitingRequest {
     let review_at = Moment::from_millis(3_600_000);
     WaitingRequest {
         output_tokens: 0,
@@ -64,13 +64,13 @@
     }
 }
 
-fn placement(criterion: &mut Criterion) {
+fn bench_placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement");
     let prompt = "an inventory of a furnished flat ".repeat(100);
     let prefix = prefix_hashes(prompt.as_bytes());
     for count in [18, 1_000, 11_000] {
         let mut set = UpstreamSet::default();
-        set.set_sources(&sources(count), |_| LearnedLimit::new(60, 512.0, true));
+        set.set_sources(&upstream_sources(count), |_| LearnedLimit::new(60, 512.0, true));
         let mut policy = AffinityPlacement::default();
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut now = Moment(1);
@@ -96,17 +96,17 @@
     group.finish();
 }
 
-fn queue(criterion: &mut Criterion) {
+fn bench_queue(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admit-and-pop");
     for count in [1_000u64, 100_000] {
         let mut queue = FairQueue::new(&SHARES);
-        (0..count).for_each(|id| queue.push(waiting(id)));
+        (0..count).for_each(|id| queue.push(waiting_request(id)));
         let mut next = count;
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter_batched(
                 || {
                     next += 1;
-                    waiting(next)
+                    waiting_request(next)
                 },
                 |request| {
                     queue.push(request);
@@ -120,7 +120,7 @@
 }
 
 /// A request's life cycle in the scheduler: arrival, dispatch, end.
-fn scheduler(criterion: &mut Criterion) {
+fn bench_scheduler(criterion: &mut Criterion) {
     let plan = PoolPlan {
         tiers: SHARES.to_vec(),
         queue: QueueDiscipline::Weighted,
@@ -144,7 +144,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut actions = Vec::new();
     let mut now = Moment(1);
-    scheduler.handle(PoolEvent::Sources(sources(18)), now, &mut rng, &mut actions);
+    scheduler.handle(PoolEvent::Sources(upstream_sources(18)), now, &mut rng, &mut actions);
     let mut next = 0;
     criterion.bench_function("scheduler/arrive-dispatch-end", |bencher| {
         bencher.iter(|| {
@@ -205,16 +205,16 @@
 }
 
 /// The leader's work for one report of a daemon, by the number of daemons.
-fn fleet_book(criterion: &mut Criterion) {
+fn bench_leader_report(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("leader-report");
     let table = table(5, 17);
     for count in [7u64, 60, 460] {
         let name = |number: u64| -> DaemonName { format!("entry-{number}").as_str().into() };
         let members: BTreeMap<DaemonName, u64> =
             (0..count).map(|number| (name(number), 1)).collect();
-        let mut book = FleetRegistry::new(1, Duration::from_secs(3), Moment(0), &members);
+        let mut registry = FleetRegistry::new(1, Duration::from_secs(3), Moment(0), &members);
         let mut sequence = 0;
-        let mut report = |number: u64, book: &mut FleetRegistry| {
+        let mut report = |number: u64, registry: &mut FleetRegistry| {
             sequence += 1;
             let pools = table.table.services.iter().map(|row| PoolReport {
                 service: row.service.clone(),
@@ -241,15 +241,15 @@
                 knows_rollouts: 0,
                 rollouts: Vec::new(),
             };
-            book.record(report, Moment(1_000));
-            book.orders(&name(number), &table, Moment(1_000))
+            registry.record(report, Moment(1_000));
+            registry.orders(&name(number), &table, Moment(1_000))
         };
-        (0..count).for_each(|number| drop(report(number, &mut book)));
+        (0..count).for_each(|number| drop(report(number, &mut registry)));
         let mut number = 0;
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
                 number = (number + 1) % count;
-                report(number, &mut book)
+                report(number, &mut registry)
             });
         });
     }
@@ -257,7 +257,7 @@
 }
 
 /// Parsing a table and indexing it for use, by the number of organisations.
-fn table_in_force(criterion: &mut Criterion) {
+fn bench_table_in_force(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("table-in-force");
     for count in [5, 330, 3_300] {
         let versioned = table(count, 17);
@@ -277,6 +277,6 @@
 criterion_group! {
     name = benches;
     config = Criterion::default().warm_up_time(Duration::from_millis(500)).measurement_time(Duration::from_secs(2)).sample_size(20);
-    targets = placement, queue, scheduler, fleet_book, table_in_force
+    targets = bench_placement, bench_queue, bench_scheduler, bench_leader_report, bench_table_in_force
 }
 criterion_main!(benches);
--- a/benches/seeds.rs
+++ b/benches/seeds.rs
@@ -17,16 +17,16 @@
 
 fn main() {
     let seeds = std::env::args().filter_map(|arg| arg.parse().ok()).next().unwrap_or(DEFAULT_SEEDS);
-    let next = AtomicU64::new(0);
+    let next_seed = AtomicU64::new(0);
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get() / 2).max(1);
     let (total, failures) = std::thread::scope(|scope| {
         let workers: Vec<_> =
-            (0..threads).map(|_| scope.spawn(|| run_seeds(&next, seeds))).collect();
+            (0..threads).map(|_| scope.spawn(|| run_seeds(&next_seed, seeds))).collect();
         let ends =
             workers.into_iter().map(|worker| worker.join().expect("a worker does not panic"));
         ends.fold((ScheduleEnd::default(), Vec::new()), |(total, mut failures), (end, failed)| {
             failures.extend(failed);
-            (add(total, &end), failures)
+            (add_totals(total, &end), failures)
         })
     });
     println!("{seeds} seeds, {} failures; {total:?}", failures.len());
@@ -34,7 +34,7 @@
     std::process::exit(i32::from(!failures.is_empty()));
 }
 
-fn add(total: ScheduleEnd, end: &ScheduleEnd) -> ScheduleEnd {
+fn add_totals(total: ScheduleEnd, end: &ScheduleEnd) -> ScheduleEnd {
     ScheduleEnd {
         commits: total.commits + end.commits,
         edits: total.edits + end.edits,
@@ -43,20 +43,21 @@
     }
 }
 
-fn run_seeds(next: &AtomicU64, seeds: u64) -> (ScheduleEnd, Vec<String>) {
+fn run_seeds(next_seed: &AtomicU64, seeds: u64) -> (ScheduleEnd, Vec<String>) {
     let mut total = ScheduleEnd::default();
     let mut failures = Vec::new();
     loop {
-        let seed = next.fetch_add(1, Ordering::Relaxed);
+        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
         if seed >= seeds {
             return (total, failures);
         }
         match Schedule::new(seed, BrokenRule::Nothing).run(FAULT_SECONDS) {
-            Ok(end) => total = add(total, &end),
+            Ok(end) => total = add_totals(total, &end),
             Err(fault) => failures.push(format!("seed {seed}: {fault}")),
         }
-        let fleet =
+        let fleet_outcome =
             FleetSchedule::new(seed, fleet_schedule::BrokenRule::Nothing).run(FAULT_SECONDS);
-        failures.extend(fleet.err().map(|fault| format!("seed {seed} of the fleet: {fault}")));
+        failures
+            .extend(fleet_outcome.err().map(|fault| format!("seed {seed} of the fleet: {fault}")));
     }
 }
--- a/benches/size_share.rs
+++ b/benches/size_share.rs
@@ -17,39 +17,41 @@
 use comfy_table::Table;
 use sized_load::{SizedEnd, SizedLoad, by_size, in_time_part, play, play_with, served_part};
 
-const PROMISES: [f64; 5] = [0.0, 0.25, 0.5, 0.75, 1.0];
-const DAEMONS: [usize; 4] = [1, 7, 56, 291];
+const SIZE_SHARES: [f64; 5] = [0.0, 0.25, 0.5, 0.75, 1.0];
+const DAEMON_COUNTS: [usize; 4] = [1, 7, 56, 291];
 
-fn lost(ends: &[SizedEnd]) -> f64 {
+fn lost_part(ends: &[SizedEnd]) -> f64 {
     ends.iter().filter(|end| end.is_lost).count() as f64 / ends.len().max(1) as f64
 }
 
 /// Fractions of all requests of a kind, and of its largest tenth, that are served.
-fn of_kind(ends: &[SizedEnd], kind: usize) -> String {
-    let own = by_size(ends, kind);
-    let largest = &own[own.len() * 9 / 10..];
-    format!("{:.3}, {:.3}", served_part(own.iter()), served_part(largest.iter()))
+fn kind_parts(ends: &[SizedEnd], kind: usize) -> String {
+    let requests = by_size(ends, kind);
+    let largest = &requests[requests.len() * 9 / 10..];
+    format!("{:.3}, {:.3}", served_part(requests.iter()), served_part(largest.iter()))
 }
 
 fn row(name: &str, ends: &[SizedEnd]) -> Vec<String> {
     let mut row = vec![name.to_owned()];
     row.extend(
-        [served_part(ends.iter()), in_time_part(ends), lost(ends)].map(|part| format!("{part:.3}")),
+        [served_part(ends.iter()), in_time_part(ends), lost_part(ends)]
+            .map(|part| format!("{part:.3}")),
     );
-    row.extend((0..3).map(|kind| of_kind(ends, kind)));
+    row.extend((0..3).map(|kind| kind_parts(ends, kind)));
     row
 }
 
 fn main() {
     let mut table = Table::new();
     table.set_header(["load", "served", "in time", "lost", "kind 0", "kind 1", "kind 2"]);
-    for daemons in DAEMONS {
-        for promise in PROMISES {
-            let ends = play_with(&SizedLoad::overload(daemons), |plan| plan.size_share = promise);
-            table.add_row(row(&format!("{daemons} daemons, size share {promise}"), &ends));
+    for daemons in DAEMON_COUNTS {
+        for size_share in SIZE_SHARES {
+            let ends =
+                play_with(&SizedLoad::overload(daemons), |plan| plan.size_share = size_share);
+            table.add_row(row(&format!("{daemons} daemons, size share {size_share}"), &ends));
         }
     }
-    let calm = play(&SizedLoad { times: 0.5, ..SizedLoad::overload(7) });
-    table.add_row(row("7 daemons, half of the load", &calm));
+    let half_load = play(&SizedLoad { times: 0.5, ..SizedLoad::overload(7) });
+    table.add_row(row("7 daemons, half of the load", &half_load));
     println!("{table}");
 }
--- a/benches/waiting.rs
+++ b/benches/waiting.rs
@@ -16,17 +16,17 @@
 /// Forwards all calls to the system allocator and counts the bytes in use.
 struct CountingAllocator;
 
-static IN_USE: AtomicIsize = AtomicIsize::new(0);
+static BYTES_IN_USE: AtomicIsize = AtomicIsize::new(0);
 
 // SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        IN_USE.fetch_add(layout.size() as isize, Ordering::Relaxed);
+        BYTES_IN_USE.fetch_add(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        IN_USE.fetch_sub(layout.size() as isize, Ordering::Relaxed);
+        BYTES_IN_USE.fetch_sub(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -55,26 +55,29 @@
     let router = frontend_router(Arc::clone(&state));
     // One long response occupies the engine. The other requests ask for little output, so that the
     // estimated wait of 100,000 of them stays below the deadline and none is refused.
-    let long = r#"{"model":"slow","stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"hello"}]}"#;
+    let long_body = r#"{"model":"slow","stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"hello"}]}"#;
     let body = r#"{"model":"slow","stream":true,"max_tokens":1,"messages":[{"role":"user","content":"hello"}]}"#;
-    let call = |body: &'static str| {
+    let send_request = |body: &'static str| {
         let request = Request::post("/v1/chat/completions")
             .header("authorization", "Bearer key")
             .body(axum::body::Body::from(body));
         tokio::spawn(router.clone().oneshot(request.expect("a good request")))
     };
     for count in [1_000usize, 10_000, 100_000] {
-        let first = call(long);
+        let long_request = send_request(long_body);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let before = IN_USE.load(Ordering::Relaxed);
-        let calls: Vec<_> = (0..count).map(|_| call(body)).collect();
+        let before = BYTES_IN_USE.load(Ordering::Relaxed);
+        let requests: Vec<_> = (0..count).map(|_| send_request(body)).collect();
         let pool = state.pool(&"slow".into()).expect("the service has a pool");
         while pool.status().waiting < count {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let each = (IN_USE.load(Ordering::Relaxed) - before) as f64 / count as f64;
-        println!("{count:>7} waiting: {each:.0} bytes each, of which {} are the body", body.len());
-        calls.into_iter().chain([first]).for_each(|call| call.abort());
+        let bytes_each = (BYTES_IN_USE.load(Ordering::Relaxed) - before) as f64 / count as f64;
+        println!(
+            "{count:>7} waiting: {bytes_each:.0} bytes each, of which {} are the body",
+            body.len()
+        );
+        requests.into_iter().chain([long_request]).for_each(|request| request.abort());
         while pool.status().waiting > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
