--- a/soak/callers.rs
+++ b/soak/callers.rs
@@ -144,7 +144,7 @@
         if is_denied && ctx.time_since_disturbance() > Duration::from_secs(5) {
             ctx.recorder.record_violation(
                 "DENIED",
-                format!("{id} was refused with status {status} although no fault was active"),
+                format!("{id} was refused with status {status} without a recent disturbance"),
             );
         }
         return is_reusable && body.is_ok();
--- a/soak/checks.rs
+++ b/soak/checks.rs
@@ -110,17 +110,17 @@
 }
 
 fn check_limit(ctx: &SoakContext) {
-    let executions = ctx.recorder.limited_executions();
+    let runs = ctx.recorder.limited_executions();
     let rate = LIMIT_TOKENS_PER_SECOND as f64;
     let max_tokens = (rate * LIMIT_WINDOW.as_secs_f64() + rate) * LIMIT_OVERAGE_FACTOR
         + LIMIT_SLACK_TOKENS as f64;
     // Counts requests that were both sent and executed within the window: an engine that was cut
     // off may execute requests that were admitted earlier.
-    for start in executions.iter().map(|execution| execution.sent_at) {
-        let window_executions = executions.iter().filter(|execution| {
-            execution.sent_at >= start && execution.executed_at <= start + LIMIT_WINDOW
-        });
-        let token_sum: u64 = window_executions.map(|execution| execution.tokens).sum();
+    for start in runs.iter().map(|run| run.sent_at) {
+        let window_runs = runs
+            .iter()
+            .filter(|run| run.sent_at >= start && run.executed_at <= start + LIMIT_WINDOW);
+        let token_sum: u64 = window_runs.map(|run| run.tokens).sum();
         if token_sum as f64 > max_tokens {
             return ctx.recorder.record_violation(
                 "QUOTA",
--- a/soak/context.rs
+++ b/soak/context.rs
@@ -157,7 +157,7 @@
     pub proxies: ProxyModes,
     /// Acknowledged versions of the configuration, with the time of their first acknowledgement.
     pub acknowledged_versions: Mutex<BTreeMap<u64, Instant>>,
-    /// Time of the last disturbance: a fault, or the end of one, at a process, a proxy or an engine.
+    /// Time of the last disturbance: start or end of a fault at a process, a proxy or an engine.
     pub last_disturbance: Mutex<Instant>,
     /// Executions of the poison request.
     pub poison_executions: PoisonExecutions,
--- a/soak/main.rs
+++ b/soak/main.rs
@@ -9,9 +9,9 @@
 mod checks;
 mod context;
 mod engines;
-mod fault_schedule;
 mod fleet;
 mod operators;
+mod plan;
 mod poison;
 mod proxy;
 
@@ -80,7 +80,7 @@
 /// Runs one seed; true if no invariant was violated.
 async fn run_seed(args: &SoakArgs, seed: u64) -> bool {
     let ctx = Arc::new(SoakContext::new(args, seed));
-    let steps = fault_schedule::schedule(
+    let steps = plan::schedule(
         &mut ChaCha8Rng::seed_from_u64(seed),
         Duration::from_secs(args.seconds),
         &ctx.sizes,
@@ -92,7 +92,7 @@
         let operators = operators::start(&ctx, seed);
         let version_watch = checks::start_version_watch(&ctx);
         let poison_caller = poison::start(&ctx);
-        fault_schedule::execute(&ctx, &steps).await;
+        plan::execute(&ctx, &steps).await;
         fleet::heal(&ctx).await;
         checks::wait_for_recovery(&ctx).await;
         ctx.stop();
@@ -105,7 +105,7 @@
     report(&ctx, &steps, args.keep)
 }
 
-fn report(ctx: &SoakContext, steps: &[fault_schedule::TimedStep], keep: bool) -> bool {
+fn report(ctx: &SoakContext, steps: &[plan::TimedStep], keep: bool) -> bool {
     let violations = ctx.recorder.violations();
     let summary = ctx.recorder.summary();
     if violations.is_empty() {
--- a/soak/operators.rs
+++ b/soak/operators.rs
@@ -25,10 +25,10 @@
 
 /// The configuration of a version: the same routes, and one whose name contains the version.
 pub fn config_document(version: u64) -> String {
-    let route = |name: &str, kind: &str, max_attempts: u32, resumable: bool| {
+    let route = |name: &str, kind: &str, max_attempts: u32, is_resumable: bool| {
         json!({"name": name, "host": ROUTE_HOST, "path_prefix": format!("/{name}/"), "kind": kind, "timeout_ms": 4000,
                "latency_slo_ms": 400, "priority": 0, "service": SERVICE_NAME, "max_attempts": max_attempts, "public": false,
-               "resumable": resumable, "gap_slo_ms": 300})
+               "resumable": is_resumable, "gap_slo_ms": 300})
     };
     let routes = [
         route("safe", "safe", 2, false),
--- a/soak/fault_schedule.rs
+++ b/soak/plan.rs
@@ -56,10 +56,9 @@
     let mut at = Duration::ZERO;
     let mut disk_lost_at: Option<Duration> = None;
     while at < length {
-        let may_remove_disk =
-            disk_lost_at.is_none_or(|lost_at| at >= lost_at + VOTER_CATCH_UP_TIME);
+        let may_wipe = disk_lost_at.is_none_or(|lost_at| at >= lost_at + VOTER_CATCH_UP_TIME);
         let duration = Duration::from_millis(rng.random_range(200..3_000));
-        let mut fault = draw_fault(rng, sizes, at, duration, may_remove_disk);
+        let mut fault = draw_fault(rng, sizes, at, duration, may_wipe);
         if fault.iter().any(|timed| matches!(timed.step, SoakStep::Wipe(_))) {
             disk_lost_at = Some(at + duration);
         }
@@ -76,7 +75,7 @@
     sizes: &FleetSizes,
     at: Duration,
     duration: Duration,
-    may_remove_disk: bool,
+    may_wipe: bool,
 ) -> Vec<TimedStep> {
     let entry = rng.random_range(0..sizes.entries);
     let voter = rng.random_range(0..sizes.voters);
@@ -85,21 +84,19 @@
         number => ProcessName::Voter(number - sizes.entries),
     };
     let timed = |at, step| TimedStep { at, step };
-    let lasting_fault = |first, last| vec![timed(at, first), timed(at + duration, last)];
-    let instant_fault = |step| vec![timed(at, step)];
+    let lasting = |first, last| vec![timed(at, first), timed(at + duration, last)];
+    let instant = |step| vec![timed(at, step)];
     let cut_modes = [ProxyMode::Delay, ProxyMode::CutThere, ProxyMode::CutBack];
     let break_modes = [ProxyMode::SilenceOpen, ProxyMode::ResetOpen];
     match rng.random_range(0..15) {
-        0 | 1 => lasting_fault(SoakStep::Kill(process), SoakStep::Start(process)),
-        2 | 3 => lasting_fault(
+        0 | 1 => lasting(SoakStep::Kill(process), SoakStep::Start(process)),
+        2 | 3 => lasting(
             SoakStep::Signal(process, SoakSignal::Stop),
             SoakStep::Signal(process, SoakSignal::Cont),
         ),
-        4 => lasting_fault(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
-        5 => instant_fault(SoakStep::Signal(process, SoakSignal::Hangup)),
-        6 if may_remove_disk => {
-            lasting_fault(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter)))
-        }
+        4 => lasting(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
+        5 => instant(SoakStep::Signal(process, SoakSignal::Hangup)),
+        6 if may_wipe => lasting(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter))),
         // Kills all voters at once and keeps their disks.
         6 | 7 => (0..sizes.voters)
             .flat_map(|number| {
@@ -109,25 +106,22 @@
             .collect(),
         8 => {
             let cut = cut_modes.choose(rng).copied().unwrap_or_default();
-            lasting_fault(
-                SoakStep::EntryProxy(entry, cut),
-                SoakStep::EntryProxy(entry, ProxyMode::Pass),
-            )
+            lasting(SoakStep::EntryProxy(entry, cut), SoakStep::EntryProxy(entry, ProxyMode::Pass))
         }
         9 => {
             let cut = cut_modes.choose(rng).copied().unwrap_or_default();
-            lasting_fault(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
+            lasting(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
         }
-        10 => instant_fault(SoakStep::EntryProxy(
+        10 => instant(SoakStep::EntryProxy(
             entry,
             break_modes.choose(rng).copied().unwrap_or_default(),
         )),
-        11 => instant_fault(SoakStep::EngineProxies(
-            break_modes.choose(rng).copied().unwrap_or_default(),
-        )),
-        12 => lasting_fault(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
-        13 => lasting_fault(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
-        _ => lasting_fault(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
+        11 => {
+            instant(SoakStep::EngineProxies(break_modes.choose(rng).copied().unwrap_or_default()))
+        }
+        12 => lasting(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
+        13 => lasting(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
+        _ => lasting(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
     }
 }
 
