--- a/soak/plan.rs
+++ b/soak/plan.rs
@@ -85,7 +85,7 @@
     };
     let timed = |at, step| TimedStep { at, step };
     let lasting = |first, last| vec![timed(at, first), timed(at + duration, last)];
-    let instant = |step| vec![timed(at, step)];
+    let once = |step| vec![timed(at, step)];
     let cut_modes = [ProxyMode::Delay, ProxyMode::CutThere, ProxyMode::CutBack];
     let break_modes = [ProxyMode::SilenceOpen, ProxyMode::ResetOpen];
     match rng.random_range(0..15) {
@@ -95,7 +95,7 @@
             SoakStep::Signal(process, SoakSignal::Cont),
         ),
         4 => lasting(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
-        5 => instant(SoakStep::Signal(process, SoakSignal::Hangup)),
+        5 => once(SoakStep::Signal(process, SoakSignal::Hangup)),
         6 if may_wipe => lasting(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter))),
         // Kills all voters at once and keeps their disks.
         6 | 7 => (0..sizes.voters)
@@ -112,13 +112,10 @@
             let cut = cut_modes.choose(rng).copied().unwrap_or_default();
             lasting(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
         }
-        10 => instant(SoakStep::EntryProxy(
-            entry,
-            break_modes.choose(rng).copied().unwrap_or_default(),
-        )),
-        11 => {
-            instant(SoakStep::EngineProxies(break_modes.choose(rng).copied().unwrap_or_default()))
+        10 => {
+            once(SoakStep::EntryProxy(entry, break_modes.choose(rng).copied().unwrap_or_default()))
         }
+        11 => once(SoakStep::EngineProxies(break_modes.choose(rng).copied().unwrap_or_default())),
         12 => lasting(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
         13 => lasting(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
         _ => lasting(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
