--- a/soak/plan.rs
+++ b/soak/plan.rs
@@ -86,8 +86,8 @@
     let timed = |at, step| TimedStep { at, step };
     let lasting = |first, last| vec![timed(at, first), timed(at + duration, last)];
     let once = |step| vec![timed(at, step)];
-    let cut_modes = [ProxyMode::Delay, ProxyMode::CutThere, ProxyMode::CutBack];
-    let break_modes = [ProxyMode::SilenceOpen, ProxyMode::ResetOpen];
+    let cuts = [ProxyMode::Delay, ProxyMode::CutThere, ProxyMode::CutBack];
+    let breaks = [ProxyMode::SilenceOpen, ProxyMode::ResetOpen];
     match rng.random_range(0..15) {
         0 | 1 => lasting(SoakStep::Kill(process), SoakStep::Start(process)),
         2 | 3 => lasting(
@@ -105,17 +105,15 @@
             })
             .collect(),
         8 => {
-            let cut = cut_modes.choose(rng).copied().unwrap_or_default();
+            let cut = cuts.choose(rng).copied().unwrap_or_default();
             lasting(SoakStep::EntryProxy(entry, cut), SoakStep::EntryProxy(entry, ProxyMode::Pass))
         }
         9 => {
-            let cut = cut_modes.choose(rng).copied().unwrap_or_default();
+            let cut = cuts.choose(rng).copied().unwrap_or_default();
             lasting(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
         }
-        10 => {
-            once(SoakStep::EntryProxy(entry, break_modes.choose(rng).copied().unwrap_or_default()))
-        }
-        11 => once(SoakStep::EngineProxies(break_modes.choose(rng).copied().unwrap_or_default())),
+        10 => once(SoakStep::EntryProxy(entry, breaks.choose(rng).copied().unwrap_or_default())),
+        11 => once(SoakStep::EngineProxies(breaks.choose(rng).copied().unwrap_or_default())),
         12 => lasting(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
         13 => lasting(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
         _ => lasting(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
