--- a/soak/callers.rs
+++ b/soak/callers.rs
@@ -74,7 +74,7 @@
             &id,
             SentRequest { may_repeat, max_attempts, status: None, sent_at: Instant::now() },
         );
-        // One request in 20 is abandoned, often before its response arrives.
+        // One request in 20 is abandoned if its response is not complete within 100 ms.
         let response_timeout =
             if rng.random_range(0..20) == 0 { REQUEST_DEADLINE / 40 } else { REQUEST_DEADLINE * 2 };
         let answer =
