--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,4 +1,5 @@
-//! Times of the pure decisions: placement, admit-and-pop, and the memory of waiting requests.
+//! Benchmarks of decisions without I/O: placement, queueing, the pool scheduler, the leader's
+//! handling of reports, and putting a table in force.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
@@ -26,7 +27,7 @@
 ];
 const ORGANISATIONS: u64 = 3_300;
 
-fn sources(count: usize) -> Vec<UpstreamSource> {
+fn upstream_sources(count: usize) -> Vec<UpstreamSource> {
     let source = |number: usize| UpstreamSource {
         name: format!("engine-{number}").as_str().into(),
         incarnation: 0,
@@ -37,7 +38,7 @@
     (0..count).map(source).collect()
 }
 
-fn waiting(id: u64) -> WaitingRequest {
+fn waiting_request(id: u64) -> WaitingRequest {
     let review_at = Moment::from_millis(3_600_000);
     WaitingRequest {
         output_tokens: 0,
@@ -63,13 +64,13 @@
     }
 }
 
-fn placement(criterion: &mut Criterion) {
+fn bench_placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("placement");
     let prompt = "an inventory of a furnished flat ".repeat(100);
     let prefix = prefix_hashes(prompt.as_bytes());
     for count in [18, 1_000, 11_000] {
         let mut set = UpstreamSet::default();
-        set.set_sources(&sources(count), |_| LearnedLimit::new(60, 512.0, true));
+        set.set_sources(&upstream_sources(count), |_| LearnedLimit::new(60, 512.0, true));
         let mut policy = AffinityPlacement::default();
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let mut now = Moment(1);
@@ -95,17 +96,17 @@
     group.finish();
 }
 
-fn queue(criterion: &mut Criterion) {
+fn bench_queue(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admit-and-pop");
     for count in [1_000u64, 100_000] {
         let mut queue = FairQueue::new(&SHARES);
-        (0..count).for_each(|id| queue.push(waiting(id)));
+        (0..count).for_each(|id| queue.push(waiting_request(id)));
         let mut next = count;
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter_batched(
                 || {
                     next += 1;
-                    waiting(next)
+                    waiting_request(next)
                 },
                 |request| {
                     queue.push(request);
@@ -118,8 +119,8 @@
     group.finish();
 }
 
-/// A request's whole way through the scheduler: arrival, placement, end.
-fn scheduler(criterion: &mut Criterion) {
+/// A request's life cycle in the scheduler: arrival, dispatch, end.
+fn bench_scheduler(criterion: &mut Criterion) {
     let plan = PoolPlan {
         tiers: SHARES.to_vec(),
         queue: QueueDiscipline::Weighted,
@@ -143,7 +144,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut actions = Vec::new();
     let mut now = Moment(1);
-    scheduler.handle(PoolEvent::Sources(sources(18)), now, &mut rng, &mut actions);
+    scheduler.handle(PoolEvent::Sources(upstream_sources(18)), now, &mut rng, &mut actions);
     let mut next = 0;
     criterion.bench_function("scheduler/arrive-dispatch-end", |bencher| {
         bencher.iter(|| {
@@ -178,7 +179,7 @@
     });
 }
 
-/// A table of `organisations` rows and `services` model services.
+/// A table with the given numbers of organisations and model services.
 fn table(organisations: usize, services: usize) -> VersionedTable {
     let digest = |number: usize| KeyDigest::of(&format!("key-{number}"));
     let row = |number: usize| OrganisationRow {
@@ -198,22 +199,22 @@
         r#"{{"tiers": [{{"tier": "t", "rank": 0, "weight": 1}}], "organisations": [], "services": [{}]}}"#,
         services.join(",")
     );
-    let mut table = read_table(&text).expect("a good table");
+    let mut table = read_table(&text).expect("the table is valid");
     table.organisations = (0..organisations).map(row).collect();
     VersionedTable::new(1, table)
 }
 
-/// The leader's work for one report, by the size of the fleet.
-fn fleet_book(criterion: &mut Criterion) {
+/// The leader's work for one report of a daemon, by the number of daemons.
+fn bench_leader_report(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("leader-report");
     let table = table(5, 17);
     for count in [7u64, 60, 460] {
         let name = |number: u64| -> DaemonName { format!("entry-{number}").as_str().into() };
         let members: BTreeMap<DaemonName, u64> =
             (0..count).map(|number| (name(number), 1)).collect();
-        let mut book = FleetRegistry::new(1, Duration::from_secs(3), Moment(0), &members);
+        let mut registry = FleetRegistry::new(1, Duration::from_secs(3), Moment(0), &members);
         let mut sequence = 0;
-        let mut report = |number: u64, book: &mut FleetRegistry| {
+        let mut report = |number: u64, registry: &mut FleetRegistry| {
             sequence += 1;
             let pools = table.table.services.iter().map(|row| PoolReport {
                 service: row.service.clone(),
@@ -240,32 +241,32 @@
                 knows_rollouts: 0,
                 rollouts: Vec::new(),
             };
-            book.record(report, Moment(1_000));
-            book.orders(&name(number), &table, Moment(1_000))
+            registry.record(report, Moment(1_000));
+            registry.orders(&name(number), &table, Moment(1_000))
         };
-        (0..count).for_each(|number| drop(report(number, &mut book)));
+        (0..count).for_each(|number| drop(report(number, &mut registry)));
         let mut number = 0;
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
                 number = (number + 1) % count;
-                report(number, &mut book)
+                report(number, &mut registry)
             });
         });
     }
     group.finish();
 }
 
-/// Reading a table and putting it in force, by the number of organisations.
-fn table_in_force(criterion: &mut Criterion) {
+/// Parsing a table and indexing it for use, by the number of organisations.
+fn bench_table_in_force(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("table-in-force");
     for count in [5, 330, 3_300] {
         let versioned = table(count, 17);
-        let text = serde_json::to_string(&versioned).expect("a table as text");
+        let text = serde_json::to_string(&versioned).expect("the table can be serialised");
         println!("a table of {count} organisations and 17 services: {} bytes", text.len());
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
-                let versioned: VersionedTable =
-                    serde_json::from_str(black_box(&text)).expect("its own text");
+                let versioned: VersionedTable = serde_json::from_str(black_box(&text))
+                    .expect("a serialised table can be parsed");
                 AccessIndex::new(&versioned.table, &mut OrganisationIndices::default())
             });
         });
@@ -276,6 +277,6 @@
 criterion_group! {
     name = benches;
     config = Criterion::default().warm_up_time(Duration::from_millis(500)).measurement_time(Duration::from_secs(2)).sample_size(20);
-    targets = placement, queue, scheduler, fleet_book, table_in_force
+    targets = bench_placement, bench_queue, bench_scheduler, bench_leader_report, bench_table_in_force
 }
 criterion_main!(benches);
--- a/soak/main.rs
+++ b/soak/main.rs
@@ -1,123 +1,125 @@
-//! A randomized soak of the real programs: processes on loopback, faults from outside, promises checked meanwhile.
+//! Randomised fault test: runs the real program as processes on loopback addresses, injects
+//! faults from outside and checks the system's invariants during and after the faults.
 //!
-//! `cargo test --test soak -- --seed 7 --seconds 60 --entries 6` plays one schedule; the seed decides all of it but the
-//! operating system's own timing. A broken promise ends the run with the seed, the last steps and the logs' folder.
+//! `cargo test --test soak -- --seed 7 --seconds 60 --entries 6` runs one schedule. The seed
+//! determines everything but the timing of the operating system. A seed with violated invariants
+//! ends with the seed, the violations, the last steps and the folder of the logs being printed.
 
 mod callers;
 mod checks;
+mod context;
 mod engines;
 mod fleet;
 mod operators;
 mod plan;
 mod poison;
 mod proxy;
-mod world;
 
 use clap::Parser;
+use context::SoakContext;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use world::SoakWorld;
 
-/// Steps of the schedule that are printed with a broken promise.
-const LAST_STEPS: usize = 20;
+/// Number of the schedule's last steps that are printed with a violation.
+const PRINTED_STEPS: usize = 20;
 
-/// What is played.
+/// Command-line options.
 #[derive(Clone, Debug, Parser)]
 #[command(
     name = "soak",
-    about = "Randomized faults on the real programs, with the promises checked meanwhile"
+    about = "Injects randomised faults into processes of the real program and checks its invariants"
 )]
 pub struct SoakArgs {
-    /// Decides the schedule of faults, the callers and the engines.
+    /// Seed of the fault schedule, the callers and the engines.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds to play, one after the other.
+    /// Number of consecutive seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long faults are played, in seconds; starting and recovering come on top.
+    /// Duration of the fault schedule in seconds, without start-up and recovery.
     #[arg(long, default_value_t = 6)]
     seconds: u64,
-    /// Entry processes.
+    /// Number of entry processes.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// Voter processes.
+    /// Number of voter processes.
     #[arg(long, default_value_t = 3)]
     voters: usize,
-    /// Stand-ins for engines at the start.
+    /// Number of simulated engines at the start.
     #[arg(long, default_value_t = 4)]
     engines: usize,
-    /// Callers that send one request after the other.
+    /// Number of callers; each sends its requests one after the other.
     #[arg(long, default_value_t = 12)]
     callers: usize,
-    /// The program to play; a copy with a rule broken by hand should fail.
+    /// Program to test; a copy with a deliberately broken rule should fail.
     #[arg(long, default_value = env!("CARGO_BIN_EXE_tarragonknot"))]
     program: PathBuf,
-    /// Keeps the logs' folder also where nothing broke.
+    /// Keep the folder of the logs even if no invariant was violated.
     #[arg(long)]
     keep: bool,
-    /// Filters and flags of the test runner, passed over.
+    /// Filters and flags of the test runner, which are ignored.
     #[arg(hide = true, trailing_var_arg = true)]
     _runner: Vec<String>,
 }
 
 fn main() -> ExitCode {
     let args = SoakArgs::parse();
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("the Tokio runtime starts");
     let mut failed = 0;
     for seed in args.seed..args.seed + args.seeds {
-        failed += u64::from(!runtime.block_on(play(&args, seed)));
+        failed += u64::from(!runtime.block_on(run_seed(&args, seed)));
     }
     println!("soak: {} passed, {failed} failed", args.seeds - failed);
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Plays one seed; true if every promise held.
-async fn play(args: &SoakArgs, seed: u64) -> bool {
-    let world = Arc::new(SoakWorld::new(args, seed));
+/// Runs one seed; true if no invariant was violated.
+async fn run_seed(args: &SoakArgs, seed: u64) -> bool {
+    let ctx = Arc::new(SoakContext::new(args, seed));
     let steps = plan::schedule(
         &mut ChaCha8Rng::seed_from_u64(seed),
         Duration::from_secs(args.seconds),
-        &world.sizes,
+        &ctx.sizes,
     );
-    if let Err(detail) = fleet::start_all(&world).await {
-        world.ledger.broke("START", detail);
+    if let Err(detail) = fleet::start_all(&ctx).await {
+        ctx.recorder.record_violation("START", detail);
     } else {
-        let traffic = callers::start(&world, seed);
-        let operators = operators::start(&world, seed);
-        let watch = checks::start_watch(&world);
-        let poison = poison::start(&world);
-        plan::carry_out(&world, &steps).await;
-        fleet::heal(&world).await;
-        checks::wait_for_recovery(&world).await;
-        world.stop();
-        let _ = tokio::join!(traffic, operators, watch, poison);
-        poison::check(&world).await;
-        checks::check_ledger(&world);
-        checks::check_kept(&world).await;
+        let traffic = callers::start(&ctx, seed);
+        let operators = operators::start(&ctx, seed);
+        let version_watch = checks::start_version_watch(&ctx);
+        let poison_caller = poison::start(&ctx);
+        plan::execute(&ctx, &steps).await;
+        fleet::heal(&ctx).await;
+        checks::wait_for_recovery(&ctx).await;
+        ctx.stop();
+        let _ = tokio::join!(traffic, operators, version_watch, poison_caller);
+        poison::check(&ctx).await;
+        checks::check_recorded_runs(&ctx);
+        checks::check_durability(&ctx).await;
     }
-    fleet::stop_all(&world).await;
-    report(&world, &steps, args.keep)
+    fleet::kill_all(&ctx).await;
+    report(&ctx, &steps, args.keep)
 }
 
-fn report(world: &SoakWorld, steps: &[plan::TimedStep], keep: bool) -> bool {
-    let broken = world.ledger.broken();
-    let summary = world.ledger.summary();
-    if broken.is_empty() {
-        println!("seed {}: kept, {} steps; {summary}", world.seed, steps.len());
+fn report(ctx: &SoakContext, steps: &[plan::TimedStep], keep: bool) -> bool {
+    let violations = ctx.recorder.violations();
+    let summary = ctx.recorder.summary();
+    if violations.is_empty() {
+        println!("seed {}: kept, {} steps; {summary}", ctx.seed, steps.len());
         if keep {
-            println!("  logs: {}", world.keep_folder().display());
+            println!("  logs: {}", ctx.keep_folder().display());
         }
         return true;
     }
-    println!("seed {}: BROKEN; {summary}", world.seed);
-    broken.iter().for_each(|line| println!("  {line}"));
-    let done = world.steps_done().min(steps.len());
-    let last = &steps[done.saturating_sub(LAST_STEPS)..done];
-    last.iter().for_each(|step| println!("  {step}"));
-    println!("  logs: {}", world.keep_folder().display());
+    println!("seed {}: BROKEN; {summary}", ctx.seed);
+    violations.iter().for_each(|line| println!("  {line}"));
+    let done_count = ctx.steps_done().min(steps.len());
+    let last_steps = &steps[done_count.saturating_sub(PRINTED_STEPS)..done_count];
+    last_steps.iter().for_each(|step| println!("  {step}"));
+    println!("  logs: {}", ctx.keep_folder().display());
     false
 }
--- a/soak/plan.rs
+++ b/soak/plan.rs
@@ -1,9 +1,9 @@
-//! The schedule of faults: worked out from the seed alone, then carried out at its times.
+//! The schedule of faults: computed from the seed alone, then executed at the scheduled times.
 
+use crate::context::{AddressKind, CALLERS_PORT, FleetSizes, SoakContext, lock};
 use crate::engines;
 use crate::fleet::{self, ProcessName, SoakSignal};
 use crate::proxy::ProxyMode;
-use crate::world::{AddressKind, CALLERS_PORT, SoakWorld, WorldSizes, lock};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -12,31 +12,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two faults at most this long.
-const MOST_PAUSE_MS: u64 = 900;
-/// After a disk was lost no other one is, for this long: the fleet bears the loss of one at a time.
-const CATCH_UP: Duration = Duration::from_secs(8);
+/// Upper bound of the time between the starts of two faults.
+const MAX_FAULT_INTERVAL_MS: u64 = 900;
+/// Time after the loss of a disk in which no other disk is removed: the fleet tolerates the loss of
+/// one disk at a time.
+const VOTER_CATCH_UP_TIME: Duration = Duration::from_secs(8);
 
-/// One thing that is done to the fleet.
+/// One action of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub enum SoakStep {
     Kill(ProcessName),
     Start(ProcessName),
     Signal(ProcessName, SoakSignal),
-    /// Kills a voter and removes its folder.
+    /// Kills a voter and removes its data folder.
     Wipe(usize),
     EntryProxy(usize, ProxyMode),
-    /// The proxies of all engines.
+    /// Sets the mode of the proxies of all engines.
     EngineProxies(ProxyMode),
     AddEngine,
-    /// The engine at this place among those that run.
+    /// Crashes the engine at this index, modulo their count, among those that are not draining.
     CrashEngine(usize),
     LeaveEngine(usize),
-    /// This many of a thousand runs end badly from now on.
+    /// Sets how many of a thousand requests fail at the engines from now on.
     Misbehave(u64),
 }
 
-/// A step and its time after the start.
+/// A step and its time, relative to the start of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedStep {
     pub at: Duration,
@@ -49,31 +50,31 @@
     }
 }
 
-/// The schedule of a seed.
-pub fn schedule(rng: &mut ChaCha8Rng, length: Duration, sizes: &WorldSizes) -> Vec<TimedStep> {
+/// Computes the schedule of a seed.
+pub fn schedule(rng: &mut ChaCha8Rng, length: Duration, sizes: &FleetSizes) -> Vec<TimedStep> {
     let mut steps = Vec::new();
     let mut at = Duration::ZERO;
-    let mut wiped_at: Option<Duration> = None;
+    let mut disk_lost_at: Option<Duration> = None;
     while at < length {
-        let may_wipe = wiped_at.is_none_or(|wiped| at >= wiped + CATCH_UP);
-        let lasting = Duration::from_millis(rng.random_range(200..3_000));
-        let mut fault = draw(rng, sizes, at, lasting, may_wipe);
+        let may_wipe = disk_lost_at.is_none_or(|lost_at| at >= lost_at + VOTER_CATCH_UP_TIME);
+        let duration = Duration::from_millis(rng.random_range(200..3_000));
+        let mut fault = draw_fault(rng, sizes, at, duration, may_wipe);
         if fault.iter().any(|timed| matches!(timed.step, SoakStep::Wipe(_))) {
-            wiped_at = Some(at + lasting);
+            disk_lost_at = Some(at + duration);
         }
         steps.append(&mut fault);
-        at += Duration::from_millis(rng.random_range(50..MOST_PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(50..MAX_FAULT_INTERVAL_MS));
     }
     steps.sort_by_key(|timed| timed.at);
     steps
 }
 
-/// A fault: its begin, and its end where it has one.
-fn draw(
+/// Draws a fault: the step that starts it and, for a lasting fault, the step that ends it.
+fn draw_fault(
     rng: &mut ChaCha8Rng,
-    sizes: &WorldSizes,
+    sizes: &FleetSizes,
     at: Duration,
-    lasting: Duration,
+    duration: Duration,
     may_wipe: bool,
 ) -> Vec<TimedStep> {
     let entry = rng.random_range(0..sizes.entries);
@@ -83,108 +84,112 @@
         number => ProcessName::Voter(number - sizes.entries),
     };
     let timed = |at, step| TimedStep { at, step };
-    let span = |begin, end| vec![timed(at, begin), timed(at + lasting, end)];
+    let lasting = |first, last| vec![timed(at, first), timed(at + duration, last)];
     let once = |step| vec![timed(at, step)];
     let cuts = [ProxyMode::Delay, ProxyMode::CutThere, ProxyMode::CutBack];
     let breaks = [ProxyMode::SilenceOpen, ProxyMode::ResetOpen];
     match rng.random_range(0..15) {
-        0 | 1 => span(SoakStep::Kill(process), SoakStep::Start(process)),
-        2 | 3 => span(
+        0 | 1 => lasting(SoakStep::Kill(process), SoakStep::Start(process)),
+        2 | 3 => lasting(
             SoakStep::Signal(process, SoakSignal::Stop),
             SoakStep::Signal(process, SoakSignal::Cont),
         ),
-        4 => span(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
+        4 => lasting(SoakStep::Signal(process, SoakSignal::Term), SoakStep::Start(process)),
         5 => once(SoakStep::Signal(process, SoakSignal::Hangup)),
-        6 if may_wipe => span(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter))),
-        // All voters at once: their disks are kept.
+        6 if may_wipe => lasting(SoakStep::Wipe(voter), SoakStep::Start(ProcessName::Voter(voter))),
+        // Kills all voters at once and keeps their disks.
         6 | 7 => (0..sizes.voters)
             .flat_map(|number| {
                 let voter = ProcessName::Voter(number);
-                [timed(at, SoakStep::Kill(voter)), timed(at + lasting / 2, SoakStep::Start(voter))]
+                [timed(at, SoakStep::Kill(voter)), timed(at + duration / 2, SoakStep::Start(voter))]
             })
             .collect(),
         8 => {
             let cut = cuts.choose(rng).copied().unwrap_or_default();
-            span(SoakStep::EntryProxy(entry, cut), SoakStep::EntryProxy(entry, ProxyMode::Pass))
+            lasting(SoakStep::EntryProxy(entry, cut), SoakStep::EntryProxy(entry, ProxyMode::Pass))
         }
         9 => {
             let cut = cuts.choose(rng).copied().unwrap_or_default();
-            span(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
+            lasting(SoakStep::EngineProxies(cut), SoakStep::EngineProxies(ProxyMode::Pass))
         }
         10 => once(SoakStep::EntryProxy(entry, breaks.choose(rng).copied().unwrap_or_default())),
         11 => once(SoakStep::EngineProxies(breaks.choose(rng).copied().unwrap_or_default())),
-        12 => span(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
-        13 => span(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
-        _ => span(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
+        12 => lasting(SoakStep::CrashEngine(rng.random_range(0..8)), SoakStep::AddEngine),
+        13 => lasting(SoakStep::LeaveEngine(rng.random_range(0..8)), SoakStep::AddEngine),
+        _ => lasting(SoakStep::Misbehave(rng.random_range(20..300)), SoakStep::Misbehave(0)),
     }
 }
 
-/// Carries the schedule out.
-pub async fn carry_out(world: &Arc<SoakWorld>, steps: &[TimedStep]) {
-    let began = tokio::time::Instant::now();
-    // Processes that were told to end may do so; they are looked after until they are started again.
-    let mut told = BTreeSet::new();
+/// Executes the schedule.
+pub async fn execute(ctx: &Arc<SoakContext>, steps: &[TimedStep]) {
+    let started_at = tokio::time::Instant::now();
+    // Processes that were told to terminate may exit until they are started again.
+    let mut terminating = BTreeSet::new();
     for timed in steps {
-        tokio::time::sleep_until(began + timed.at).await;
-        fleet::reap(world, |name| told.contains(&name));
-        do_step(world, timed.step, &mut told).await;
-        world.step_done();
+        tokio::time::sleep_until(started_at + timed.at).await;
+        fleet::reap(ctx, |name| terminating.contains(&name));
+        execute_step(ctx, timed.step, &mut terminating).await;
+        ctx.record_done_step();
     }
-    fleet::reap(world, |name| told.contains(&name));
+    fleet::reap(ctx, |name| terminating.contains(&name));
 }
 
-async fn do_step(world: &Arc<SoakWorld>, step: SoakStep, told: &mut BTreeSet<ProcessName>) {
+async fn execute_step(
+    ctx: &Arc<SoakContext>,
+    step: SoakStep,
+    terminating: &mut BTreeSet<ProcessName>,
+) {
     match step {
-        SoakStep::Kill(name) => fleet::kill(world, name),
+        SoakStep::Kill(name) => fleet::kill(ctx, name),
         SoakStep::Start(name) => {
-            // A drain that still lasts is cut short by a kill, as a platform does after its grace.
-            if told.remove(&name) {
-                fleet::kill(world, name);
+            // Kills a process that is still draining, as a platform does after the grace period.
+            if terminating.remove(&name) {
+                fleet::kill(ctx, name);
             }
-            if let Err(error) = fleet::start(world, name) {
-                world.ledger.broke("START", format!("{name:?}: {error}"));
+            if let Err(error) = fleet::start(ctx, name) {
+                ctx.recorder.record_violation("START", format!("{name:?}: {error}"));
             }
         }
         SoakStep::Signal(name, signal) => {
             if signal == SoakSignal::Term {
-                told.insert(name);
+                terminating.insert(name);
             }
-            fleet::signal(world, name, signal);
+            fleet::signal(ctx, name, signal);
         }
         SoakStep::Wipe(voter) => {
-            fleet::kill(world, ProcessName::Voter(voter));
-            fleet::wipe(world, ProcessName::Voter(voter));
+            fleet::kill(ctx, ProcessName::Voter(voter));
+            fleet::remove_data_folder(ctx, ProcessName::Voter(voter));
         }
         SoakStep::EntryProxy(entry, mode) => {
-            world.disturb();
-            world.proxies.set(world.address(AddressKind::EntryProxy, entry, CALLERS_PORT), mode);
+            ctx.record_disturbance();
+            ctx.proxies.set(ctx.address(AddressKind::EntryProxy, entry, CALLERS_PORT), mode);
         }
         SoakStep::EngineProxies(mode) => {
-            world.disturb();
-            let listed: Vec<_> =
-                lock(&world.engines).engines.values().map(|engine| engine.listed).collect();
-            listed.into_iter().for_each(|address| world.proxies.set(address, mode));
+            ctx.record_disturbance();
+            let addresses: Vec<_> =
+                lock(&ctx.engines).engines.values().map(|engine| engine.listed_address).collect();
+            addresses.into_iter().for_each(|address| ctx.proxies.set(address, mode));
         }
-        SoakStep::AddEngine => drop(engines::add(world).await),
-        SoakStep::CrashEngine(place) => {
-            world.disturb();
-            pick_engine(world, place).into_iter().for_each(|number| engines::crash(world, number));
+        SoakStep::AddEngine => drop(engines::add(ctx).await),
+        SoakStep::CrashEngine(idx) => {
+            ctx.record_disturbance();
+            pick_engine(ctx, idx).into_iter().for_each(|number| engines::crash(ctx, number));
         }
-        SoakStep::LeaveEngine(place) => {
-            pick_engine(world, place).into_iter().for_each(|number| engines::leave(world, number));
+        SoakStep::LeaveEngine(idx) => {
+            pick_engine(ctx, idx).into_iter().for_each(|number| engines::start_drain(ctx, number));
         }
-        SoakStep::Misbehave(per_mille) => engines::misbehave(per_mille),
+        SoakStep::Misbehave(per_mille) => engines::set_fault_rate(per_mille),
     }
 }
 
-/// An engine that runs and is not leaving; none if only one is left.
-fn pick_engine(world: &SoakWorld, place: usize) -> Option<usize> {
-    let set = lock(&world.engines);
-    let staying: Vec<usize> = set
+/// Picks an engine that is not draining; `None` if fewer than two are left.
+fn pick_engine(ctx: &SoakContext, idx: usize) -> Option<usize> {
+    let set = lock(&ctx.engines);
+    let active: Vec<usize> = set
         .engines
         .iter()
-        .filter(|(_, engine)| engine.left_at.is_none())
+        .filter(|(_, engine)| engine.draining_since.is_none())
         .map(|(number, _)| *number)
         .collect();
-    if staying.len() < 2 { None } else { staying.get(place % staying.len()).copied() }
+    if active.len() < 2 { None } else { active.get(idx % active.len()).copied() }
 }
