--- a/tests/engine_park.rs
+++ b/tests/engine_park.rs
@@ -1,6 +1,6 @@
 //! Engines of one pool that are replaced when they end, before several daemons.
 
-use crate::routed_fleet::{CallerAnswer, EngineMove, RoutedFleet, ScriptedEngine};
+use crate::routed_fleet::{CallerAnswer, EngineAction, RoutedFleet, ScriptedEngine};
 use std::time::Duration;
 use tarragonknot::quarantine::{RequestContent, RequestFingerprint};
 use tarragonknot::upstream::VmState;
@@ -21,18 +21,18 @@
     engines: Vec<ScriptedEngine>,
     /// Requests with the poison body at engines that have ended.
     ended: Vec<usize>,
-    poison_move: EngineMove,
+    poison_move: EngineAction,
 }
 
 impl EnginePark {
     /// Engines that answer all but the poison request, to which they do `poison_move`.
-    pub async fn start(poison_move: EngineMove) -> Self {
+    pub async fn start(poison_move: EngineAction) -> Self {
         let mut engines = Vec::new();
         for number in 0..ENGINES {
             engines.push(engine(number, poison_move.clone()).await);
         }
         let listed: Vec<&ScriptedEngine> = engines.iter().collect();
-        let daemons = RoutedFleet::start_several(DAEMONS, &listed).await;
+        let daemons = RoutedFleet::start_peers(DAEMONS, &listed).await;
         EnginePark { daemons, engines, ended: Vec::new(), poison_move }
     }
 
@@ -95,13 +95,13 @@
     engine.seen().iter().filter(|request| request.body == POISON.as_bytes()).count()
 }
 
-async fn engine(number: usize, poison_move: EngineMove) -> ScriptedEngine {
-    ScriptedEngine::reading(&format!("i-{number}"), move |_, request| {
+async fn engine(number: usize, poison_move: EngineAction) -> ScriptedEngine {
+    ScriptedEngine::start_with_request(&format!("i-{number}"), move |_, request| {
         let is_stream = request.path.starts_with("/stream") || request.path.starts_with("/resum");
         match request.body == POISON.as_bytes() {
             true => poison_move.clone(),
-            false if is_stream => EngineMove::Events(1, 3),
-            false => EngineMove::Answer(200, "fine"),
+            false if is_stream => EngineAction::Events(1, 3),
+            false => EngineAction::Answer(200, "fine"),
         }
     })
     .await
--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -24,14 +24,14 @@
 
 /// A request as an engine saw it.
 #[derive(Clone, Debug)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     pub id: String,
     pub path: String,
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl SeenRequest {
+impl ReceivedRequest {
     /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut rows = self.head.lines().filter_map(|line| line.split_once(": "));
@@ -41,7 +41,7 @@
 
 /// What an engine does with a request.
 #[derive(Clone, Debug)]
-pub enum EngineMove {
+pub enum EngineAction {
     /// A whole signed answer.
     Answer(u16, &'static str),
     /// The documented word that it did not run the request.
@@ -70,13 +70,13 @@
     NoPlace,
 }
 
-type EngineScript = Arc<dyn Fn(usize, &SeenRequest) -> EngineMove + Send + Sync>;
+type EngineScript = Arc<dyn Fn(usize, &ReceivedRequest) -> EngineAction + Send + Sync>;
 
 /// A scripted engine.
 pub struct ScriptedEngine {
     pub name: String,
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<SeenRequest>>>,
+    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
     has_ended: watch::Receiver<bool>,
 }
 
@@ -84,19 +84,19 @@
     /// An engine that does what `script` says for its first, second and later requests.
     pub async fn start(
         name: &str,
-        script: impl Fn(usize) -> EngineMove + Send + Sync + 'static,
+        script: impl Fn(usize) -> EngineAction + Send + Sync + 'static,
     ) -> Self {
-        Self::reading(name, move |number, _| script(number)).await
+        Self::start_with_request(name, move |number, _| script(number)).await
     }
 
     /// The same where the script also sees the request.
-    pub async fn reading(
+    pub async fn start_with_request(
         name: &str,
-        script: impl Fn(usize, &SeenRequest) -> EngineMove + Send + Sync + 'static,
+        script: impl Fn(usize, &ReceivedRequest) -> EngineAction + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let seen: Arc<Mutex<Vec<SeenRequest>>> = Arc::default();
+        let seen: Arc<Mutex<Vec<ReceivedRequest>>> = Arc::default();
         let (end, has_ended) = watch::channel(false);
         let (script, end): (EngineScript, _) = (Arc::new(script), Arc::new(end));
         let log = Arc::clone(&seen);
@@ -123,7 +123,7 @@
     }
 
     /// The requests that it saw; probes, which run nothing, are none.
-    pub fn seen(&self) -> Vec<SeenRequest> {
+    pub fn seen(&self) -> Vec<ReceivedRequest> {
         let seen = self.seen.lock().expect("no test panics here");
         seen.iter().filter(|request| !request.head.starts_with("GET ")).cloned().collect()
     }
@@ -136,7 +136,7 @@
 
 async fn serve(
     mut stream: TcpStream,
-    log: Arc<Mutex<Vec<SeenRequest>>>,
+    log: Arc<Mutex<Vec<ReceivedRequest>>>,
     script: EngineScript,
     end: Arc<watch::Sender<bool>>,
 ) {
@@ -146,21 +146,21 @@
             seen.push(request.clone());
             seen.len() - 1
         };
-        let engine_move = script(number, &request);
-        let ends = matches!(engine_move, EngineMove::Crash | EngineMove::CrashAfter(..));
-        let goes_on = play(&mut stream, &request, engine_move).await;
-        if ends {
+        let action = script(number, &request);
+        let is_crash = matches!(action, EngineAction::Crash | EngineAction::CrashAfter(..));
+        let is_kept_open = perform(&mut stream, &request, action).await;
+        if is_crash {
             // This connection ends with all others once the engine's own task has heard.
             let _ = end.send(true);
             return std::future::pending().await;
         }
-        if !goes_on {
+        if !is_kept_open {
             return;
         }
     }
 }
 
-async fn read_request(stream: &mut TcpStream) -> Option<SeenRequest> {
+async fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut bytes = Vec::new();
     let end = loop {
         if let Some(at) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -172,7 +172,7 @@
     };
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let mut request =
-        SeenRequest { id: String::new(), path: String::new(), head, body: Vec::new() };
+        ReceivedRequest { id: String::new(), path: String::new(), head, body: Vec::new() };
     let length: usize =
         request.header("content-length").map_or(0, |text| text.parse().unwrap_or(0));
     while bytes.len() < end + length {
@@ -187,7 +187,7 @@
 }
 
 /// Plays a move; false if the connection ends with it.
-async fn play(stream: &mut TcpStream, request: &SeenRequest, engine_move: EngineMove) -> bool {
+async fn perform(stream: &mut TcpStream, request: &ReceivedRequest, action: EngineAction) -> bool {
     let echo =
         format!("tarragonknot-request-id: {}\r\ntarragonknot-server-seal: seal-1\r\n", request.id);
     let events = |first: u64, last: u64| {
@@ -197,50 +197,50 @@
     let stream_head = format!(
         "HTTP/1.1 200 OK\r\n{echo}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     );
-    let (text, goes_on) = match engine_move {
-        EngineMove::Answer(status, body) => (
+    let (text, is_kept_open) = match action {
+        EngineAction::Answer(status, body) => (
             format!("HTTP/1.1 {status} X\r\n{echo}content-length: {}\r\n\r\n{body}", body.len()),
             true,
         ),
-        EngineMove::NotRun => (
+        EngineAction::NotRun => (
             format!("HTTP/1.1 503 X\r\n{echo}tarragonknot-not-executed: 1\r\ncontent-length: 0\r\n\r\n"),
             true,
         ),
-        EngineMove::OtherIncarnation => {
+        EngineAction::OtherIncarnation => {
             ("HTTP/1.1 421 X\r\ncontent-length: 0\r\n\r\n".to_owned(), true)
         }
-        EngineMove::Close | EngineMove::Crash => (String::new(), false),
-        EngineMove::Silent => {
+        EngineAction::Close | EngineAction::Crash => (String::new(), false),
+        EngineAction::Silent => {
             let mut buffer = [0; 16];
             let _ = stream.read(&mut buffer).await;
             return false;
         }
-        EngineMove::Crossed => (
+        EngineAction::Crossed => (
             "HTTP/1.1 200 OK\r\ntarragonknot-request-id: other\r\ntarragonknot-server-seal: seal-2\r\n\
              content-length: 5\r\n\r\nwrong"
                 .to_owned(),
             true,
         ),
-        EngineMove::Events(first, last) => {
+        EngineAction::Events(first, last) => {
             (format!("{stream_head}{}0\r\n\r\n", chunk(&events(first, last))), true)
         }
-        EngineMove::CrashAfter(first, last) => {
+        EngineAction::CrashAfter(first, last) => {
             (format!("{stream_head}{}", chunk(&events(first, last))), false)
         }
-        EngineMove::CutEvents(first, last) => {
+        EngineAction::CutEvents(first, last) => {
             let half = format!("id: {}\ndata: pie", last + 1);
             (format!("{stream_head}{}{}", chunk(&events(first, last)), chunk(&half)), false)
         }
-        EngineMove::Reserve(place) => {
+        EngineAction::Reserve(place) => {
             let body = json!({"hold": place}).to_string();
             (format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()), true)
         }
-        EngineMove::NoPlace => ("HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n".to_owned(), true),
-        EngineMove::Truncated => {
+        EngineAction::NoPlace => ("HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n".to_owned(), true),
+        EngineAction::Truncated => {
             (format!("HTTP/1.1 200 OK\r\n{echo}content-length: 100\r\n\r\nshort"), false)
         }
     };
-    stream.write_all(text.as_bytes()).await.is_ok() && goes_on
+    stream.write_all(text.as_bytes()).await.is_ok() && is_kept_open
 }
 
 /// The daemon and its engines, all of one service.
@@ -277,7 +277,7 @@
 }
 
 /// The same, whose engines reserve places.
-pub fn document_with_places(version: u64) -> String {
+pub fn document_with_reservations(version: u64) -> String {
     let plain = r#""engine":{"slots":4}"#;
     let document = document(version);
     assert!(document.contains(plain), "the fixture's engine: {document}");
@@ -287,10 +287,10 @@
 impl RoutedFleet {
     /// A daemon without a table, before engines.
     pub async fn without_table(engines: &[&ScriptedEngine]) -> Self {
-        Self::of_pool("127.0.0.1", "pool", engines).await
+        Self::with_service("127.0.0.1", "pool", engines).await
     }
 
-    async fn of_pool(daemon: &str, pool: &'static str, engines: &[&ScriptedEngine]) -> Self {
+    async fn with_service(daemon: &str, pool: &'static str, engines: &[&ScriptedEngine]) -> Self {
         let log = Logger::root(Discard, o!());
         let state = TrafficState::new(daemon.into(), log, 7);
         state.set_interface(platform::interface());
@@ -310,18 +310,18 @@
     }
 
     /// The same with a service of another name, whose metrics are its own.
-    pub async fn start_pool(pool: &'static str, engines: &[&ScriptedEngine]) -> Self {
-        let fleet = Self::of_pool("127.0.0.1", pool, engines).await;
+    pub async fn start_service(pool: &'static str, engines: &[&ScriptedEngine]) -> Self {
+        let fleet = Self::with_service("127.0.0.1", pool, engines).await;
         fleet.apply(1, &document(1).replace("\"pool\"", &format!("\"{pool}\"")));
         fleet
     }
 
     /// Daemons that report to each other, with the table in force.
-    pub async fn start_several(count: usize, engines: &[&ScriptedEngine]) -> Vec<Self> {
+    pub async fn start_peers(count: usize, engines: &[&ScriptedEngine]) -> Vec<Self> {
         let mut fleets = Vec::new();
         let mut addresses = Vec::new();
         for number in 0..count {
-            let fleet = Self::of_pool(&format!("entry-{number}"), "pool", engines).await;
+            let fleet = Self::with_service(&format!("entry-{number}"), "pool", engines).await;
             fleet.apply(1, &document(1));
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
             let address = socket.local_addr().expect("an address");
--- a/tests/settings_template.rs
+++ b/tests/settings_template.rs
@@ -7,11 +7,11 @@
 
 /// The template with `fields` in their places.
 pub fn render(template: &str, fields: &Value) -> String {
-    render_in(template, &[fields])
+    render_scoped(template, &[fields])
 }
 
 /// The same inside sections: a name is looked up in the innermost entry first.
-fn render_in(template: &str, scopes: &[&Value]) -> String {
+fn render_scoped(template: &str, scopes: &[&Value]) -> String {
     let mut rest = template;
     let mut text = String::new();
     while let Some((before, after)) = rest.split_once("{{") {
@@ -24,29 +24,29 @@
             text.push_str(&section_text(body, look_up(scopes, section), scopes));
             rest = after;
         } else {
-            text.push_str(&place_text(scopes, name));
+            text.push_str(&placeholder_text(scopes, name));
         }
     }
     text + rest
 }
 
 fn section_text(body: &str, value: Option<&Value>, scopes: &[&Value]) -> String {
-    let once = |value: &Value, comma: &str| {
+    let render_body = |value: &Value, comma: &str| {
         let inner: Vec<&Value> = scopes.iter().copied().chain([value]).collect();
-        render_in(&body.replace("{{,}}", comma), &inner)
+        render_scoped(&body.replace("{{,}}", comma), &inner)
     };
     match value {
         None | Some(Value::Null | Value::Bool(false)) => String::new(),
         Some(Value::Array(rows)) => {
             let last = rows.len().saturating_sub(1);
             let texts = rows.iter().enumerate();
-            texts.map(|(at, row)| once(row, if at < last { "," } else { "" })).collect()
+            texts.map(|(at, row)| render_body(row, if at < last { "," } else { "" })).collect()
         }
-        Some(value) => once(value, ""),
+        Some(value) => render_body(value, ""),
     }
 }
 
-fn place_text(scopes: &[&Value], name: &str) -> String {
+fn placeholder_text(scopes: &[&Value], name: &str) -> String {
     let (path, is_json) = name.strip_suffix("|json").map_or((name, false), |path| (path, true));
     match look_up(scopes, path) {
         Some(Value::String(text)) if !is_json => text.clone(),
--- a/tests/test_crash_check.rs
+++ b/tests/test_crash_check.rs
@@ -1,13 +1,13 @@
 //! What daemons log and count when connections to upstreams break.
 
-use crate::routed_fleet::{EngineMove, RoutedFleet, ScriptedEngine};
+use crate::routed_fleet::{EngineAction, RoutedFleet, ScriptedEngine};
 use rstest::rstest;
 use std::time::Duration;
 use tarragonknot::quarantine::{RequestContent, RequestFingerprint};
 use tarragonknot::report::{install_metrics, render_metrics};
 
 /// Waits until the metrics show `line`; the last metrics if they never do.
-async fn metrics_with(fleet: &RoutedFleet, line: &str) -> String {
+async fn wait_for_metrics(fleet: &RoutedFleet, line: &str) -> String {
     let mut metrics = String::new();
     for _ in 0..200 {
         metrics = render_metrics(&fleet.state);
@@ -23,39 +23,39 @@
 /// was lost. Sequence: an engine ends under a request, or closes the one connection and lives on. Cause: both show
 /// as a connection that closes; only a look at the engine tells them apart.
 #[rstest]
-#[case::ended("ended-pool", EngineMove::Crash, EngineMove::Crash, true)]
+#[case::ended("ended-pool", EngineAction::Crash, EngineAction::Crash, true)]
 #[case::behind_a_proxy_that_takes_connections(
     "proxied-pool",
-    EngineMove::Close,
-    EngineMove::Close,
+    EngineAction::Close,
+    EngineAction::Close,
     true
 )]
 #[case::replaced_at_its_address(
     "replaced-pool",
-    EngineMove::Close,
-    EngineMove::OtherIncarnation,
+    EngineAction::Close,
+    EngineAction::OtherIncarnation,
     true
 )]
-#[case::lives_on("living-pool", EngineMove::Close, EngineMove::Answer(200, "fine"), false)]
-#[case::lives_on_and_is_busy("busy-pool", EngineMove::Close, EngineMove::Silent, false)]
+#[case::lives_on("living-pool", EngineAction::Close, EngineAction::Answer(200, "fine"), false)]
+#[case::lives_on_and_is_busy("busy-pool", EngineAction::Close, EngineAction::Silent, false)]
 #[tokio::test]
 async fn an_engine_that_ended_is_told_from_a_lost_connection(
     #[case] pool: &'static str,
-    #[case] first: EngineMove,
-    #[case] later: EngineMove,
+    #[case] first: EngineAction,
+    #[case] later: EngineAction,
     #[case] has_ended: bool,
 ) {
     install_metrics();
     let script = move |number| if number == 0 { first.clone() } else { later.clone() };
     let engine = ScriptedEngine::start("i-1", script).await;
-    let fleet = RoutedFleet::start_pool(pool, &[&engine]).await;
+    let fleet = RoutedFleet::start_service(pool, &[&engine]).await;
 
     fleet.call("/unsafe/x", "id-1").await;
 
     let cause = if has_ended { "upstream-ended" } else { "connection" };
     let broken =
         format!(r#"tarragonknot_requests_broken_total{{service="{pool}",cause="{cause}"}} 1"#);
-    let metrics = metrics_with(&fleet, &broken).await;
+    let metrics = wait_for_metrics(&fleet, &broken).await;
     assert!(metrics.contains(&broken), "{metrics}");
     let ended = format!(r#"tarragonknot_upstreams_ended_total{{service="{pool}"}} 1"#);
     assert_eq!(metrics.contains(&ended), has_ended, "{metrics}");
--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -11,13 +11,13 @@
 use tarragonknot::upstream::PlatformList;
 
 /// A caller of the fixture's services, with the checks of the load tool.
-struct Bench {
+struct LoadFixture {
     fleet: SmallFleet,
     profile: LoadProfile,
     caller: LoadCaller,
 }
 
-async fn bench() -> Bench {
+async fn load_fixture() -> LoadFixture {
     let profile = LoadProfile::new(ProfileKind::Lodgeframe);
     let key = profile.key(0);
     let fleet = small_fleet(|table| {
@@ -25,10 +25,10 @@
     })
     .await;
     let caller = LoadCaller::new(fleet.front.address);
-    Bench { fleet, profile, caller }
+    LoadFixture { fleet, profile, caller }
 }
 
-impl Bench {
+impl LoadFixture {
     fn planned(&self, number: u64, tier: &str, output_tokens: u32) -> PlannedRequest {
         let class = self
             .profile
@@ -66,26 +66,26 @@
 /// Symptom, sequence and cause as in the golden session of the same name: the cut stream is resumed.
 #[tokio::test]
 async fn a_truncated_stream_is_resumed() {
-    let bench = bench().await;
-    bench.fleet.engine.faults.push(StandinFault::Truncated(5));
+    let fixture = load_fixture().await;
+    fixture.fleet.engine.faults.push(StandinFault::Truncated(5));
 
-    let outcome = bench.call(1, "note", 20).await;
+    let outcome = fixture.call(1, "note", 20).await;
 
     assert_eq!(outcome, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 /// Symptom: a stream stops for good. Sequence: after five pieces the connection goes silent while the
 /// engine works on. Cause: the connection was forgotten in between; it is resumed on a new one.
 #[tokio::test]
 async fn a_silent_stream_is_resumed() {
-    let bench = bench().await;
-    bench.fleet.engine.faults.push(StandinFault::Silent(5));
+    let fixture = load_fixture().await;
+    fixture.fleet.engine.faults.push(StandinFault::Silent(5));
 
-    let outcome = bench.call(1, "note", 20).await;
+    let outcome = fixture.call(1, "note", 20).await;
 
     assert_eq!(outcome, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 #[rstest::rstest]
@@ -95,15 +95,15 @@
 #[case::died(StandinFault::Reset, CallOutcome::Refused(AnswerKind::UpstreamLost))]
 #[tokio::test]
 async fn engine_faults_end_truthfully(#[case] fault: StandinFault, #[case] expected: CallOutcome) {
-    let bench = bench().await;
-    bench.fleet.engine.faults.push(fault);
+    let fixture = load_fixture().await;
+    fixture.fleet.engine.faults.push(fault);
 
-    let outcome = bench.call(1, "note", 10).await;
-    let next = bench.call(2, "note", 10).await;
+    let outcome = fixture.call(1, "note", 10).await;
+    let next = fixture.call(2, "note", 10).await;
 
     assert_eq!(outcome, expected);
     assert_eq!(next, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 #[rstest::rstest]
@@ -114,16 +114,16 @@
 #[case::died(StandinFault::Reset, &[AnswerKind::UpstreamLost])]
 #[tokio::test]
 async fn service_faults_end_truthfully(#[case] fault: StandinFault, #[case] kinds: &[AnswerKind]) {
-    let bench = bench().await;
-    bench.fleet.service.faults.push(fault);
+    let fixture = load_fixture().await;
+    fixture.fleet.service.faults.push(fault);
 
-    let outcome = bench.call(1, "lookup", 1).await;
-    let next = bench.call(2, "lookup", 1).await;
+    let outcome = fixture.call(1, "lookup", 1).await;
+    let next = fixture.call(2, "lookup", 1).await;
 
     assert!(kinds.iter().any(|kind| outcome == CallOutcome::Refused(*kind)), "{outcome:?}");
     assert!(kinds.iter().all(|kind| kind.row().ran == ExecutionStatus::Unknown));
     assert_eq!(next, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 /// Symptom: the next caller gets the late answer of the one before.
@@ -131,9 +131,9 @@
 /// Cause: reusing a connection with an abandoned exchange.
 #[tokio::test]
 async fn an_abandoned_connection_is_never_used_again() {
-    let mut bench = bench().await;
-    bench.fleet.service.faults.push(StandinFault::Delayed(Duration::from_millis(150)));
-    let lookup = bench
+    let mut fixture = load_fixture().await;
+    fixture.fleet.service.faults.push(StandinFault::Delayed(Duration::from_millis(150)));
+    let lookup = fixture
         .profile
         .classes
         .iter_mut()
@@ -141,53 +141,53 @@
         .expect("a lookup class");
     lookup.deadline = Duration::from_millis(50);
 
-    let first = bench.call(1, "lookup", 1).await;
-    bench.profile = LoadProfile::new(ProfileKind::Lodgeframe);
+    let first = fixture.call(1, "lookup", 1).await;
+    fixture.profile = LoadProfile::new(ProfileKind::Lodgeframe);
     let mut next = Vec::new();
     for number in 2..30 {
-        next.push(bench.call(number, "lookup", 1).await);
+        next.push(fixture.call(number, "lookup", 1).await);
     }
 
     assert_eq!(first, CallOutcome::Refused(AnswerKind::DeadlineRunning));
     assert!(next.iter().all(|outcome| *outcome == CallOutcome::Whole), "{next:?}");
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 /// Symptom: engines work for callers that have gone.
 /// Sequence: a caller closes its connection in mid-stream. Cause: nobody tells the engine.
 #[tokio::test]
 async fn a_caller_that_leaves_cancels_its_work() {
-    let bench = bench().await;
-    let planned = bench.planned(1, "note", 100_000);
-    let call = async { bench.caller.call(&bench.profile, &planned, 1).await };
+    let fixture = load_fixture().await;
+    let planned = fixture.planned(1, "note", 100_000);
+    let call = async { fixture.caller.call(&fixture.profile, &planned, 1).await };
 
     let left = tokio::time::timeout(Duration::from_millis(200), call).await;
 
     assert!(left.is_err(), "the answer is far too long to be over");
-    wait_until(|| bench.fleet.engine.job_count() == 0).await;
-    wait_until(|| bench.fleet.state.in_progress() == 0).await;
+    wait_until(|| fixture.fleet.engine.job_count() == 0).await;
+    wait_until(|| fixture.fleet.state.in_progress() == 0).await;
 }
 
 /// Symptom: a shutdown cuts answers. Sequence: a drain, twice, in mid-stream. Cause: see the golden
 /// session; here with real connections.
 #[tokio::test]
 async fn a_drain_finishes_what_runs() {
-    let bench = Arc::new(bench().await);
+    let fixture = Arc::new(load_fixture().await);
     let running = tokio::spawn({
-        let bench = Arc::clone(&bench);
-        async move { bench.call(1, "note", 150).await }
+        let fixture = Arc::clone(&fixture);
+        async move { fixture.call(1, "note", 150).await }
     });
-    wait_until(|| bench.fleet.engine.job_count() == 1).await;
+    wait_until(|| fixture.fleet.engine.job_count() == 1).await;
 
-    bench.fleet.front.drain();
-    bench.fleet.front.drain();
-    wait_until(|| !bench.fleet.state.is_ready()).await;
-    let admitted_late = bench.call(2, "note", 5).await;
+    fixture.fleet.front.drain();
+    fixture.fleet.front.drain();
+    wait_until(|| !fixture.fleet.state.is_ready()).await;
+    let admitted_late = fixture.call(2, "note", 5).await;
 
     assert_eq!(running.await.expect("the caller's task ends"), CallOutcome::Whole);
     assert_eq!(admitted_late, CallOutcome::Whole);
-    wait_until(|| bench.fleet.state.is_drained()).await;
-    assert!(matches!(bench.call(3, "note", 5).await, CallOutcome::NoAnswer(_)));
+    wait_until(|| fixture.fleet.state.is_drained()).await;
+    assert!(matches!(fixture.call(3, "note", 5).await, CallOutcome::NoAnswer(_)));
 }
 
 /// Symptom: requests go to an upstream that the platform takes away.
@@ -195,17 +195,17 @@
 /// source only; whichever says leaving first counts.
 #[tokio::test]
 async fn the_platform_list_takes_an_upstream_out() {
-    let bench = bench().await;
+    let fixture = load_fixture().await;
     let list = format!(
         r#"{{"vms": [{{"service": "pack-llm", "upstream": "engine-1", "address": "{}", "state": "leaving"}}]}}"#,
-        bench.fleet.engine.address
+        fixture.fleet.engine.address
     );
 
-    bench.fleet.state.apply_platform_list(PlatformList::read(&list).expect("a good list"));
-    let outcome = bench.call(1, "note", 5).await;
+    fixture.fleet.state.apply_platform_list(PlatformList::read(&list).expect("a good list"));
+    let outcome = fixture.call(1, "note", 5).await;
 
     assert_eq!(outcome, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
-    assert!(bench.fleet.engine.dispatches().is_empty());
+    assert!(fixture.fleet.engine.dispatches().is_empty());
 }
 
 /// Symptom: a list that is served over HTTP, or is broken for a while, is not followed.
@@ -220,24 +220,24 @@
     let router =
         axum::Router::new().fallback(move || async move { served.lock().unwrap().clone() });
     tokio::spawn(async move { axum::serve(listener, router).await });
-    let bench = bench().await;
+    let fixture = load_fixture().await;
     let settings = serde_json::json!({
         "daemon": "entry-1", "data_centre": "hall-a", "callers": "127.0.0.1:0", "control": "127.0.0.1:0",
         "fleet_key_file": "key", "data_folder": "data", "platform_list": url,
     });
     let settings = DaemonSettings::read(&settings.to_string()).expect("good settings");
-    tarragonknot::daemon::start_background_tasks(Arc::clone(&bench.fleet.state), &settings);
+    tarragonknot::daemon::start_background_tasks(Arc::clone(&fixture.fleet.state), &settings);
 
-    let before = bench.call(1, "note", 3).await;
+    let before = fixture.call(1, "note", 3).await;
     *list.lock().unwrap() = format!(
         r#"{{"vms": [{{"service": "pack-llm", "upstream": "engine-1", "address": "{}", "state": "leaving"}}]}}"#,
-        bench.fleet.engine.address
+        fixture.fleet.engine.address
     );
-    let pool = bench.fleet.state.pool(&"pack-llm".into()).expect("the pool");
+    let pool = fixture.fleet.state.pool(&"pack-llm".into()).expect("the pool");
     wait_until(|| pool.status().live == 0).await;
 
     assert_eq!(before, CallOutcome::Whole);
-    assert_eq!(bench.call(2, "note", 3).await, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
+    assert_eq!(fixture.call(2, "note", 3).await, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
 }
 
 /// Symptom: an upstream that refuses connections costs answers although another works.
@@ -254,26 +254,26 @@
     })
     .await;
     let caller = LoadCaller::new(fleet.front.address);
-    let bench = Bench { fleet, profile, caller };
+    let fixture = LoadFixture { fleet, profile, caller };
 
     let mut outcomes = Vec::new();
     for number in 0..12 {
-        outcomes.push(bench.call(number, "note", 3).await);
+        outcomes.push(fixture.call(number, "note", 3).await);
     }
 
     assert!(outcomes.iter().all(|outcome| *outcome == CallOutcome::Whole), "{outcomes:?}");
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 #[tokio::test]
 async fn a_stale_table_admits_nothing() {
-    let bench = bench().await;
+    let fixture = load_fixture().await;
 
-    bench.fleet.state.set_current_until(tarragonknot::policy::Moment(0));
-    let outcome = bench.call(1, "note", 3).await;
+    fixture.fleet.state.set_current_until(tarragonknot::policy::Moment(0));
+    let outcome = fixture.call(1, "note", 3).await;
 
     assert_eq!(outcome, CallOutcome::Refused(AnswerKind::TableStale));
-    assert!(bench.fleet.engine.dispatches().is_empty());
+    assert!(fixture.fleet.engine.dispatches().is_empty());
 }
 
 #[tokio::test]
@@ -295,9 +295,9 @@
 }
 
 /// Waits for something that must come; the test's own limit is the only clock.
-async fn wait_until(is_so: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..2_000 {
-        if is_so() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
--- a/tests/test_list_pages.rs
+++ b/tests/test_list_pages.rs
@@ -155,7 +155,7 @@
 }
 
 /// Serves pages by their tokens; the first has none.
-async fn lister(pages: HashMap<String, Value>) -> InstanceLister {
+async fn start_lister(pages: HashMap<String, Value>) -> InstanceLister {
     async fn answer(
         State(pages): State<Arc<HashMap<String, Value>>>,
         RawQuery(query): RawQuery,
@@ -171,17 +171,17 @@
     InstanceLister::new(address, Arc::default())
 }
 
-fn page_to(entries: &[Value], next: &str) -> Value {
+fn page_with_next(entries: &[Value], next: &str) -> Value {
     json!({"instances": entries, "next_token": next})
 }
 
 #[tokio::test]
 async fn pages_are_read_to_the_last() {
     let pages = [
-        (String::new(), page_to(&[entry("i-1")], "p-1")),
+        (String::new(), page_with_next(&[entry("i-1")], "p-1")),
         ("p-1".to_owned(), page(&[entry("i-2")])),
     ];
-    let reading = lister(pages.into()).await.read().await.expect("a reading");
+    let reading = start_lister(pages.into()).await.read().await.expect("a reading");
 
     assert_eq!((names(&reading.rows), reading.is_whole), (vec!["i-1", "i-2"], true));
 }
@@ -191,10 +191,10 @@
 #[tokio::test]
 async fn a_token_that_repeats_ends_the_reading() {
     let pages = [
-        (String::new(), page_to(&[entry("i-1")], "p-1")),
-        ("p-1".to_owned(), page_to(&[entry("i-2")], "p-1")),
+        (String::new(), page_with_next(&[entry("i-1")], "p-1")),
+        ("p-1".to_owned(), page_with_next(&[entry("i-2")], "p-1")),
     ];
-    let reading = lister(pages.into()).await.read().await.expect("a reading");
+    let reading = start_lister(pages.into()).await.read().await.expect("a reading");
 
     assert_eq!(names(&reading.rows), ["i-1", "i-2"]);
     assert!(!reading.is_whole);
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -61,12 +61,12 @@
 #[case::no_weight("/routes/1/backends", json!([{"service": "api", "weight": 0}]), "/routes/1/targets: found 0")]
 #[case::no_timeout("/routes/0/timeout_ms", json!(0), "/routes/0/timeout_ms: found 0")]
 fn an_invalid_document_is_refused_with_its_place(
-    #[case] place_id: &str,
+    #[case] pointer: &str,
     #[case] value: Value,
     #[case] expected: &str,
 ) {
     let mut document = document();
-    *document.pointer_mut(place_id).expect("a place of the document") = value;
+    *document.pointer_mut(pointer).expect("a place of the document") = value;
 
     let faults = DocumentReader.read(&document.to_string()).expect_err("a fault").to_string();
 
@@ -186,9 +186,9 @@
 ) {
     let status = StatusCode::from_u16(status).expect("a status");
 
-    let word = HeaderDialect.read_reservation(status, body.as_bytes());
+    let reply = HeaderDialect.read_reservation(status, body.as_bytes());
 
-    assert_eq!(word, expected);
+    assert_eq!(reply, expected);
 }
 
 #[rstest]
@@ -251,20 +251,23 @@
         "tarragonknot-tenant",
     ];
     let mut found = Vec::new();
-    walk(Path::new(env!("CARGO_MANIFEST_DIR")).join("src").as_path(), &mut |path, text| {
-        let hits = names.iter().filter(|name| text.contains(**name));
-        found.extend(hits.map(|name| format!("{}: {name}", path.display())));
-    });
+    visit_source_files(
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("src").as_path(),
+        &mut |path, text| {
+            let hits = names.iter().filter(|name| text.contains(**name));
+            found.extend(hits.map(|name| format!("{}: {name}", path.display())));
+        },
+    );
 
     assert_eq!(found, Vec::<String>::new());
 }
 
-fn walk(folder: &Path, visit: &mut impl FnMut(&Path, &str)) {
+fn visit_source_files(folder: &Path, visit: &mut impl FnMut(&Path, &str)) {
     for entry in std::fs::read_dir(folder).expect("a folder of ours") {
         let path = entry.expect("an entry").path();
         match path.is_dir() {
             true if path.ends_with("src/platform") => {}
-            true => walk(&path, visit),
+            true => visit_source_files(&path, visit),
             false => visit(&path, &std::fs::read_to_string(&path).expect("a source file")),
         }
     }
--- a/tests/test_quarantine.rs
+++ b/tests/test_quarantine.rs
@@ -2,7 +2,7 @@
 
 use crate::engine_park::{EnginePark, POISON};
 use crate::fixtures::{AGENTS_KEY, small_fleet, upstream};
-use crate::routed_fleet::{EngineMove, ScriptedEngine};
+use crate::routed_fleet::{EngineAction, ScriptedEngine};
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -27,15 +27,15 @@
 /// that ended had no event yet, of another id each time, twice for one id and never more often; in this test, whose
 /// only poison content is one body, each of its sends ends an engine, on whichever daemon.
 #[rstest]
-#[case::resumed_stream("/resumable/x", EngineMove::CrashAfter(1, 2))]
-#[case::stream_without_an_event("/resumable/x", EngineMove::Crash)]
-#[case::stream_that_may_run_once("/stream/x", EngineMove::CrashAfter(1, 1))]
-#[case::safe("/safe/x", EngineMove::Crash)]
-#[case::unsafe_that_may_run_once("/unsafe/x", EngineMove::Crash)]
+#[case::resumed_stream("/resumable/x", EngineAction::CrashAfter(1, 2))]
+#[case::stream_without_an_event("/resumable/x", EngineAction::Crash)]
+#[case::stream_that_may_run_once("/stream/x", EngineAction::CrashAfter(1, 1))]
+#[case::safe("/safe/x", EngineAction::Crash)]
+#[case::unsafe_that_may_run_once("/unsafe/x", EngineAction::Crash)]
 #[tokio::test]
 async fn a_request_that_ends_engines_is_held_back_by_all_daemons(
     #[case] path: &str,
-    #[case] poison_move: EngineMove,
+    #[case] poison_move: EngineAction,
 ) {
     let mut park = EnginePark::start(poison_move).await;
 
@@ -54,7 +54,7 @@
 /// What callers of content that is held back are told: that it has not run, why, and for how long.
 #[tokio::test]
 async fn a_request_that_is_held_back_is_refused_truthfully() {
-    let mut park = EnginePark::start(EngineMove::Crash).await;
+    let mut park = EnginePark::start(EngineAction::Crash).await;
     for number in 0..3 {
         park.attempt(number, "/unsafe/x", POISON).await;
     }
@@ -85,7 +85,7 @@
 async fn the_products_own_interface_holds_the_request_back_too() {
     let mut engines = Vec::new();
     for number in 0..8 {
-        engines.push(ScriptedEngine::start(&format!("s-{number}"), |_| EngineMove::Crash).await);
+        engines.push(ScriptedEngine::start(&format!("s-{number}"), |_| EngineAction::Crash).await);
     }
     let fleet = small_fleet(|table| {
         table.upstreams.retain(|row| row.service.as_str() != "pack-api");
--- a/tests/test_reservations.rs
+++ b/tests/test_reservations.rs
@@ -1,14 +1,14 @@
 //! Places that engines reserve before a request is sent.
 
 use crate::burst_pool::{BurstPool, sent, urgency_plan};
-use crate::routed_fleet::{EngineMove, RoutedFleet, ScriptedEngine, document_with_places};
+use crate::routed_fleet::{EngineAction, RoutedFleet, ScriptedEngine, document_with_reservations};
 use crate::session::source;
 use http::StatusCode;
 use tarragonknot::policy::{DispatchOutcome, PoolAction, PoolEvent, RequestId, UpstreamIndex};
 
 async fn fleet(engines: &[&ScriptedEngine]) -> RoutedFleet {
     let fleet = RoutedFleet::without_table(engines).await;
-    fleet.apply(1, &document_with_places(1));
+    fleet.apply(1, &document_with_reservations(1));
     fleet
 }
 
@@ -21,13 +21,13 @@
 }
 
 /// Answers calls for a place with `place`, and then the request.
-fn answers_after(place: EngineMove) -> impl Fn(usize) -> EngineMove + Send + Sync {
-    move |number| if number == 0 { place.clone() } else { EngineMove::Events(1, 2) }
+fn answers_after(place: EngineAction) -> impl Fn(usize) -> EngineAction + Send + Sync {
+    move |number| if number == 0 { place.clone() } else { EngineAction::Events(1, 2) }
 }
 
 #[tokio::test]
 async fn a_request_goes_to_the_place_that_was_reserved_for_it() {
-    let engine = ScriptedEngine::start("e1", answers_after(EngineMove::Reserve("h-1"))).await;
+    let engine = ScriptedEngine::start("e1", answers_after(EngineAction::Reserve("h-1"))).await;
     let fleet = fleet(&[&engine]).await;
 
     let answer = fleet
@@ -52,8 +52,8 @@
 /// other choose the same engine. Cause: sending without asking.
 #[tokio::test]
 async fn a_full_engine_gets_no_request() {
-    let full = ScriptedEngine::start("e1", |_| EngineMove::NoPlace).await;
-    let free = ScriptedEngine::start("e2", answers_after(EngineMove::Reserve("h-2"))).await;
+    let full = ScriptedEngine::start("e1", |_| EngineAction::NoPlace).await;
+    let free = ScriptedEngine::start("e2", answers_after(EngineAction::Reserve("h-2"))).await;
     let fleet = fleet(&[&full, &free]).await;
 
     let answer = fleet.call("/stream/a", "r1").await;
@@ -66,10 +66,10 @@
 /// there and may have run. Cause: finding out that an engine is silent with a request.
 #[tokio::test]
 async fn a_silent_engine_is_found_out_before_the_request_is_there() {
-    let silent = ScriptedEngine::start("e1", |_| EngineMove::Silent).await;
+    let silent = ScriptedEngine::start("e1", |_| EngineAction::Silent).await;
     let sound = ScriptedEngine::start("e2", |number| match number % 2 {
-        0 => EngineMove::Reserve("h-2"),
-        _ => EngineMove::Events(1, 2),
+        0 => EngineAction::Reserve("h-2"),
+        _ => EngineAction::Events(1, 2),
     })
     .await;
     let fleet = fleet(&[&silent, &sound]).await;
@@ -85,8 +85,8 @@
 
 #[tokio::test]
 async fn another_incarnation_is_found_out_before_the_request_is_there() {
-    let other = ScriptedEngine::start("e1", |_| EngineMove::OtherIncarnation).await;
-    let sound = ScriptedEngine::start("e2", answers_after(EngineMove::Reserve("h-2"))).await;
+    let other = ScriptedEngine::start("e1", |_| EngineAction::OtherIncarnation).await;
+    let sound = ScriptedEngine::start("e2", answers_after(EngineAction::Reserve("h-2"))).await;
     let fleet = fleet(&[&other, &sound]).await;
 
     let answer = fleet.call("/stream/a", "r1").await;
@@ -97,7 +97,7 @@
 
 #[tokio::test]
 async fn an_engine_that_reserves_nothing_is_sent_requests_all_the_same() {
-    let engine = ScriptedEngine::start("e1", answers_after(EngineMove::Answer(404, ""))).await;
+    let engine = ScriptedEngine::start("e1", answers_after(EngineAction::Answer(404, ""))).await;
     let fleet = fleet(&[&engine]).await;
 
     let answer = fleet.call("/stream/a", "r1").await;
--- a/tests/test_rollout_traffic.rs
+++ b/tests/test_rollout_traffic.rs
@@ -1,6 +1,6 @@
 //! A daemon's requests while a service's upstreams have two versions.
 
-use crate::routed_fleet::{EngineMove, RoutedFleet, ScriptedEngine};
+use crate::routed_fleet::{EngineAction, RoutedFleet, ScriptedEngine};
 use http::StatusCode;
 use std::time::Duration;
 use tarragonknot::policy::RetryBound;
@@ -43,7 +43,7 @@
 }
 
 async fn engine(name: &str) -> ScriptedEngine {
-    ScriptedEngine::start(name, |_| EngineMove::Answer(200, "fine")).await
+    ScriptedEngine::start(name, |_| EngineAction::Answer(200, "fine")).await
 }
 
 fn report(fleet: &RoutedFleet) -> RolloutReport {
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn what_fails_on_trial_is_sent_again_to_the_old_version() {
     let old = engine("i-old").await;
-    let new = ScriptedEngine::start("i-new", |_| EngineMove::Answer(500, "broken")).await;
+    let new = ScriptedEngine::start("i-new", |_| EngineAction::Answer(500, "broken")).await;
     let fleet = RoutedFleet::start(&[&old]).await;
     fleet.state.set_retry_bound(RetryBound { ratio: 1.0, slack: 100 });
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
@@ -111,7 +111,7 @@
 /// daemon says so, before the roll-out may be completed.
 #[tokio::test]
 async fn what_waits_for_the_old_version_goes_to_the_new_one() {
-    let old = ScriptedEngine::start("i-old", |_| EngineMove::Silent).await;
+    let old = ScriptedEngine::start("i-old", |_| EngineAction::Silent).await;
     let new = engine("i-new").await;
     let fleet = std::sync::Arc::new(RoutedFleet::start(&[&old]).await);
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
--- a/tests/test_routed.rs
+++ b/tests/test_routed.rs
@@ -1,6 +1,6 @@
 //! Requests by route: what is repeated, what is refused, and what a caller gets when engines fail.
 
-use crate::routed_fleet::{EngineMove, KEY, RoutedFleet, ScriptedEngine, document};
+use crate::routed_fleet::{EngineAction, KEY, RoutedFleet, ScriptedEngine, document};
 use http::StatusCode;
 use rstest::rstest;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 #[tokio::test]
 async fn an_answer_comes_unchanged_and_the_engine_is_told_who_asks() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Answer(200, "fine")).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(200, "fine")).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     let answer = fleet.call("/safe/x?y=1", "id-1").await;
@@ -43,8 +43,8 @@
 #[case::safe_twice("/safe/", 2)]
 #[tokio::test]
 async fn a_failure_of_the_engine_is_passed_on(#[case] path: &str, #[case] sends: usize) {
-    let first = ScriptedEngine::start("i-1", |_| EngineMove::Answer(500, "broken")).await;
-    let second = ScriptedEngine::start("i-2", |_| EngineMove::Answer(500, "broken")).await;
+    let first = ScriptedEngine::start("i-1", |_| EngineAction::Answer(500, "broken")).await;
+    let second = ScriptedEngine::start("i-2", |_| EngineAction::Answer(500, "broken")).await;
     let fleet = RoutedFleet::start(&[&first, &second]).await;
 
     let answer = fleet.call(path, "id-1").await;
@@ -58,16 +58,16 @@
 /// Sequence: the engine runs it and its answer is lost, cut short, or another request's. Cause: taking a missing
 /// answer for a missing run.
 #[rstest]
-#[case::lost(EngineMove::Close)]
-#[case::cut_short(EngineMove::Truncated)]
-#[case::crossed(EngineMove::Crossed)]
+#[case::lost(EngineAction::Close)]
+#[case::cut_short(EngineAction::Truncated)]
+#[case::crossed(EngineAction::Crossed)]
 #[tokio::test]
 async fn what_may_have_run_once_is_neither_repeated_nor_denied(
-    #[case] engine_move: EngineMove,
+    #[case] action: EngineAction,
     #[values("/unsafe/", "/stream/")] path: &str,
 ) {
-    let engine = ScriptedEngine::start("i-1", move |_| engine_move.clone()).await;
-    let other = ScriptedEngine::start("i-2", |_| EngineMove::Close).await;
+    let engine = ScriptedEngine::start("i-1", move |_| action.clone()).await;
+    let other = ScriptedEngine::start("i-2", |_| EngineAction::Close).await;
     let fleet = RoutedFleet::start(&[&engine, &other]).await;
 
     let answer = fleet.call(path, "id-1").await;
@@ -81,7 +81,7 @@
 /// Sequence: the engine hangs on a request that may run once. Cause: a refusal by the clock that says not run.
 #[tokio::test]
 async fn a_request_that_runs_past_its_time_ends_as_a_timeout() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Silent).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Silent).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     let answer = fleet.call_with("/unsafe/", "id-1", KEY, &[("x-note", "1")]).await;
@@ -100,8 +100,8 @@
 
 #[tokio::test]
 async fn a_safe_request_whose_answer_is_lost_goes_to_another_engine() {
-    let first = ScriptedEngine::start("i-1", |_| EngineMove::Close).await;
-    let second = ScriptedEngine::start("i-2", |_| EngineMove::Answer(200, "fine")).await;
+    let first = ScriptedEngine::start("i-1", |_| EngineAction::Close).await;
+    let second = ScriptedEngine::start("i-2", |_| EngineAction::Answer(200, "fine")).await;
     let fleet = RoutedFleet::start(&[&first, &second]).await;
 
     for number in 0..4 {
@@ -115,7 +115,7 @@
 /// Only the engine's own word says that a request did not run; then even a booking may come back.
 #[tokio::test]
 async fn what_no_engine_ran_is_refused_as_not_run() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::NotRun).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::NotRun).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     let answer = fleet.call("/unsafe/", "id-1").await;
@@ -130,8 +130,8 @@
 /// the engine's own word.
 #[tokio::test]
 async fn another_incarnation_at_an_address_gets_no_more() {
-    let replaced = ScriptedEngine::start("i-1", |_| EngineMove::OtherIncarnation).await;
-    let sound = ScriptedEngine::start("i-2", |_| EngineMove::Answer(200, "fine")).await;
+    let replaced = ScriptedEngine::start("i-1", |_| EngineAction::OtherIncarnation).await;
+    let sound = ScriptedEngine::start("i-2", |_| EngineAction::Answer(200, "fine")).await;
     let fleet = RoutedFleet::start(&[&replaced, &sound]).await;
 
     for number in 0..6 {
@@ -153,8 +153,8 @@
     let script = || {
         let order = Arc::clone(&order);
         move |_| match order.fetch_add(1, Ordering::SeqCst) {
-            0 => EngineMove::CutEvents(1, 3),
-            _ => EngineMove::Events(4, 6),
+            0 => EngineAction::CutEvents(1, 3),
+            _ => EngineAction::Events(4, 6),
         }
     };
     let first = ScriptedEngine::start("i-1", script()).await;
@@ -176,8 +176,8 @@
 
 #[tokio::test]
 async fn a_stream_that_may_run_once_is_visibly_cut() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::CutEvents(1, 3)).await;
-    let other = ScriptedEngine::start("i-2", |_| EngineMove::CutEvents(1, 3)).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::CutEvents(1, 3)).await;
+    let other = ScriptedEngine::start("i-2", |_| EngineAction::CutEvents(1, 3)).await;
     let fleet = RoutedFleet::start(&[&engine, &other]).await;
 
     let answer = fleet.call("/stream/", "id-1").await;
@@ -188,7 +188,7 @@
 
 #[tokio::test]
 async fn a_whole_stream_ends_well() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Events(1, 40)).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Events(1, 40)).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     let answer = fleet.call("/stream/", "id-1").await;
@@ -201,7 +201,7 @@
 /// table, or refusing at once, which costs the caller its only retry.
 #[tokio::test]
 async fn a_request_waits_a_little_for_the_first_table() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Answer(200, "fine")).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(200, "fine")).await;
     let fleet = RoutedFleet::without_table(&[&engine]).await;
     let call = fleet.call("/safe/", "id-1");
     let table = async {
@@ -226,7 +226,7 @@
 
 #[tokio::test]
 async fn unknown_keys_and_routes_are_told_apart() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Answer(200, "fine")).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(200, "fine")).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     let key = fleet.call_with("/safe/", "id-1", "no-key", &[]).await;
@@ -241,8 +241,8 @@
 #[tokio::test]
 async fn the_table_is_asked_again_before_a_send() {
     let engine = ScriptedEngine::start("i-1", |number| match number {
-        0..4 => EngineMove::Silent,
-        _ => EngineMove::Answer(200, "fine"),
+        0..4 => EngineAction::Silent,
+        _ => EngineAction::Answer(200, "fine"),
     })
     .await;
     let fleet = RoutedFleet::start(&[&engine]).await;
@@ -272,7 +272,7 @@
 /// runs its request. Cause: a run that nobody's leaving ends.
 #[tokio::test]
 async fn a_caller_who_leaves_ends_its_run() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Silent).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Silent).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     let left =
@@ -294,9 +294,9 @@
 async fn each_end_of_a_request_is_counted() {
     install_metrics();
     let engine = ScriptedEngine::start("i-1", |number| match number {
-        0 => EngineMove::Events(1, 3),
-        1 => EngineMove::CutEvents(1, 2),
-        _ => EngineMove::NotRun,
+        0 => EngineAction::Events(1, 3),
+        1 => EngineAction::CutEvents(1, 2),
+        _ => EngineAction::NotRun,
     })
     .await;
     let fleet = RoutedFleet::start(&[&engine]).await;
@@ -324,7 +324,7 @@
 /// run only once the send has ended. (Found by the soak, seed 106.)
 #[tokio::test]
 async fn what_was_sent_counts_against_the_limit_though_its_caller_left() {
-    let engine = ScriptedEngine::start("e1", |_| EngineMove::Silent).await;
+    let engine = ScriptedEngine::start("e1", |_| EngineAction::Silent).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
     let limited = document(2).replace(
         r#""name":"agents""#,
@@ -347,7 +347,7 @@
 
 #[tokio::test]
 async fn repeats_are_bounded_when_everything_fails() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Answer(500, "broken")).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(500, "broken")).await;
     let fleet = RoutedFleet::start(&[&engine]).await;
 
     for number in 0..40 {
@@ -360,7 +360,7 @@
 /// Guards against refusals in the moments after a start, before the first list of upstreams: each costs a caller its only retry.
 #[tokio::test]
 async fn callers_before_the_first_list_are_served_once_it_is_there() {
-    let engine = ScriptedEngine::start("i-1", |_| EngineMove::Answer(200, "fine")).await;
+    let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(200, "fine")).await;
     let fleet = Arc::new(RoutedFleet::start(&[]).await);
     fleet.state.expect_upstream_list();
     let caller = Arc::clone(&fleet);
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -29,7 +29,7 @@
         self.work.operate(self.control, args)
     }
 
-    fn shown(&self) -> Value {
+    fn show_table(&self) -> Value {
         let output = self.operate(&["table", "show", "--json"]);
         assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
         serde_json::from_str(&stdout(&output)).expect("JSON")
@@ -37,7 +37,7 @@
 
     /// Writes `table` as an edit of the table in force, and returns the file's name.
     fn edit(&self, name: &str, table: Value) -> String {
-        let mut versioned = self.shown();
+        let mut versioned = self.show_table();
         versioned["table"] = table;
         self.work.write(name, &versioned.to_string()).to_string_lossy().into_owned()
     }
@@ -106,13 +106,13 @@
     assert!(stderr(&lost).contains("tiers/urgent/weight: 3 -> 9"), "{}", stderr(&lost));
     assert_eq!(stdout(&won_again), stdout(&won));
     assert_eq!(stderr(&lost_again), stderr(&lost));
-    assert_eq!(single.shown()["version"], 1);
+    assert_eq!(single.show_table()["version"], 1);
 }
 
 #[test]
 fn status_and_voters_are_shown() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
 
     let status: Value =
         serde_json::from_str(&stdout(&single.operate(&["status", "--json"]))).unwrap();
@@ -128,7 +128,7 @@
 #[test]
 fn a_wrong_key_is_refused_and_never_logged() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
     let wrong = single.work.write("wrong.key", "a-guess");
 
     let output = single.work.run(&[
@@ -158,13 +158,13 @@
 
     assert_eq!(output.status.code(), Some(2));
     assert!(stderr(&output).contains("expected no member named upstreems"), "{}", stderr(&output));
-    assert_eq!(single.shown()["version"], 0);
+    assert_eq!(single.show_table()["version"], 0);
 }
 
 #[test]
 fn a_drain_by_an_operator_ends_the_daemon() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
 
     let output = single.operate(&["drain"]);
     let SingleDaemon { daemon, work, .. } = single;
@@ -179,7 +179,7 @@
 #[test]
 fn a_second_process_over_one_folder_is_refused() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
     let mut settings: Value = serde_json::from_str(&single.work.read("entry-1.json")).unwrap();
     settings["callers"] = json!(free_address().to_string());
     settings["control"] = json!(free_address().to_string());
