--- a/tests/routed_fleet.rs
+++ b/tests/routed_fleet.rs
@@ -1,4 +1,5 @@
-//! One daemon that serves routes between real callers and scripted engines of the users' platform, on loopback.
+//! Daemons that serve routes over loopback, between HTTP callers and scripted engines that speak
+//! the platform's dialect.
 
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode};
@@ -19,10 +20,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The key of the only organisation.
+/// API key of `agents`, the only organisation.
 pub const KEY: &str = "agents-key";
 
-/// A request as an engine saw it.
+/// A request as an engine received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub id: String,
@@ -32,47 +33,47 @@
 }
 
 impl ReceivedRequest {
-    /// The value of a header.
+    /// Looks up a header value, ignoring the case of its name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut rows = self.head.lines().filter_map(|line| line.split_once(": "));
         rows.find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 }
 
-/// What an engine does with a request.
+/// How a scripted engine handles a request.
 #[derive(Clone, Debug)]
 pub enum EngineAction {
-    /// A whole signed answer.
+    /// Sends a complete answer with the request id and the server seal.
     Answer(u16, &'static str),
-    /// The documented word that it did not run the request.
+    /// Declares with the documented header that the request was not run.
     NotRun,
-    /// It is another incarnation than the one meant.
+    /// Answers 421: the engine is not the expected incarnation.
     OtherIncarnation,
-    /// It reads the request and closes without a word.
+    /// Reads the request and closes the connection without an answer.
     Close,
-    /// It says nothing.
+    /// Keeps the connection open without an answer.
     Silent,
-    /// A signed answer to another request.
+    /// Sends a sealed answer with the id of another request.
     Crossed,
-    /// Events from the first to the last number, and the stream's good end.
+    /// Streams the events with ids from the first to the last and ends the stream properly.
     Events(u64, u64),
-    /// Events, then half of the next one, then the end of the connection.
+    /// Streams the events, then half of the next one, then closes the connection.
     CutEvents(u64, u64),
-    /// Fewer bytes than declared.
+    /// Sends fewer bytes than the declared content length.
     Truncated,
-    /// It ends as a process does: with all its connections, and nobody listens at its address any more.
+    /// Crashes the engine: closes all its connections and the listening socket.
     Crash,
-    /// Events from the first to the last number; then it ends as a process does.
+    /// Streams the events with ids from the first to the last, then crashes like `Crash`.
     CrashAfter(u64, u64),
-    /// It reserves a place of this name.
+    /// Reserves a place with this id.
     Reserve(&'static str),
-    /// It has no place to reserve.
+    /// Refuses the reservation because no place is free.
     NoPlace,
 }
 
 type EngineScript = Arc<dyn Fn(usize, &ReceivedRequest) -> EngineAction + Send + Sync>;
 
-/// A scripted engine.
+/// An HTTP engine on loopback whose behaviour is set by a script.
 pub struct ScriptedEngine {
     pub name: String,
     pub address: SocketAddr,
@@ -81,7 +82,7 @@
 }
 
 impl ScriptedEngine {
-    /// An engine that does what `script` says for its first, second and later requests.
+    /// Starts an engine that calls `script` with the index of each request, from 0.
     pub async fn start(
         name: &str,
         script: impl Fn(usize) -> EngineAction + Send + Sync + 'static,
@@ -89,13 +90,14 @@
         Self::start_with_request(name, move |number, _| script(number)).await
     }
 
-    /// The same where the script also sees the request.
+    /// Starts an engine whose script is also given the request.
     pub async fn start_with_request(
         name: &str,
         script: impl Fn(usize, &ReceivedRequest) -> EngineAction + Send + Sync + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
+        let address = listener.local_addr().expect("the socket has a local address");
         let seen: Arc<Mutex<Vec<ReceivedRequest>>> = Arc::default();
         let (end, has_ended) = watch::channel(false);
         let (script, end): (EngineScript, _) = (Arc::new(script), Arc::new(end));
@@ -117,18 +119,18 @@
         ScriptedEngine { name: name.to_owned(), address, seen, has_ended }
     }
 
-    /// True once it has crashed.
+    /// Returns true once the engine has crashed.
     pub fn has_ended(&self) -> bool {
         *self.has_ended.borrow()
     }
 
-    /// The requests that it saw; probes, which run nothing, are none.
+    /// Returns the received requests, without GET requests: these are probes and run nothing.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
-        let seen = self.seen.lock().expect("no test panics here");
+        let seen = self.seen.lock().expect("no holder of the lock panics");
         seen.iter().filter(|request| !request.head.starts_with("GET ")).cloned().collect()
     }
 
-    /// How often it saw a request.
+    /// Counts the received requests, without probes.
     pub fn count(&self) -> usize {
         self.seen().len()
     }
@@ -142,7 +144,7 @@
 ) {
     while let Some(request) = read_request(&mut stream).await {
         let number = {
-            let mut seen = log.lock().expect("no test panics here");
+            let mut seen = log.lock().expect("no holder of the lock panics");
             seen.push(request.clone());
             seen.len() - 1
         };
@@ -150,7 +152,7 @@
         let is_crash = matches!(action, EngineAction::Crash | EngineAction::CrashAfter(..));
         let is_kept_open = perform(&mut stream, &request, action).await;
         if is_crash {
-            // This connection ends with all others once the engine's own task has heard.
+            // The accept loop drops its `JoinSet` on this signal, which closes all connections.
             let _ = end.send(true);
             return std::future::pending().await;
         }
@@ -186,7 +188,7 @@
     Some(request)
 }
 
-/// Plays a move; false if the connection ends with it.
+/// Performs an action; returns false if it closes the connection.
 async fn perform(stream: &mut TcpStream, request: &ReceivedRequest, action: EngineAction) -> bool {
     let echo =
         format!("tarragonknot-request-id: {}\r\ntarragonknot-server-seal: seal-1\r\n", request.id);
@@ -243,14 +245,14 @@
     stream.write_all(text.as_bytes()).await.is_ok() && is_kept_open
 }
 
-/// The daemon and its engines, all of one service.
+/// A daemon and its engines, all of one service.
 pub struct RoutedFleet {
     pub state: Arc<TrafficState>,
     pub front: FrontendHandle,
     pool: &'static str,
 }
 
-/// An answer as a caller got it; the body is none if the connection was cut within it.
+/// An answer as the caller received it; `body` is `None` if the connection broke within it.
 #[derive(Debug)]
 pub struct CallerAnswer {
     pub status: StatusCode,
@@ -258,7 +260,7 @@
     pub body: Option<String>,
 }
 
-/// The table with a route of each kind.
+/// Builds a table document with a route of each kind.
 pub fn document(version: u64) -> String {
     let route = |name: &str, kind: &str, attempts: u32, resumable: bool| {
         json!({"name": name, "host": "shop.example", "path_prefix": format!("/{name}/"), "kind": kind,
@@ -276,16 +278,16 @@
     .to_string()
 }
 
-/// The same, whose engines reserve places.
+/// Builds the same document with engines that support reservations.
 pub fn document_with_reservations(version: u64) -> String {
     let plain = r#""engine":{"slots":4}"#;
     let document = document(version);
-    assert!(document.contains(plain), "the fixture's engine: {document}");
+    assert!(document.contains(plain), "the document has no plain engine: {document}");
     document.replace(plain, r#""engine":{"slots":4,"hold_ms":2000.0}"#)
 }
 
 impl RoutedFleet {
-    /// A daemon without a table, before engines.
+    /// Starts a daemon that knows the engines but has no table.
     pub async fn without_table(engines: &[&ScriptedEngine]) -> Self {
         Self::with_service("127.0.0.1", "pool", engines).await
     }
@@ -295,36 +297,38 @@
         let state = TrafficState::new(daemon.into(), log, 7);
         state.set_interface(platform::interface());
         state.allow_expired_table();
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
         let front = start_frontend(Arc::clone(&state), listener, Duration::from_millis(10));
-        let fleet = RoutedFleet { state, front: front.expect("a front"), pool };
+        let fleet = RoutedFleet { state, front: front.expect("the front end starts"), pool };
         fleet.list(engines, VmState::Live);
         fleet
     }
 
-    /// A daemon before engines, with the table in force.
+    /// Starts a daemon that knows the engines and has version 1 of the table in force.
     pub async fn start(engines: &[&ScriptedEngine]) -> Self {
         let fleet = Self::without_table(engines).await;
         fleet.apply(1, &document(1));
         fleet
     }
 
-    /// The same with a service of another name, whose metrics are its own.
+    /// Starts the same daemon with another service name, so that its metrics are separate.
     pub async fn start_service(pool: &'static str, engines: &[&ScriptedEngine]) -> Self {
         let fleet = Self::with_service("127.0.0.1", pool, engines).await;
         fleet.apply(1, &document(1).replace("\"pool\"", &format!("\"{pool}\"")));
         fleet
     }
 
-    /// Daemons that report to each other, with the table in force.
+    /// Starts `count` daemons that exchange state, with version 1 of the table in force.
     pub async fn start_peers(count: usize, engines: &[&ScriptedEngine]) -> Vec<Self> {
         let mut fleets = Vec::new();
         let mut addresses = Vec::new();
         for number in 0..count {
             let fleet = Self::with_service(&format!("entry-{number}"), "pool", engines).await;
             fleet.apply(1, &document(1));
-            let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-            let address = socket.local_addr().expect("an address");
+            let socket =
+                UdpSocket::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
+            let address = socket.local_addr().expect("the socket has a local address");
             start_exchange(Arc::clone(&fleet.state), socket, address, Arc::from("a key"));
             addresses.push(address);
             fleets.push(fleet);
@@ -335,18 +339,18 @@
         fleets
     }
 
-    /// Puts a document in force.
+    /// Puts a table document in force.
     pub fn apply(&self, version: u64, document: &str) {
         self.state.apply_table(&VersionedTable::from_document(version, &Arc::from(document)));
     }
 
-    /// Lists the engines in this state.
+    /// Applies a platform list that has the engines in this state.
     pub fn list(&self, engines: &[&ScriptedEngine], state: VmState) {
         let versions: Vec<_> = engines.iter().map(|engine| (*engine, "v1")).collect();
         self.list_versions(&versions, state);
     }
 
-    /// Lists engines with the versions of their software.
+    /// Applies a platform list that has the engines with their software versions.
     pub fn list_versions(&self, engines: &[(&ScriptedEngine, &str)], state: VmState) {
         let row = |(engine, version): &(&ScriptedEngine, &str)| VmRow {
             service: self.pool.into(),
@@ -360,12 +364,12 @@
         self.state.apply_platform_list(PlatformList { vms: engines.iter().map(row).collect() });
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request with the key of `agents` and reads its answer.
     pub async fn call(&self, path: &str, id: &str) -> CallerAnswer {
         self.call_with(path, id, KEY, &[]).await
     }
 
-    /// Sends a request with a key and further headers.
+    /// Sends a request with a key and additional headers.
     pub async fn call_with(
         &self,
         path: &str,
@@ -396,9 +400,11 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let request = request.body(Full::new(Bytes::from(body.to_owned()))).expect("a request");
+        let request = request
+            .body(Full::new(Bytes::from(body.to_owned())))
+            .expect("the request consists of valid parts");
         let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-        let response = client.request(request).await.expect("an answer");
+        let response = client.request(request).await.expect("the request gets a response");
         let (head, body) = response.into_parts();
         let body = body.collect().await.ok();
         let body = body.map(|body| String::from_utf8_lossy(&body.to_bytes()).into_owned());
