--- a/tests/test_routed.rs
+++ b/tests/test_routed.rs
@@ -1,4 +1,4 @@
-//! Requests by route: what is repeated, what is refused, and what a caller gets when engines fail.
+//! Routed requests: retries, refusals, and the answers callers get when engines fail.
 
 use crate::routed_fleet::{EngineAction, KEY, RoutedFleet, ScriptedEngine, document};
 use http::StatusCode;
@@ -32,12 +32,15 @@
     assert_eq!(seen.header("tarragonknot-tenant"), Some("agents"));
     assert_eq!(seen.header("authorization"), None);
     assert_eq!(seen.header("host"), Some("shop.example"));
-    let left: u64 =
-        seen.header("tarragonknot-deadline-ms").expect("a deadline").parse().expect("a number");
+    let left: u64 = seen
+        .header("tarragonknot-deadline-ms")
+        .expect("the deadline header is present")
+        .parse()
+        .expect("the header holds an integer");
     assert!(left <= 2_500, "{left}");
 }
 
-/// An engine's own failure is its answer; a route that may repeat asks another engine first.
+/// An engine's error response is passed on; a route that allows retries tries another engine first.
 #[rstest]
 #[case::unsafe_once("/unsafe/", 1)]
 #[case::safe_twice("/safe/", 2)]
@@ -54,9 +57,9 @@
     assert_eq!(first.count() + second.count(), sends);
 }
 
-/// Symptom: a booking that ran is said not to have run, or runs twice.
-/// Sequence: the engine runs it and its answer is lost, cut short, or another request's. Cause: taking a missing
-/// answer for a missing run.
+/// Guards against reporting an executed request as not run, or running it twice. The engine runs
+/// it, but its answer is lost, truncated or belongs to another request. A missing answer does not
+/// prove that the request was not run.
 #[rstest]
 #[case::lost(EngineAction::Close)]
 #[case::cut_short(EngineAction::Truncated)]
@@ -77,8 +80,8 @@
     assert_eq!(engine.count() + other.count(), 1);
 }
 
-/// Symptom: a caller waits to its end for an engine that says nothing, and is told that nothing ran.
-/// Sequence: the engine hangs on a request that may run once. Cause: a refusal by the clock that says not run.
+/// Guards against a timeout that is reported as "not run". The engine hangs on a request that may
+/// run only once, and the caller waits until its deadline.
 #[tokio::test]
 async fn a_request_that_runs_past_its_time_ends_as_a_timeout() {
     let engine = ScriptedEngine::start("i-1", |_| EngineAction::Silent).await;
@@ -112,7 +115,8 @@
     assert_eq!(second.count(), 4);
 }
 
-/// Only the engine's own word says that a request did not run; then even a booking may come back.
+/// Only the engine can declare that a request was not run; then even an unsafe request may be sent
+/// again by its caller.
 #[tokio::test]
 async fn what_no_engine_ran_is_refused_as_not_run() {
     let engine = ScriptedEngine::start("i-1", |_| EngineAction::NotRun).await;
@@ -122,12 +126,11 @@
 
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
-    assert!(answer.body.expect("a body").contains("upstream-refused"));
+    assert!(answer.body.expect("the body is complete").contains("upstream-refused"));
 }
 
-/// Symptom: every request for an engine that was replaced goes there in vain.
-/// Sequence: an engine crashes and another starts at its address; the list lags. Cause: believing the list more than
-/// the engine's own word.
+/// Guards against sending every request to a replaced engine. An engine crashes, another starts at
+/// its address, and the platform list lags behind. The engine's own answer overrides the list.
 #[tokio::test]
 async fn another_incarnation_at_an_address_gets_no_more() {
     let replaced = ScriptedEngine::start("i-1", |_| EngineAction::OtherIncarnation).await;
@@ -144,9 +147,9 @@
     assert_eq!(sound.count(), 6);
 }
 
-/// Symptom: pieces are missing or doubled after an engine's death.
-/// Sequence: the engine stops in the middle of an event; another goes on. Cause: bytes passed on as they come, or
-/// resumed from the wrong event.
+/// Guards against missing or duplicated events after an engine fails. The engine stops in the
+/// middle of an event and another one resumes the stream. The fault arises when partial events are
+/// passed on or the stream is resumed from the wrong event.
 #[tokio::test]
 async fn a_resumable_stream_goes_on_elsewhere_after_its_last_whole_event() {
     let order = Arc::new(AtomicUsize::new(0));
@@ -196,9 +199,9 @@
     assert_eq!(answer.body.as_deref(), Some(events(1, 40).as_str()));
 }
 
-/// Symptom: a good key is called unknown, a route missing, just after a daemon started.
-/// Sequence: callers wait for the daemon to listen; its table comes a moment later. Cause: answering from an empty
-/// table, or refusing at once, which costs the caller its only retry.
+/// Guards against reporting a valid key or route as unknown just after a daemon has started.
+/// Callers connect as soon as it listens, and the table arrives a moment later. Answering from an
+/// empty table is wrong, and refusing at once costs the caller its only retry.
 #[tokio::test]
 async fn a_request_waits_a_little_for_the_first_table() {
     let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(200, "fine")).await;
@@ -221,7 +224,7 @@
     let answer = fleet.call("/safe/", "id-1").await;
 
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.body.expect("a body").contains("table-stale"));
+    assert!(answer.body.expect("the body is complete").contains("table-stale"));
 }
 
 #[tokio::test]
@@ -236,8 +239,9 @@
     assert_eq!(engine.count(), 0);
 }
 
-/// Symptom: a revoked key still has its request run. Sequence: the request waits for a place; the key is revoked; a
-/// place comes free. Cause: asking the table only on arrival.
+/// Guards against running a request whose key has been revoked. The request waits for a place, the
+/// key is revoked, then a place becomes free. Checking the table only on arrival misses the
+/// revocation.
 #[tokio::test]
 async fn the_table_is_asked_again_before_a_send() {
     let engine = ScriptedEngine::start("i-1", |number| match number {
@@ -268,8 +272,8 @@
     assert!(engine.seen().iter().all(|request| request.id != "late"));
 }
 
-/// Symptom: an engine works for callers who have left. Sequence: the caller closes its connection while the engine
-/// runs its request. Cause: a run that nobody's leaving ends.
+/// Guards against engines working for disconnected callers. The caller closes its connection while
+/// the engine runs its request; the disconnect has to cancel the run.
 #[tokio::test]
 async fn a_caller_who_leaves_ends_its_run() {
     let engine = ScriptedEngine::start("i-1", |_| EngineAction::Silent).await;
@@ -318,10 +322,10 @@
     assert!(page.contains(&format!("tarragonknot_size_requests_total{{{by_size}}}")), "{page}");
 }
 
-/// Symptom: a service that fails gets nearly twice its requests, from each daemon. Cause: repeats without a budget.
-/// Symptom: an organisation's limit is exceeded while its callers leave early. Sequence: a request is sent; its caller
-/// leaves before an answer; its tokens go back to the bucket, though an engine runs it. Cause: what was sent counts as
-/// run only once the send has ended. (Found by the soak, seed 106.)
+/// Guards against exceeding an organisation's limit when callers disconnect early. The caller
+/// leaves before the answer to a sent request, and its tokens are returned to the bucket although
+/// an engine runs the request. This happens if a request counts as run only once its send has ended
+/// (found by the soak with seed 106).
 #[tokio::test]
 async fn what_was_sent_counts_against_the_limit_though_its_caller_left() {
     let engine = ScriptedEngine::start("e1", |_| EngineAction::Silent).await;
@@ -341,10 +345,15 @@
     assert_eq!(engine_has_it, 1);
     let snapshot = fleet.state.snapshot();
     let organisation = OrganisationHash::of(&"agents".into());
-    let index = snapshot.access.token_limited_by_hash(organisation).expect("a limit");
+    let index = snapshot
+        .access
+        .token_limited_by_hash(organisation)
+        .expect("the organisation has a token limit");
     assert_eq!(fleet.state.limits().admitted_tokens(index), 1);
 }
 
+/// Guards against retries without a budget: a failing service would get nearly twice its requests
+/// from each daemon.
 #[tokio::test]
 async fn repeats_are_bounded_when_everything_fails() {
     let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(500, "broken")).await;
@@ -357,7 +366,8 @@
     assert!((40..=46).contains(&engine.count()), "{}", engine.count());
 }
 
-/// Guards against refusals in the moments after a start, before the first list of upstreams: each costs a caller its only retry.
+/// Guards against refusals between the start and the first list of upstreams: each costs a caller
+/// its only retry.
 #[tokio::test]
 async fn callers_before_the_first_list_are_served_once_it_is_there() {
     let engine = ScriptedEngine::start("i-1", |_| EngineAction::Answer(200, "fine")).await;
@@ -368,7 +378,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.list(&[&engine], VmState::Live);
 
-    let answer = call.await.expect("an answer");
+    let answer = call.await.expect("the caller task does not panic");
 
     assert_eq!(answer.status, StatusCode::OK);
 }
