--- a/tests/test_routes.rs
+++ b/tests/test_routes.rs
@@ -1,4 +1,4 @@
-//! Routes, what may be repeated, and tables ordered by their operator's version.
+//! Route matching, retry budgets, event splitting and the order of table versions.
 
 use rstest::rstest;
 use std::sync::Arc;
@@ -70,8 +70,9 @@
     row.targets = vec![target("none", 0), target("most", 90), target("few", 10), target("last", 0)];
     let draws = (0..1_000).map(|step| f64::from(step) / 1_000.0);
 
-    let chosen: Vec<&str> =
-        draws.map(|draw| row.select_target(draw).expect("a usable target").as_str()).collect();
+    let chosen: Vec<&str> = draws
+        .map(|draw| row.select_target(draw).expect("a target has a positive weight").as_str())
+        .collect();
 
     let count = |name: &str| chosen.iter().filter(|service| **service == name).count();
     assert_eq!((count("most"), count("few"), count("none"), count("last")), (900, 100, 0, 0));
@@ -103,9 +104,9 @@
     ledger.apply(&ControlCommand::Replace(Box::new(numbered)))
 }
 
-/// Symptom: a table that was replaced is in force again, or another one under its number.
-/// Sequence: two operators race with one version; an older table arrives late; a resend arrives after its answer
-/// was lost. Cause: taking what comes last instead of what is highest.
+/// Guards against a replaced table coming back into force, or a version changing its content. Two
+/// operators race with the same version, an older table arrives late, and a command is sent again
+/// after its answer was lost. The highest version has to win, not the latest arrival.
 #[test]
 fn the_highest_version_wins_and_its_content_stays() {
     let mut ledger = ControlLedger::default();
@@ -118,27 +119,29 @@
     assert_eq!(replies, expected);
     assert_eq!(ledger.table().version, 9);
     assert_eq!(ledger.table().document.as_deref(), Some("nine"));
-    let again = ControlLedger::from_json(&ledger.to_json()).expect("its own text");
+    let again =
+        ControlLedger::from_json(&ledger.to_json()).expect("the serialised ledger can be parsed");
     assert_eq!(again.table(), ledger.table());
 }
 
-/// Symptom: a service that fails gets twice its requests. Sequence: every request fails and is sent again.
-/// Cause: repeats without a bound over all requests.
+/// Guards against sending a failing service twice its requests: every request fails and is retried
+/// unless retries are bounded across all requests.
 #[test]
 fn repeats_stay_a_part_of_the_requests() {
     let mut budget = RetryBudget::new(RetryBound { ratio: 0.2, slack: 24 }, 6);
 
-    let repeats = (0..1_000).filter(|_| {
+    let retries = (0..1_000).filter(|_| {
         budget.deposit(6);
         budget.try_withdraw()
     });
-    let repeats = repeats.count();
+    let retries = retries.count();
 
-    assert!((95..=105).contains(&repeats), "{repeats}");
+    assert!((95..=105).contains(&retries), "{retries}");
 }
 
-/// Symptom: a service that fails gets more than the operators' bound in one window. Sequence: all daemons have saved up,
-/// and spend it at once. Cause: each of them saving up the whole slack.
+/// Guards against retries above the operators' bound within one window. All daemons have
+/// accumulated retry budget and spend it at once, so each of them may hold only its share of the
+/// slack.
 #[rstest]
 #[case::few(54, 7)]
 #[case::many(152, 56)]
@@ -152,9 +155,9 @@
     assert!(spent as u64 <= slack, "{spent}");
 }
 
-/// Symptom: a caller reads an event that is two halves of different ones.
-/// Sequence: an upstream stops within an event; another one goes on after the last whole one. Cause: bytes passed on
-/// as they come.
+/// Guards against an event made up of halves of two different ones. An upstream stops within an
+/// event and another resumes after the last complete event, so partial events must not be passed
+/// on.
 #[test]
 fn only_whole_events_are_passed_on() {
     let mut splitter = EventSplitter::default();
@@ -174,7 +177,7 @@
     assert_eq!((splitter.event_count(), splitter.take_remainder()), (3, None));
 }
 
-/// The end of an event may come split anywhere.
+/// Read boundaries may fall anywhere, also within the blank line that ends an event.
 #[test]
 fn an_event_is_whole_however_it_is_cut() {
     let text = b"id: 7\r\ndata: x\r\n\r\nid: 8\ndata: y\n\n";
