--- a/tests/test_traffic.rs
+++ b/tests/test_traffic.rs
@@ -1,4 +1,4 @@
-//! One daemon between real HTTP callers and stand-in upstreams.
+//! One daemon between HTTP callers and stand-in upstreams, over loopback.
 
 use crate::fixtures::{AGENTS_KEY, STAFF_KEY, small_fleet};
 use http::{Request, StatusCode};
@@ -21,11 +21,11 @@
 
 impl CallerAnswer {
     fn text(&self) -> &str {
-        self.body.as_deref().expect("a whole body")
+        self.body.as_deref().expect("the body is complete")
     }
 
     fn problem(&self) -> ProblemBody {
-        serde_json::from_str(self.text()).expect("a problem document")
+        serde_json::from_str(self.text()).expect("the body is a problem document")
     }
 }
 
@@ -42,7 +42,7 @@
         request = request.header("authorization", format!("Bearer {key}"));
     }
     let request = request.body(Full::from(body.to_owned())).unwrap();
-    let response = client.request(request).await.expect("an HTTP answer");
+    let response = client.request(request).await.expect("the request gets a response");
     let status = response.status();
     let body = response.into_body().collect().await.map_err(|error| error.to_string());
     CallerAnswer {
@@ -133,9 +133,9 @@
     assert!(fleet.service.runs().is_empty());
 }
 
-/// Symptom: a daemon cut off from the leader goes on to dispatch what waited there.
-/// Sequence: the lease runs out while a request waits, and the floor changes again and again, so that no report
-/// is ever answered or timed out. Cause: looking at the lease only when a report has failed.
+/// Guards against a daemon that is cut off from the leader but still dispatches queued requests.
+/// The lease expires while a request is queued, and the floor keeps changing, so that no report is
+/// ever answered or timed out. Checking the lease only after a failed report misses the expiry.
 #[tokio::test]
 async fn what_waits_is_refused_once_the_lease_has_run_out() {
     let fleet = small_fleet(|table| {
