--- a/tests/test_crash_check.rs
+++ b/tests/test_crash_check.rs
@@ -1,4 +1,4 @@
-//! What daemons log and count when connections to upstreams break.
+//! Logs and metrics of broken connections to upstreams, and request fingerprints.
 
 use crate::routed_fleet::{EngineAction, RoutedFleet, ScriptedEngine};
 use rstest::rstest;
@@ -6,7 +6,7 @@
 use tarragonknot::quarantine::{RequestContent, RequestFingerprint};
 use tarragonknot::report::{install_metrics, render_metrics};
 
-/// Waits until the metrics show `line`; the last metrics if they never do.
+/// Polls the metrics until they contain `line`; returns the last ones read, also without it.
 async fn wait_for_metrics(fleet: &RoutedFleet, line: &str) -> String {
     let mut metrics = String::new();
     for _ in 0..200 {
@@ -19,9 +19,9 @@
     metrics
 }
 
-/// Symptom: engines end one after the other, and nobody can tell from logs or metrics whether they did or a connection
-/// was lost. Sequence: an engine ends under a request, or closes the one connection and lives on. Cause: both show
-/// as a connection that closes; only a look at the engine tells them apart.
+/// Guards against logs and metrics that confuse a crashed engine with a lost connection. An engine
+/// ends while it runs a request, or closes only that connection and stays up. Both appear as a
+/// closed connection; only a probe of the engine tells them apart.
 #[rstest]
 #[case::ended("ended-pool", EngineAction::Crash, EngineAction::Crash, true)]
 #[case::behind_a_proxy_that_takes_connections(
@@ -71,7 +71,8 @@
     }
 }
 
-/// A caller that comes again gets another id each time, so ids say nothing of what engines are given to run.
+/// A caller's retry gets a new request id each time, so ids don't identify the content that engines
+/// run; fingerprints do.
 #[rstest]
 #[case::another_organisation(RequestContent { organisation: "others", ..content() })]
 #[case::another_method(RequestContent { method: "PUT", ..content() })]
