--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of upstreams, callers and connections, over real HTTP on loopback.
+//! Faults of upstreams, callers and connections, over HTTP on loopback.
 
 use crate::fixtures::{AGENTS_KEY, SmallFleet, small_fleet};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use tarragonknot::table::KeyDigest;
 use tarragonknot::upstream::PlatformList;
 
-/// A caller of the fixture's services, with the checks of the load tool.
+/// A small fleet and a load tool caller that checks its answers.
 struct LoadFixture {
     fleet: SmallFleet,
     profile: LoadProfile,
@@ -35,7 +35,7 @@
             .classes
             .iter()
             .position(|class| class.tier == tier)
-            .expect("a class of the profile");
+            .expect("the profile has a class of this tier");
         let at = Duration::ZERO;
         PlannedRequest {
             number,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Symptom, sequence and cause as in the golden session of the same name: the cut stream is resumed.
+/// A truncated stream is resumed; the golden session of the same name covers the same fault.
 #[tokio::test]
 async fn a_truncated_stream_is_resumed() {
     let fixture = load_fixture().await;
@@ -75,8 +75,9 @@
     fixture.assert_dispatched_at_most_once();
 }
 
-/// Symptom: a stream stops for good. Sequence: after five pieces the connection goes silent while the
-/// engine works on. Cause: the connection was forgotten in between; it is resumed on a new one.
+/// Guards against a stream that stalls for ever. After 5 pieces the connection goes silent while
+/// the engine keeps working, as when a middlebox forgets the connection. The stream has to be
+/// resumed on a new connection.
 #[tokio::test]
 async fn a_silent_stream_is_resumed() {
     let fixture = load_fixture().await;
@@ -107,8 +108,8 @@
 }
 
 #[rstest::rstest]
-// Whether a piece got through before the cut is the network's choice; that the caller is told the truth
-// is not.
+// Timing on the network decides whether any data arrives before the cut, so both answers are
+// correct.
 #[case::truncated(StandinFault::Truncated(0), &[AnswerKind::UpstreamTruncated, AnswerKind::UpstreamLost])]
 #[case::crossed(StandinFault::Crossed, &[AnswerKind::UpstreamCrossed])]
 #[case::died(StandinFault::Reset, &[AnswerKind::UpstreamLost])]
@@ -126,9 +127,8 @@
     fixture.assert_dispatched_at_most_once();
 }
 
-/// Symptom: the next caller gets the late answer of the one before.
-/// Sequence: a call is given up at its deadline; its answer comes later on the same connection.
-/// Cause: reusing a connection with an abandoned exchange.
+/// Guards against delivering a late answer to the next caller. A call is abandoned at its deadline,
+/// and its answer arrives later on the same connection, which must therefore not be reused.
 #[tokio::test]
 async fn an_abandoned_connection_is_never_used_again() {
     let mut fixture = load_fixture().await;
@@ -138,7 +138,7 @@
         .classes
         .iter_mut()
         .find(|class| class.tier == "lookup")
-        .expect("a lookup class");
+        .expect("the profile has a lookup class");
     lookup.deadline = Duration::from_millis(50);
 
     let first = fixture.call(1, "lookup", 1).await;
@@ -153,8 +153,8 @@
     fixture.assert_dispatched_at_most_once();
 }
 
-/// Symptom: engines work for callers that have gone.
-/// Sequence: a caller closes its connection in mid-stream. Cause: nobody tells the engine.
+/// Guards against engines working for disconnected callers. A caller closes its connection in
+/// mid-stream, and the engine has to be told.
 #[tokio::test]
 async fn a_caller_that_leaves_cancels_its_work() {
     let fixture = load_fixture().await;
@@ -163,13 +163,13 @@
 
     let left = tokio::time::timeout(Duration::from_millis(200), call).await;
 
-    assert!(left.is_err(), "the answer is far too long to be over");
+    assert!(left.is_err(), "the answer ended before the caller left");
     wait_until(|| fixture.fleet.engine.job_count() == 0).await;
     wait_until(|| fixture.fleet.state.in_progress() == 0).await;
 }
 
-/// Symptom: a shutdown cuts answers. Sequence: a drain, twice, in mid-stream. Cause: see the golden
-/// session; here with real connections.
+/// Guards against a shutdown that truncates answers: two drains arrive in mid-stream. The golden
+/// session covers the same case without real connections.
 #[tokio::test]
 async fn a_drain_finishes_what_runs() {
     let fixture = Arc::new(load_fixture().await);
@@ -184,15 +184,14 @@
     wait_until(|| !fixture.fleet.state.is_ready()).await;
     let admitted_late = fixture.call(2, "note", 5).await;
 
-    assert_eq!(running.await.expect("the caller's task ends"), CallOutcome::Whole);
+    assert_eq!(running.await.expect("the caller task does not panic"), CallOutcome::Whole);
     assert_eq!(admitted_late, CallOutcome::Whole);
     wait_until(|| fixture.fleet.state.is_drained()).await;
     assert!(matches!(fixture.call(3, "note", 5).await, CallOutcome::NoAnswer(_)));
 }
 
-/// Symptom: requests go to an upstream that the platform takes away.
-/// Sequence: the platform's list says leaving; the table still names the upstream. Cause: reading one
-/// source only; whichever says leaving first counts.
+/// Guards against requests to an upstream that the platform removes. The platform list marks it as
+/// leaving while the table still names it; the first source that says leaving counts.
 #[tokio::test]
 async fn the_platform_list_takes_an_upstream_out() {
     let fixture = load_fixture().await;
@@ -201,16 +200,16 @@
         fixture.fleet.engine.address
     );
 
-    fixture.fleet.state.apply_platform_list(PlatformList::read(&list).expect("a good list"));
+    fixture.fleet.state.apply_platform_list(PlatformList::read(&list).expect("the list is valid"));
     let outcome = fixture.call(1, "note", 5).await;
 
     assert_eq!(outcome, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
     assert!(fixture.fleet.engine.dispatches().is_empty());
 }
 
-/// Symptom: a list that is served over HTTP, or is broken for a while, is not followed.
-/// Sequence: the daemon reads a URL; the list is bad, then says leaving. Cause: reading files only, or giving
-/// up at the first bad list.
+/// Guards against ignoring a list that is served over HTTP or is invalid for a while. The daemon
+/// reads a URL whose list is first invalid, then marks the upstream as leaving. It must neither
+/// read only files nor stop at the first invalid list.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_platform_list_is_read_over_http() {
     let list = Arc::new(std::sync::Mutex::new("not a list".to_owned()));
@@ -225,7 +224,7 @@
         "daemon": "entry-1", "data_centre": "hall-a", "callers": "127.0.0.1:0", "control": "127.0.0.1:0",
         "fleet_key_file": "key", "data_folder": "data", "platform_list": url,
     });
-    let settings = DaemonSettings::read(&settings.to_string()).expect("good settings");
+    let settings = DaemonSettings::read(&settings.to_string()).expect("the settings are valid");
     tarragonknot::daemon::start_background_tasks(Arc::clone(&fixture.fleet.state), &settings);
 
     let before = fixture.call(1, "note", 3).await;
@@ -233,16 +232,16 @@
         r#"{{"vms": [{{"service": "pack-llm", "upstream": "engine-1", "address": "{}", "state": "leaving"}}]}}"#,
         fixture.fleet.engine.address
     );
-    let pool = fixture.fleet.state.pool(&"pack-llm".into()).expect("the pool");
+    let pool = fixture.fleet.state.pool(&"pack-llm".into()).expect("the service has a pool");
     wait_until(|| pool.status().live == 0).await;
 
     assert_eq!(before, CallOutcome::Whole);
     assert_eq!(fixture.call(2, "note", 3).await, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
 }
 
-/// Symptom: an upstream that refuses connections costs answers although another works.
-/// Sequence: the table names a dead address beside a live engine. Cause: no second try although
-/// provably nothing was sent.
+/// Guards against errors from an upstream that refuses connections while another one works. The
+/// table names a closed address beside a live engine; nothing was sent, so another upstream may be
+/// tried.
 #[tokio::test]
 async fn a_dead_upstream_costs_no_answer() {
     let profile = LoadProfile::new(ProfileKind::Lodgeframe);
@@ -294,7 +293,7 @@
     assert!(fleet.service.runs().is_empty());
 }
 
-/// Waits for something that must come; the test's own limit is the only clock.
+/// Polls `condition` every 5 ms; panics after 2 000 attempts, about 10 s.
 async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..2_000 {
         if condition() {
@@ -302,5 +301,5 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("did not happen within 10 s");
+    panic!("the condition was not met within 10 s");
 }
