--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -1,4 +1,5 @@
-//! `serve`, `table`, `status`, `voter`, `drain`: one daemon of its own process and an operator.
+//! `serve`, `table`, `status`, `voter`, `drain` and `completion`: operator commands against one
+//! daemon in a process of its own.
 
 use crate::fixtures::small_table;
 use crate::workdir::{ServedDaemon, WorkDir, free_address, stderr, stdout};
@@ -32,10 +33,10 @@
     fn show_table(&self) -> Value {
         let output = self.operate(&["table", "show", "--json"]);
         assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-        serde_json::from_str(&stdout(&output)).expect("JSON")
+        serde_json::from_str(&stdout(&output)).expect("the output is JSON")
     }
 
-    /// Writes `table` as an edit of the table in force, and returns the file's name.
+    /// Writes `table` to a file as an edit of the table in force; returns its path.
     fn edit(&self, name: &str, table: Value) -> String {
         let mut versioned = self.show_table();
         versioned["table"] = table;
@@ -78,9 +79,9 @@
     assert!(stdout(&single.operate(&["table", "show"])).contains("tiers"));
 }
 
-/// Symptom: an operator's edit silently overwrites another's.
-/// Sequence: two operators read one version; both apply. Cause: last write wins. The second is refused,
-/// with the winner and the difference, and a resend of either gets its first outcome.
+/// Guards against one operator silently overwriting another's edit. Both read the same version and
+/// apply their edits; the last write must not win. The second edit is refused with the winner and
+/// the difference, and a resend of either gets its first outcome.
 #[test]
 fn racing_operators_get_one_winner_and_resends_get_the_first_outcome() {
     let single = single_daemon();
