--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -1,4 +1,5 @@
-//! The adapter to the users' platform: what it reads and writes, and that its names stay in its folder.
+//! The platform adapter: the documents and headers it reads and writes. The platform's names stay
+//! within the adapter's folder.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use rstest::rstest;
@@ -36,7 +37,8 @@
 
 #[test]
 fn a_document_becomes_a_table() {
-    let (version, table) = DocumentReader.read(&document().to_string()).expect("a good document");
+    let (version, table) =
+        DocumentReader.read(&document().to_string()).expect("the document is valid");
 
     assert_eq!(version, 7);
     let (notes, book) = (&table.routes[0], &table.routes[1]);
@@ -46,7 +48,7 @@
     assert_eq!(book.patience_ms, None);
     assert_eq!(book.targets.len(), 2);
     assert_eq!(notes.tier, tier_name_of_rank(1));
-    let llm = table.service("llm").expect("the service");
+    let llm = table.service("llm").expect("the table has the service");
     assert_eq!((llm.first_guess, llm.event_tokens), (6, 3));
     let agents = &table.organisations[0];
     assert_eq!((agents.key_digests.len(), agents.limit_unit), (2, LimitUnit::Tokens));
@@ -66,9 +68,12 @@
     #[case] expected: &str,
 ) {
     let mut document = document();
-    *document.pointer_mut(pointer).expect("a place of the document") = value;
+    *document.pointer_mut(pointer).expect("the pointer names a value") = value;
 
-    let faults = DocumentReader.read(&document.to_string()).expect_err("a fault").to_string();
+    let faults = DocumentReader
+        .read(&document.to_string())
+        .expect_err("the document is invalid")
+        .to_string();
 
     assert!(faults.contains(expected), "{faults}");
 }
@@ -76,10 +81,13 @@
 #[test]
 fn a_key_that_two_organisations_share_is_a_fault() {
     let mut document = document();
-    let tenants = document["tenants"].as_array_mut().expect("a list");
+    let tenants = document["tenants"].as_array_mut().expect("the member is an array");
     tenants.push(json!({"name": "staff", "api_keys": ["two"]}));
 
-    let faults = DocumentReader.read(&document.to_string()).expect_err("a fault").to_string();
+    let faults = DocumentReader
+        .read(&document.to_string())
+        .expect_err("the document is invalid")
+        .to_string();
 
     assert!(faults.starts_with("/organisations/1/key_digests/0"), "{faults}");
 }
@@ -88,7 +96,10 @@
 fn a_document_that_ends_early_is_refused() {
     let text = document().to_string();
 
-    let faults = DocumentReader.read(&text[..text.len() / 2]).expect_err("a fault").to_string();
+    let faults = DocumentReader
+        .read(&text[..text.len() / 2])
+        .expect_err("the document is invalid")
+        .to_string();
 
     assert!(faults.starts_with("/: found line 1"), "{faults}");
 }
@@ -115,8 +126,8 @@
     assert_eq!(metadata.last_event_id, Some(12));
 }
 
-/// Symptom: an engine gives a caller another's memory, or learns a key. Sequence: a caller sets headers that are the
-/// system's to set. Cause: passing on what the caller sent.
+/// Guards against an engine exposing another caller's memory or learning a key: a caller sets
+/// headers that only the system may set, and they are passed on.
 #[test]
 fn what_only_the_system_may_set_never_comes_from_a_caller() {
     let mut headers = headers(&[
@@ -184,7 +195,7 @@
     #[case] body: &str,
     #[case] expected: ReservationReply,
 ) {
-    let status = StatusCode::from_u16(status).expect("a status");
+    let status = StatusCode::from_u16(status).expect("the status code is valid");
 
     let reply = HeaderDialect.read_reservation(status, body.as_bytes());
 
@@ -202,7 +213,7 @@
     #[case] is_not_run: bool,
     #[case] is_other: bool,
 ) {
-    let status = StatusCode::from_u16(status).expect("a status");
+    let status = StatusCode::from_u16(status).expect("the status code is valid");
 
     let metadata = HeaderDialect.read_answer(status, &headers(rows));
 
@@ -216,12 +227,12 @@
 
     let metadata = HeaderDialect.read_answer(StatusCode::OK, &headers);
 
-    let load = metadata.load.expect("a load");
+    let load = metadata.load.expect("the load header is read");
     assert_eq!((load.running, load.queued), (3, 1));
     assert_eq!(metadata.idle_timeout, Some(Duration::from_secs(5)));
 }
 
-/// The platform's names stand in its folder alone: nothing else may come to rely on them.
+/// The platform's names appear only in the adapter's folder, so that no other code depends on them.
 #[test]
 fn no_name_of_the_platform_stands_outside_its_folder() {
     let names = [
@@ -263,12 +274,15 @@
 }
 
 fn visit_source_files(folder: &Path, visit: &mut impl FnMut(&Path, &str)) {
-    for entry in std::fs::read_dir(folder).expect("a folder of ours") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("the source folder can be read") {
+        let path = entry.expect("the folder entry can be read").path();
         match path.is_dir() {
             true if path.ends_with("src/platform") => {}
             true => visit_source_files(&path, visit),
-            false => visit(&path, &std::fs::read_to_string(&path).expect("a source file")),
+            false => visit(
+                &path,
+                &std::fs::read_to_string(&path).expect("the source file is UTF-8 text"),
+            ),
         }
     }
 }
