--- a/tests/test_list_pages.rs
+++ b/tests/test_list_pages.rs
@@ -1,4 +1,4 @@
-//! The platform's list as several writers fill it: a bad entry costs itself alone.
+//! The platform's list, which several writers fill: an invalid entry affects no other entry.
 
 use axum::Router;
 use axum::extract::{RawQuery, State};
@@ -26,9 +26,9 @@
     rows.iter().map(|row| row.upstream.as_str()).collect()
 }
 
-/// Symptom: an engine that drains gets work for as long as a foreign entry stands in the list. Sequence: another writer
-/// adds one entry with a fault; each reading fails as a whole; the list before stays in force. Cause: a page that is
-/// decoded as one value.
+/// Guards against sending work to a draining engine while the list has an invalid entry. Another
+/// writer adds one such entry; if a page is decoded as a single value, every read fails and the
+/// previous list stays in force.
 #[rstest]
 #[case::no_id("/id", Value::Null)]
 #[case::id_of_another_type("/id", json!(7))]
@@ -75,7 +75,7 @@
 #[case::half_an_escape("i-\u{1}bad", br"\ud800")]
 fn bytes_that_cannot_be_read_cost_their_entry_alone(#[case] id: &str, #[case] bytes: &[u8]) {
     let marked = page(&[entry("i-1"), entry(id), entry("i-2")]).to_string();
-    let (before, after) = marked.split_once("\\u0001").expect("the mark");
+    let (before, after) = marked.split_once("\\u0001").expect("the page contains the marker");
     let raw = [before.as_bytes(), bytes, after.as_bytes()].concat();
 
     let read = read_page(&raw);
@@ -87,7 +87,7 @@
 #[test]
 fn an_entry_cut_off_keeps_what_came_before_it() {
     let text = page(&[entry("i-1"), entry("i-2")]).to_string();
-    let cut = &text[..text.find("i-2").expect("the second")];
+    let cut = &text[..text.find("i-2").expect("the page contains the second entry")];
 
     let read = read_page(cut.as_bytes());
 
@@ -154,7 +154,7 @@
     assert_eq!(list.vms.iter().map(|row| row.address.port()).collect::<Vec<u16>>(), [port]);
 }
 
-/// Serves pages by their tokens; the first has none.
+/// Serves pages by their tokens over HTTP; the first page has the empty token.
 async fn start_lister(pages: HashMap<String, Value>) -> InstanceLister {
     async fn answer(
         State(pages): State<Arc<HashMap<String, Value>>>,
@@ -165,8 +165,9 @@
         pages.get(token).map(Value::to_string).unwrap_or_default()
     }
     let router = Router::new().route("/instances", get(answer)).with_state(Arc::new(pages));
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener =
+        tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
+    let address = listener.local_addr().expect("the socket has a local address");
     tokio::spawn(async move { axum::serve(listener, router).await });
     InstanceLister::new(address, Arc::default())
 }
@@ -181,20 +182,20 @@
         (String::new(), page_with_next(&[entry("i-1")], "p-1")),
         ("p-1".to_owned(), page(&[entry("i-2")])),
     ];
-    let reading = start_lister(pages.into()).await.read().await.expect("a reading");
+    let reading = start_lister(pages.into()).await.read().await.expect("the list can be read");
 
     assert_eq!((names(&reading.rows), reading.is_whole), (vec!["i-1", "i-2"], true));
 }
 
-/// Symptom: a thousand calls for one reading. Sequence: a page names itself, or an earlier one, as the next. Cause:
-/// following each token.
+/// Guards against a thousand calls for one read: a page names itself or an earlier page as the
+/// next, and every token is followed.
 #[tokio::test]
 async fn a_token_that_repeats_ends_the_reading() {
     let pages = [
         (String::new(), page_with_next(&[entry("i-1")], "p-1")),
         ("p-1".to_owned(), page_with_next(&[entry("i-2")], "p-1")),
     ];
-    let reading = start_lister(pages.into()).await.read().await.expect("a reading");
+    let reading = start_lister(pages.into()).await.read().await.expect("the list can be read");
 
     assert_eq!(names(&reading.rows), ["i-1", "i-2"]);
     assert!(!reading.is_whole);
@@ -203,7 +204,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes a page has, decoding ends, and names no engine that the bytes do not name.
+    /// Decoding terminates for arbitrary bytes and returns no engine that they do not name.
     #[test]
     fn any_bytes_are_decoded(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let read = read_page(&bytes);
@@ -211,7 +212,7 @@
         prop_assert!(read.rows.iter().all(|row| text.contains(row.upstream.as_str())));
     }
 
-    /// Bytes put into one entry of three: the first stays, and never is there an engine that nobody named.
+    /// Noise inserted into the second of three entries leaves the first intact and adds no engine.
     #[test]
     fn damage_within_an_entry_adds_nothing(
         noise in proptest::collection::vec(any::<u8>(), 0..40),
