--- a/tests/workdir.rs
+++ b/tests/workdir.rs
@@ -1,4 +1,4 @@
-//! A folder for one test, and ways to run our own binary in it.
+//! A temporary work directory for one test, and helpers that run the binary in it.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -8,14 +8,15 @@
 use tempfile::TempDir;
 use tokio::net::TcpSocket;
 
-/// A work directory; gone when dropped.
+/// A temporary directory, deleted on drop.
 pub struct WorkDir {
     folder: TempDir,
 }
 
 impl WorkDir {
     pub fn new() -> Self {
-        let work = WorkDir { folder: tempfile::tempdir().expect("a temporary folder") };
+        let work =
+            WorkDir { folder: tempfile::tempdir().expect("a temporary folder can be created") };
         work.write("fleet.key", "a-fleet-key");
         work
     }
@@ -26,24 +27,24 @@
 
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.path(name);
-        std::fs::write(&path, text).expect("a writable folder");
+        std::fs::write(&path, text).expect("the file can be written");
         path
     }
 
     pub fn read(&self, name: &str) -> String {
-        std::fs::read_to_string(self.path(name)).expect("a file of the test")
+        std::fs::read_to_string(self.path(name)).expect("the file can be read")
     }
 
-    /// Runs the binary with these arguments and waits for it.
+    /// Runs the binary with these arguments to its end.
     pub fn run(&self, args: &[&str]) -> Output {
-        self.command(args).output().expect("our binary runs")
+        self.command(args).output().expect("the binary starts")
     }
 
     /// Runs an operator's command against a daemon's control address.
     pub fn operate(&self, control: SocketAddr, args: &[&str]) -> Output {
         let control = control.to_string();
         let key = self.path("fleet.key");
-        let key = key.to_str().expect("a text path");
+        let key = key.to_str().expect("the path is UTF-8");
         let mut all = args.to_vec();
         all.extend(["--control", &control, "--fleet-key-file", key]);
         self.run(&all)
@@ -55,22 +56,22 @@
         command
     }
 
-    /// Starts a daemon; it is killed when the value is dropped.
+    /// Starts a daemon, which is killed when the returned value is dropped.
     pub fn serve(&self, settings: &Path) -> ServedDaemon {
         let name = settings.file_stem().and_then(|name| name.to_str()).unwrap_or("daemon");
         let log = std::fs::File::options()
             .create(true)
             .append(true)
             .open(self.path(&format!("{name}.log")))
-            .expect("a log file");
+            .expect("the log file can be opened");
         let mut command = self.command(&["serve", "--settings"]);
-        let errors = log.try_clone().expect("a second handle");
+        let errors = log.try_clone().expect("the log handle can be cloned");
         command.arg(settings).stdin(Stdio::null()).stdout(log).stderr(errors);
-        ServedDaemon { child: command.spawn().expect("our binary runs") }
+        ServedDaemon { child: command.spawn().expect("the binary starts") }
     }
 }
 
-/// A daemon of its own process.
+/// A daemon in a process of its own.
 pub struct ServedDaemon {
     child: Child,
 }
@@ -79,17 +80,16 @@
     /// Sends a signal to the daemon's process.
     pub fn signal(&self, signal: &str) {
         let status = Command::new("kill").args([signal, &self.id().to_string()]).status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("kill starts").success());
     }
 
-    /// The process's id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit by itself; returns true if it succeeded.
     pub fn wait(mut self) -> bool {
-        self.child.wait().expect("a child of ours").success()
+        self.child.wait().expect("the child can be waited for").success()
     }
 }
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// One daemon of a fleet of processes.
+/// One daemon of a fleet with a process per daemon.
 pub struct FleetDaemon {
     pub name: String,
     pub callers: SocketAddr,
@@ -109,7 +109,7 @@
 }
 
 impl FleetDaemon {
-    /// The daemon `entry-NUMBER`, with addresses of its own and not started.
+    /// Creates the daemon `entry-NUMBER` with addresses of its own, without starting it.
     pub fn new(number: usize) -> Self {
         FleetDaemon {
             name: format!("entry-{number}"),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Its settings beside these voters, without a data folder.
+    /// Builds the settings, with the other daemons of `voters` as peers and without a data folder.
     pub fn settings(&self, voters: &[FleetDaemon]) -> Value {
         let peers = voters.iter().filter(|peer| peer.name != self.name);
         let peers: Vec<Value> = peers
@@ -132,38 +132,38 @@
         })
     }
 
-    /// Makes `settings` those of a voter.
+    /// Turns `settings` into those of a voter by adding a data folder.
     pub fn add_data_folder(&self, settings: &mut Value, founds_fleet: bool) {
         settings["data_folder"] = json!(format!("data-{}", self.name));
         settings["found_fleet"] = json!(founds_fleet);
     }
 
-    /// Starts it, or starts it again, in its work directory.
+    /// Starts or restarts the daemon in the work directory.
     pub fn start(&mut self, work: &WorkDir) {
         self.process = Some(work.serve(&work.path(&format!("{}.json", self.name))));
     }
 }
 
-/// An address of loopback that is this test process's own until it ends.
+/// Reserves a loopback address until the test process exits.
 ///
-/// The socket stays bound without listening, so nobody else is given the port, while a daemon may still
-/// listen on it (both set SO_REUSEADDR).
+/// The socket stays bound without listening, so the port is given to no other process, while a
+/// daemon can still listen on it (both set SO_REUSEADDR).
 pub fn free_address() -> SocketAddr {
     static RESERVED: Mutex<Vec<TcpSocket>> = Mutex::new(Vec::new());
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_reuseaddr(true).expect("a socket option");
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
-    let address = socket.local_addr().expect("a bound address");
-    RESERVED.lock().expect("no test panics here").push(socket);
+    let socket = TcpSocket::new_v4().expect("a socket can be opened");
+    socket.set_reuseaddr(true).expect("SO_REUSEADDR can be set");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a loopback port can be bound");
+    let address = socket.local_addr().expect("the socket has a local address");
+    RESERVED.lock().expect("no holder of the lock panics").push(socket);
     address
 }
 
-/// Standard output as text.
+/// Decodes standard output as text.
 pub fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Standard error as text.
+/// Decodes standard error as text.
 pub fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
