--- a/tests/fixtures.rs
+++ b/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixtures built by functions: a table, stand-ins and one daemon's traffic, all on loopback.
+//! Shared fixtures: a small table, and one daemon's traffic with stand-in upstreams on loopback.
 
 use slog::{Discard, Logger, o};
 use std::sync::Arc;
@@ -11,12 +11,13 @@
 use tarragonknot::traffic::{FrontendHandle, TrafficState, start_frontend};
 use tokio::net::TcpListener;
 
-/// The key of the organisation `agents`.
+/// API key of the organisation `agents`.
 pub const AGENTS_KEY: &str = "agents-key";
-/// The key of the organisation `staff`.
+/// API key of the organisation `staff`.
 pub const STAFF_KEY: &str = "staff-key";
 
-/// A table with two tiers, two organisations, a model and a plain service, and no upstreams.
+/// Builds a table with two tiers, two organisations, a model service and a plain one, and no
+/// upstreams.
 pub fn small_table() -> OperatorTable {
     let text = format!(
         r#"{{
@@ -33,10 +34,10 @@
         KeyDigest::of(AGENTS_KEY).0,
         KeyDigest::of(STAFF_KEY).0
     );
-    read_table(&text).expect("the fixture's table is good")
+    read_table(&text).expect("the table is valid")
 }
 
-/// One daemon's traffic before one engine and one plain service.
+/// One daemon's traffic in front of one engine and one plain service.
 pub struct SmallFleet {
     pub state: Arc<TrafficState>,
     pub front: FrontendHandle,
@@ -45,7 +46,7 @@
     pub table: OperatorTable,
 }
 
-/// Starts the fleet with `change` applied to the table.
+/// Starts a small fleet with `change` applied to its table.
 pub async fn small_fleet(change: impl FnOnce(&mut OperatorTable)) -> SmallFleet {
     let engine = start_engine(
         EngineShape::with_step(1_000),
@@ -67,7 +68,7 @@
     SmallFleet { state, front, engine, service, table }
 }
 
-/// A row for an upstream.
+/// Builds a table row for an upstream.
 pub fn upstream(name: &str, service: &str, address: std::net::SocketAddr) -> UpstreamRow {
     UpstreamRow {
         upstream: name.into(),
