--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole program: a file per subcommand, and focused files for the promises.
+//! Integration tests: a file per subcommand, and a file per guarantee of the system.
 
 mod burst_pool;
 mod engine_park;
