--- a/tests/settings_template.rs
+++ b/tests/settings_template.rs
@@ -1,26 +1,26 @@
-//! Fills in the settings template as the platform does: places, sections, and what is absent.
+//! Renders the settings template as the platform does: placeholders, sections and absent values.
 
 use serde_json::Value;
 
-/// The template that the platform fills in.
+/// The settings template that is deployed with the daemon and rendered by the platform.
 pub const TEMPLATE: &str = include_str!("../deploy/settings.json.template");
 
-/// The template with `fields` in their places.
+/// Renders `template` with the values of `fields`.
 pub fn render(template: &str, fields: &Value) -> String {
     render_scoped(template, &[fields])
 }
 
-/// The same inside sections: a name is looked up in the innermost entry first.
+/// Renders a section body; names are looked up in the innermost scope first.
 fn render_scoped(template: &str, scopes: &[&Value]) -> String {
     let mut rest = template;
     let mut text = String::new();
     while let Some((before, after)) = rest.split_once("{{") {
         text.push_str(before);
-        let (name, after) = after.split_once("}}").expect("a closed place");
+        let (name, after) = after.split_once("}}").expect("every placeholder is closed");
         rest = after;
         if let Some(section) = name.strip_prefix('#') {
             let end = format!("{{{{/{section}}}}}");
-            let (body, after) = rest.split_once(&end).expect("a closed section");
+            let (body, after) = rest.split_once(&end).expect("every section is closed");
             text.push_str(&section_text(body, look_up(scopes, section), scopes));
             rest = after;
         } else {
