--- a/tests/test_settings_template.rs
+++ b/tests/test_settings_template.rs
@@ -1,11 +1,11 @@
-//! The settings that the platform renders, with every bound that it may give.
+//! The settings that the platform renders, with every bound that it can set.
 
 use crate::settings_template::{TEMPLATE, render};
 use rstest::rstest;
 use serde_json::{Value, json};
 use tarragonknot::settings::DaemonSettings;
 
-/// The fields of a daemon that serves callers.
+/// Template fields for a daemon that serves callers.
 fn fields() -> Value {
     json!({
         "ip": "10.1.0.14", "zone": "hall-a",
@@ -31,8 +31,9 @@
     (*limit_overage, *limit_slack_tokens, *repeat_ratio, *repeat_slack)
 }
 
-/// Symptom: no process starts on a deployment that was scaled down; each ends with "expected a value of type integer".
-/// Sequence: a bound is worked out as a part of a larger one and is a fraction. Cause: a count read as a whole number.
+/// Guards against daemons that fail to start on a scaled-down deployment with "expected a value of
+/// type integer". A bound is computed as a share of a larger one and is a fraction, so counts have
+/// to accept fractions.
 #[rstest]
 #[case::fraction("retry_slack", json!(32.736_842_105_263_16), (0.1, 190_000, 0.3, 32))]
 #[case::fraction_of_tokens("quota_slack", json!(9_999.99), (0.1, 9_999, 0.3, 52))]
@@ -62,7 +63,8 @@
     let missing = bounds(&settings_with(bound, value));
     let text =
         r#"{"daemon": "a", "data_centre": "d", "control": "127.0.0.1:1", "data_folder": "/tmp/x"}"#;
-    let defaults = bounds(&DaemonSettings::read(text).expect("settings without bounds"));
+    let defaults =
+        bounds(&DaemonSettings::read(text).expect("the settings without bounds are valid"));
     let given = bounds(&settings_with("unknown", json!(1)));
 
     for at in 0..4 {
@@ -78,7 +80,9 @@
 fn a_bound_below_zero_is_a_fault_that_names_its_place() {
     let mut fields = fields();
     fields["bounds"]["retry_slack"] = json!(-1);
-    let faults = DaemonSettings::read(&render(TEMPLATE, &fields)).expect_err("a fault").to_string();
+    let faults = DaemonSettings::read(&render(TEMPLATE, &fields))
+        .expect_err("the settings are invalid")
+        .to_string();
 
     assert!(faults.contains("/repeat_slack"), "{faults}");
 }
@@ -88,7 +92,8 @@
     let mut fields = fields();
     fields["listen"] = json!({"control": "10.1.0.14:8230"});
     fields["data_dir"] = json!("/data");
-    let settings = DaemonSettings::read(&render(TEMPLATE, &fields)).expect("settings of a voter");
+    let settings =
+        DaemonSettings::read(&render(TEMPLATE, &fields)).expect("the voter settings are valid");
 
     assert!(settings.callers.is_none());
     assert!(settings.found_fleet);
