--- a/tests/test_faults.rs
+++ b/tests/test_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of upstreams, callers and connections, over real HTTP on loopback.
+//! Faults of upstreams, callers and connections, over HTTP on loopback.
 
 use crate::fixtures::{AGENTS_KEY, SmallFleet, small_fleet};
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use tarragonknot::table::KeyDigest;
 use tarragonknot::upstream::PlatformList;
 
-/// A caller of the fixture's services, with the checks of the load tool.
-struct Bench {
+/// A small fleet and a load tool caller that checks its answers.
+struct LoadFixture {
     fleet: SmallFleet,
     profile: LoadProfile,
     caller: LoadCaller,
 }
 
-async fn bench() -> Bench {
+async fn load_fixture() -> LoadFixture {
     let profile = LoadProfile::new(ProfileKind::Lodgeframe);
     let key = profile.key(0);
     let fleet = small_fleet(|table| {
@@ -25,17 +25,17 @@
     })
     .await;
     let caller = LoadCaller::new(fleet.front.address);
-    Bench { fleet, profile, caller }
+    LoadFixture { fleet, profile, caller }
 }
 
-impl Bench {
+impl LoadFixture {
     fn planned(&self, number: u64, tier: &str, output_tokens: u32) -> PlannedRequest {
         let class = self
             .profile
             .classes
             .iter()
             .position(|class| class.tier == tier)
-            .expect("a class of the profile");
+            .expect("the profile has a class of this tier");
         let at = Duration::ZERO;
         PlannedRequest {
             number,
@@ -63,29 +63,30 @@
     }
 }
 
-/// Symptom, sequence and cause as in the golden session of the same name: the cut stream is resumed.
+/// A truncated stream is resumed; the golden session of the same name covers the same fault.
 #[tokio::test]
 async fn a_truncated_stream_is_resumed() {
-    let bench = bench().await;
-    bench.fleet.engine.faults.push(StandinFault::Truncated(5));
+    let fixture = load_fixture().await;
+    fixture.fleet.engine.faults.push(StandinFault::Truncated(5));
 
-    let outcome = bench.call(1, "note", 20).await;
+    let outcome = fixture.call(1, "note", 20).await;
 
     assert_eq!(outcome, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
-/// Symptom: a stream stops for good. Sequence: after five pieces the connection goes silent while the
-/// engine works on. Cause: the connection was forgotten in between; it is resumed on a new one.
+/// Guards against a stream that stalls for ever. After 5 pieces the connection goes silent while
+/// the engine keeps working, as when a middlebox forgets the connection. The stream has to be
+/// resumed on a new connection.
 #[tokio::test]
 async fn a_silent_stream_is_resumed() {
-    let bench = bench().await;
-    bench.fleet.engine.faults.push(StandinFault::Silent(5));
+    let fixture = load_fixture().await;
+    fixture.fleet.engine.faults.push(StandinFault::Silent(5));
 
-    let outcome = bench.call(1, "note", 20).await;
+    let outcome = fixture.call(1, "note", 20).await;
 
     assert_eq!(outcome, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 #[rstest::rstest]
@@ -95,122 +96,120 @@
 #[case::died(StandinFault::Reset, CallOutcome::Refused(AnswerKind::UpstreamLost))]
 #[tokio::test]
 async fn engine_faults_end_truthfully(#[case] fault: StandinFault, #[case] expected: CallOutcome) {
-    let bench = bench().await;
-    bench.fleet.engine.faults.push(fault);
+    let fixture = load_fixture().await;
+    fixture.fleet.engine.faults.push(fault);
 
-    let outcome = bench.call(1, "note", 10).await;
-    let next = bench.call(2, "note", 10).await;
+    let outcome = fixture.call(1, "note", 10).await;
+    let next = fixture.call(2, "note", 10).await;
 
     assert_eq!(outcome, expected);
     assert_eq!(next, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 #[rstest::rstest]
-// Whether a piece got through before the cut is the network's choice; that the caller is told the truth
-// is not.
+// Timing on the network decides whether any data arrives before the cut, so both answers are
+// correct.
 #[case::truncated(StandinFault::Truncated(0), &[AnswerKind::UpstreamTruncated, AnswerKind::UpstreamLost])]
 #[case::crossed(StandinFault::Crossed, &[AnswerKind::UpstreamCrossed])]
 #[case::died(StandinFault::Reset, &[AnswerKind::UpstreamLost])]
 #[tokio::test]
 async fn service_faults_end_truthfully(#[case] fault: StandinFault, #[case] kinds: &[AnswerKind]) {
-    let bench = bench().await;
-    bench.fleet.service.faults.push(fault);
+    let fixture = load_fixture().await;
+    fixture.fleet.service.faults.push(fault);
 
-    let outcome = bench.call(1, "lookup", 1).await;
-    let next = bench.call(2, "lookup", 1).await;
+    let outcome = fixture.call(1, "lookup", 1).await;
+    let next = fixture.call(2, "lookup", 1).await;
 
     assert!(kinds.iter().any(|kind| outcome == CallOutcome::Refused(*kind)), "{outcome:?}");
     assert!(kinds.iter().all(|kind| kind.row().ran == ExecutionStatus::Unknown));
     assert_eq!(next, CallOutcome::Whole);
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
-/// Symptom: the next caller gets the late answer of the one before.
-/// Sequence: a call is given up at its deadline; its answer comes later on the same connection.
-/// Cause: reusing a connection with an abandoned exchange.
+/// Guards against delivering a late answer to the next caller. A call is abandoned at its deadline,
+/// and its answer arrives later on the same connection, which must therefore not be reused.
 #[tokio::test]
 async fn an_abandoned_connection_is_never_used_again() {
-    let mut bench = bench().await;
-    bench.fleet.service.faults.push(StandinFault::Delayed(Duration::from_millis(150)));
-    let lookup = bench
+    let mut fixture = load_fixture().await;
+    fixture.fleet.service.faults.push(StandinFault::Delayed(Duration::from_millis(150)));
+    let lookup = fixture
         .profile
         .classes
         .iter_mut()
         .find(|class| class.tier == "lookup")
-        .expect("a lookup class");
+        .expect("the profile has a lookup class");
     lookup.deadline = Duration::from_millis(50);
 
-    let first = bench.call(1, "lookup", 1).await;
-    bench.profile = LoadProfile::new(ProfileKind::Lodgeframe);
+    let first = fixture.call(1, "lookup", 1).await;
+    fixture.profile = LoadProfile::new(ProfileKind::Lodgeframe);
     let mut next = Vec::new();
     for number in 2..30 {
-        next.push(bench.call(number, "lookup", 1).await);
+        next.push(fixture.call(number, "lookup", 1).await);
     }
 
     assert_eq!(first, CallOutcome::Refused(AnswerKind::DeadlineRunning));
     assert!(next.iter().all(|outcome| *outcome == CallOutcome::Whole), "{next:?}");
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
-/// Symptom: engines work for callers that have gone.
-/// Sequence: a caller closes its connection in mid-stream. Cause: nobody tells the engine.
+/// Guards against engines working for disconnected callers. A caller closes its connection in
+/// mid-stream, and the engine has to be told.
 #[tokio::test]
 async fn a_caller_that_leaves_cancels_its_work() {
-    let bench = bench().await;
-    let planned = bench.planned(1, "note", 100_000);
-    let call = async { bench.caller.call(&bench.profile, &planned, 1).await };
+    let fixture = load_fixture().await;
+    let planned = fixture.planned(1, "note", 100_000);
+    let call = async { fixture.caller.call(&fixture.profile, &planned, 1).await };
 
     let left = tokio::time::timeout(Duration::from_millis(200), call).await;
 
-    assert!(left.is_err(), "the answer is far too long to be over");
-    wait_until(|| bench.fleet.engine.job_count() == 0).await;
-    wait_until(|| bench.fleet.state.in_progress() == 0).await;
+    assert!(left.is_err(), "the answer ended before the caller left");
+    wait_until(|| fixture.fleet.engine.job_count() == 0).await;
+    wait_until(|| fixture.fleet.state.in_progress() == 0).await;
 }
 
-/// Symptom: a shutdown cuts answers. Sequence: a drain, twice, in mid-stream. Cause: see the golden
-/// session; here with real connections.
+/// Guards against a shutdown that truncates answers: two drains arrive in mid-stream. The golden
+/// session covers the same case without real connections.
 #[tokio::test]
 async fn a_drain_finishes_what_runs() {
-    let bench = Arc::new(bench().await);
+    let fixture = Arc::new(load_fixture().await);
     let running = tokio::spawn({
-        let bench = Arc::clone(&bench);
-        async move { bench.call(1, "note", 150).await }
+        let fixture = Arc::clone(&fixture);
+        async move { fixture.call(1, "note", 150).await }
     });
-    wait_until(|| bench.fleet.engine.job_count() == 1).await;
+    wait_until(|| fixture.fleet.engine.job_count() == 1).await;
 
-    bench.fleet.front.drain();
-    bench.fleet.front.drain();
-    wait_until(|| !bench.fleet.state.is_ready()).await;
-    let admitted_late = bench.call(2, "note", 5).await;
+    fixture.fleet.front.drain();
+    fixture.fleet.front.drain();
+    wait_until(|| !fixture.fleet.state.is_ready()).await;
+    let admitted_late = fixture.call(2, "note", 5).await;
 
-    assert_eq!(running.await.expect("the caller's task ends"), CallOutcome::Whole);
+    assert_eq!(running.await.expect("the caller task does not panic"), CallOutcome::Whole);
     assert_eq!(admitted_late, CallOutcome::Whole);
-    wait_until(|| bench.fleet.state.is_drained()).await;
-    assert!(matches!(bench.call(3, "note", 5).await, CallOutcome::NoAnswer(_)));
+    wait_until(|| fixture.fleet.state.is_drained()).await;
+    assert!(matches!(fixture.call(3, "note", 5).await, CallOutcome::NoAnswer(_)));
 }
 
-/// Symptom: requests go to an upstream that the platform takes away.
-/// Sequence: the platform's list says leaving; the table still names the upstream. Cause: reading one
-/// source only; whichever says leaving first counts.
+/// Guards against requests to an upstream that the platform removes. The platform list marks it as
+/// leaving while the table still names it; the first source that says leaving counts.
 #[tokio::test]
 async fn the_platform_list_takes_an_upstream_out() {
-    let bench = bench().await;
+    let fixture = load_fixture().await;
     let list = format!(
         r#"{{"vms": [{{"service": "pack-llm", "upstream": "engine-1", "address": "{}", "state": "leaving"}}]}}"#,
-        bench.fleet.engine.address
+        fixture.fleet.engine.address
     );
 
-    bench.fleet.state.apply_platform_list(PlatformList::read(&list).expect("a good list"));
-    let outcome = bench.call(1, "note", 5).await;
+    fixture.fleet.state.apply_platform_list(PlatformList::read(&list).expect("the list is valid"));
+    let outcome = fixture.call(1, "note", 5).await;
 
     assert_eq!(outcome, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
-    assert!(bench.fleet.engine.dispatches().is_empty());
+    assert!(fixture.fleet.engine.dispatches().is_empty());
 }
 
-/// Symptom: a list that is served over HTTP, or is broken for a while, is not followed.
-/// Sequence: the daemon reads a URL; the list is bad, then says leaving. Cause: reading files only, or giving
-/// up at the first bad list.
+/// Guards against ignoring a list that is served over HTTP or is invalid for a while. The daemon
+/// reads a URL whose list is first invalid, then marks the upstream as leaving. It must neither
+/// read only files nor stop at the first invalid list.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_platform_list_is_read_over_http() {
     let list = Arc::new(std::sync::Mutex::new("not a list".to_owned()));
@@ -220,29 +219,29 @@
     let router =
         axum::Router::new().fallback(move || async move { served.lock().unwrap().clone() });
     tokio::spawn(async move { axum::serve(listener, router).await });
-    let bench = bench().await;
+    let fixture = load_fixture().await;
     let settings = serde_json::json!({
         "daemon": "entry-1", "data_centre": "hall-a", "callers": "127.0.0.1:0", "control": "127.0.0.1:0",
         "fleet_key_file": "key", "data_folder": "data", "platform_list": url,
     });
-    let settings = DaemonSettings::read(&settings.to_string()).expect("good settings");
-    tarragonknot::daemon::start_background_tasks(Arc::clone(&bench.fleet.state), &settings);
+    let settings = DaemonSettings::read(&settings.to_string()).expect("the settings are valid");
+    tarragonknot::daemon::start_background_tasks(Arc::clone(&fixture.fleet.state), &settings);
 
-    let before = bench.call(1, "note", 3).await;
+    let before = fixture.call(1, "note", 3).await;
     *list.lock().unwrap() = format!(
         r#"{{"vms": [{{"service": "pack-llm", "upstream": "engine-1", "address": "{}", "state": "leaving"}}]}}"#,
-        bench.fleet.engine.address
+        fixture.fleet.engine.address
     );
-    let pool = bench.fleet.state.pool(&"pack-llm".into()).expect("the pool");
+    let pool = fixture.fleet.state.pool(&"pack-llm".into()).expect("the service has a pool");
     wait_until(|| pool.status().live == 0).await;
 
     assert_eq!(before, CallOutcome::Whole);
-    assert_eq!(bench.call(2, "note", 3).await, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
+    assert_eq!(fixture.call(2, "note", 3).await, CallOutcome::Refused(AnswerKind::UpstreamAbsent));
 }
 
-/// Symptom: an upstream that refuses connections costs answers although another works.
-/// Sequence: the table names a dead address beside a live engine. Cause: no second try although
-/// provably nothing was sent.
+/// Guards against errors from an upstream that refuses connections while another one works. The
+/// table names a closed address beside a live engine; nothing was sent, so another upstream may be
+/// tried.
 #[tokio::test]
 async fn a_dead_upstream_costs_no_answer() {
     let profile = LoadProfile::new(ProfileKind::Lodgeframe);
@@ -254,26 +253,26 @@
     })
     .await;
     let caller = LoadCaller::new(fleet.front.address);
-    let bench = Bench { fleet, profile, caller };
+    let fixture = LoadFixture { fleet, profile, caller };
 
     let mut outcomes = Vec::new();
     for number in 0..12 {
-        outcomes.push(bench.call(number, "note", 3).await);
+        outcomes.push(fixture.call(number, "note", 3).await);
     }
 
     assert!(outcomes.iter().all(|outcome| *outcome == CallOutcome::Whole), "{outcomes:?}");
-    bench.assert_dispatched_at_most_once();
+    fixture.assert_dispatched_at_most_once();
 }
 
 #[tokio::test]
 async fn a_stale_table_admits_nothing() {
-    let bench = bench().await;
+    let fixture = load_fixture().await;
 
-    bench.fleet.state.set_current_until(tarragonknot::policy::Moment(0));
-    let outcome = bench.call(1, "note", 3).await;
+    fixture.fleet.state.set_current_until(tarragonknot::policy::Moment(0));
+    let outcome = fixture.call(1, "note", 3).await;
 
     assert_eq!(outcome, CallOutcome::Refused(AnswerKind::TableStale));
-    assert!(bench.fleet.engine.dispatches().is_empty());
+    assert!(fixture.fleet.engine.dispatches().is_empty());
 }
 
 #[tokio::test]
@@ -294,13 +293,13 @@
     assert!(fleet.service.runs().is_empty());
 }
 
-/// Waits for something that must come; the test's own limit is the only clock.
-async fn wait_until(is_so: impl Fn() -> bool) {
+/// Polls `condition` every 5 ms; panics after 2 000 attempts, about 10 s.
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..2_000 {
-        if is_so() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("did not happen within 10 s");
+    panic!("the condition was not met within 10 s");
 }
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -1,4 +1,5 @@
-//! `serve`, `table`, `status`, `voter`, `drain`: one daemon of its own process and an operator.
+//! `serve`, `table`, `status`, `voter`, `drain` and `completion`: operator commands against one
+//! daemon in a process of its own.
 
 use crate::fixtures::small_table;
 use crate::workdir::{ServedDaemon, WorkDir, free_address, stderr, stdout};
@@ -29,15 +30,15 @@
         self.work.operate(self.control, args)
     }
 
-    fn shown(&self) -> Value {
+    fn show_table(&self) -> Value {
         let output = self.operate(&["table", "show", "--json"]);
         assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-        serde_json::from_str(&stdout(&output)).expect("JSON")
+        serde_json::from_str(&stdout(&output)).expect("the output is JSON")
     }
 
-    /// Writes `table` as an edit of the table in force, and returns the file's name.
+    /// Writes `table` to a file as an edit of the table in force; returns its path.
     fn edit(&self, name: &str, table: Value) -> String {
-        let mut versioned = self.shown();
+        let mut versioned = self.show_table();
         versioned["table"] = table;
         self.work.write(name, &versioned.to_string()).to_string_lossy().into_owned()
     }
@@ -78,9 +79,9 @@
     assert!(stdout(&single.operate(&["table", "show"])).contains("tiers"));
 }
 
-/// Symptom: an operator's edit silently overwrites another's.
-/// Sequence: two operators read one version; both apply. Cause: last write wins. The second is refused,
-/// with the winner and the difference, and a resend of either gets its first outcome.
+/// Guards against one operator silently overwriting another's edit. Both read the same version and
+/// apply their edits; the last write must not win. The second edit is refused with the winner and
+/// the difference, and a resend of either gets its first outcome.
 #[test]
 fn racing_operators_get_one_winner_and_resends_get_the_first_outcome() {
     let single = single_daemon();
@@ -106,13 +107,13 @@
     assert!(stderr(&lost).contains("tiers/urgent/weight: 3 -> 9"), "{}", stderr(&lost));
     assert_eq!(stdout(&won_again), stdout(&won));
     assert_eq!(stderr(&lost_again), stderr(&lost));
-    assert_eq!(single.shown()["version"], 1);
+    assert_eq!(single.show_table()["version"], 1);
 }
 
 #[test]
 fn status_and_voters_are_shown() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
 
     let status: Value =
         serde_json::from_str(&stdout(&single.operate(&["status", "--json"]))).unwrap();
@@ -128,7 +129,7 @@
 #[test]
 fn a_wrong_key_is_refused_and_never_logged() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
     let wrong = single.work.write("wrong.key", "a-guess");
 
     let output = single.work.run(&[
@@ -158,13 +159,13 @@
 
     assert_eq!(output.status.code(), Some(2));
     assert!(stderr(&output).contains("expected no member named upstreems"), "{}", stderr(&output));
-    assert_eq!(single.shown()["version"], 0);
+    assert_eq!(single.show_table()["version"], 0);
 }
 
 #[test]
 fn a_drain_by_an_operator_ends_the_daemon() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
 
     let output = single.operate(&["drain"]);
     let SingleDaemon { daemon, work, .. } = single;
@@ -179,7 +180,7 @@
 #[test]
 fn a_second_process_over_one_folder_is_refused() {
     let single = single_daemon();
-    single.shown();
+    single.show_table();
     let mut settings: Value = serde_json::from_str(&single.work.read("entry-1.json")).unwrap();
     settings["callers"] = json!(free_address().to_string());
     settings["control"] = json!(free_address().to_string());
