--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -1,4 +1,4 @@
-//! Properties of queue, limits, floor and placement.
+//! Properties of the fair queue, organisation limits, shed floor and upstream placement.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -223,9 +223,9 @@
     assert!(book.admit(OrganisationIndex(1), 1, Moment(2)).is_ok());
 }
 
-/// Symptom: a daemon sheds a middle tier while another still admits the lowest.
-/// Sequence: this daemon wants the floor at the top; the fleet has confirmed nothing, then one step.
-/// Cause: dropping several tiers at once. Each step waits for the whole fleet.
+/// Guards against shedding a middle tier while another daemon still admits the lowest. This
+/// happened when a daemon that wanted the highest floor dropped several tiers at once; each step
+/// must wait until the whole fleet has confirmed the previous one.
 #[test]
 fn the_floor_rises_one_confirmed_tier_at_a_time() {
     let mut floor = ShedFloor::default();
@@ -252,9 +252,9 @@
     assert_eq!(floor.lowest_admitted(), Some(TierRank(0)));
 }
 
-/// Symptom: a confirmation of an earlier floor counts for a later one.
-/// Sequence: the daemon wanted a looser floor, or none, when it asked.
-/// Cause: an answer without the question. It counts only for the floor that was asked for.
+/// Guards against a confirmation of an earlier floor being counted for a later one. The daemon had
+/// reported a lower floor, or none, when it asked; a confirmation is valid only for the floor that
+/// was reported with the request.
 #[test]
 fn a_confirmation_of_another_floor_does_not_count() {
     let mut floor = ShedFloor::default();
@@ -271,9 +271,9 @@
     assert!(!floor.raise(TierRank(0), Moment::from_millis(20)));
 }
 
-/// Symptom: one engine gets every request until the next report.
-/// Sequence: two engines report equal load; many requests come before the next report.
-/// Cause: trusting a stale report. What was sent since is added to it.
+/// Guards against sending every request to one engine until the next load report. Two engines
+/// report equal load and many requests arrive before the next report, so the requests dispatched
+/// since a report must be added to it.
 #[test]
 fn sends_since_a_report_correct_it() {
     let mut plan = crate::session::plan(64);
@@ -341,8 +341,8 @@
         .count()
 }
 
-/// Symptom: an organisation gets its limit once from every daemon.
-/// Sequence: its callers are spread over two daemons. Cause: each applying the limit whole.
+/// Guards against an organisation getting its full limit from every daemon. Its callers are spread
+/// over two daemons, and each applied the whole limit.
 #[rstest]
 #[case::requests(1, 10)]
 #[case::tokens(50, 4)]
@@ -355,8 +355,8 @@
     assert_eq!(together, whole);
 }
 
-/// Symptom: more requests in progress than the limit after shares have moved.
-/// Sequence: a daemon's share is made smaller while its requests run. Cause: giving the part away before they end.
+/// Guards against exceeding the concurrency limit after shares have moved. A daemon's share shrinks
+/// while its requests run; the released part must not be given away before those requests end.
 #[test]
 fn requests_in_progress_count_until_they_end() {
     let mut book = limit_book(0.5);
@@ -371,7 +371,7 @@
     assert_eq!(book.demand(), 4);
 }
 
-/// A daemon without a share admits nothing under a rate, rather than everything.
+/// A daemon without a share admits nothing under a rate limit, rather than everything.
 #[test]
 fn without_a_share_the_rate_is_refused() {
     let mut book = limit_book(0.0);
