--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -1,4 +1,5 @@
-//! Limits that several daemons keep together, and the queue that puts those in time first.
+//! Organisation limits that several daemons enforce together, and the urgency queue, which serves
+//! requests that can still meet their objective first.
 
 use rstest::rstest;
 use std::collections::HashMap;
@@ -17,7 +18,8 @@
 /// Tokens of one request.
 const COST: u32 = 2_000;
 
-/// Callers ask for `times` the limit, evenly at all daemons of a fleet; `hears` says who hears whom and when.
+/// Requests `times` the limit, spread evenly over all daemons of a fleet. `hears` decides which
+/// daemon receives whose messages, and when.
 fn play(
     times: f64,
     daemons: usize,
@@ -33,7 +35,8 @@
     fleet.ask((times, COST), seconds, |draw| (draw * daemons as f64) as usize)
 }
 
-/// Symptom: an organisation gets as many times its limit as there are daemons. Cause: each daemon applies it alone.
+/// Guards against each daemon applying the limit alone, which multiplies an organisation's limit by
+/// the number of daemons.
 #[test]
 fn daemons_that_hear_each_other_keep_one_limit() {
     let asked = play(8.0, 6, 10, |_, _, _| true);
@@ -43,9 +46,9 @@
     assert!(sum >= RATE * 10, "{asked:?}");
 }
 
-/// Symptom: an organisation exceeds its limit while entries are cut off from each other.
-/// Sequence: callers ask for eight times the limit; after two seconds four of seven daemons hear nobody any more.
-/// Cause: taking a silent daemon for one that lets nothing through, or less and less.
+/// Guards against exceeding the limit while daemons are partitioned. Callers request eight times
+/// the limit, and after two seconds four of seven daemons receive no messages. This happened when a
+/// silent daemon was assumed to admit nothing, or less and less.
 #[test]
 fn daemons_that_hear_nothing_of_each_other_keep_it_too() {
     let is_cut = |number: usize, millis: u64| number < 4 && millis >= 2_000;
@@ -55,7 +58,7 @@
     assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
 
-/// The same in a fleet with aggregators: a member, and an aggregator, are cut off.
+/// The same in a fleet with aggregators: a member and an aggregator are partitioned.
 #[test]
 fn daemons_of_a_large_fleet_that_are_cut_off_keep_it_too() {
     let is_cut = |number: usize, millis: u64| number < 4 && millis >= 2_000;
@@ -65,9 +68,9 @@
     assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
 
-/// Symptom: after a cut has healed one daemon refuses all and the others let all through.
-/// Sequence: a daemon is cut off for five seconds and hears the others again. Cause: a debt that never falls, since
-/// the others use up what is refilled.
+/// Guards against one daemon refusing everything and the others admitting everything after a
+/// partition has healed. A daemon is cut off for five seconds; its debt then never fell, because
+/// the others used up the refill.
 #[test]
 fn a_daemon_that_comes_back_gets_its_part_again() {
     let is_cut = |number: usize, millis: u64| number == 0 && (2_000..7_000).contains(&millis);
@@ -79,9 +82,9 @@
     assert!(late <= RATE as f64 * 1.2, "{asked:?}");
 }
 
-/// Symptom: a large fleet refuses nearly everything although nobody is beyond a limit (18,921 of 31,062 requests on a
-/// day with 291 daemons). Sequence: daemons hear late what the others let through; callers ask for less than the limit.
-/// Cause: what is not known reckoned as a guess times the number of daemons.
+/// Guards against a large fleet refusing nearly everything although no organisation exceeds its
+/// limit (18,921 of 31,062 requests in one day with 291 daemons). Daemons learn late what the
+/// others admit, and the unknown part was estimated as a guess times the number of daemons.
 #[rstest]
 #[case::half(0.5, 74)]
 #[case::nearly_all(0.9, 74)]
@@ -93,9 +96,10 @@
     assert!(asked.refused * 200 <= asked.requests, "{asked:?}");
 }
 
-/// Symptom: on a fleet of 74 an organisation that asks for six times its limit gets 7 % more than is tolerated.
-/// Sequence: its bucket is nearly empty; every daemon sees the same rest and spends it before it hears of the others.
-/// Cause: word that is old taken for the present.
+/// Guards against exceeding the limit on a large fleet: with 74 daemons, an organisation that
+/// requested six times its limit got 7 % more than is tolerated. Its bucket is nearly empty, and
+/// every daemon saw the same remainder and spent it before hearing of the others, as it took old
+/// reports for current.
 #[rstest]
 #[case(6.0, 74)]
 #[case(3.0, 291)]
@@ -109,8 +113,9 @@
     assert!(asked.mean_from(4) <= RATE as f64 * 1.1, "{asked:?}");
 }
 
-/// Symptom: an organisation's limit is exceeded in the first second of a burst. Sequence: it asks for little, then for six
-/// times its limit at once, at all of 291 daemons. Cause: rates that are averaged over too long a time.
+/// Guards against exceeding the limit in the first second of a burst. An organisation requests
+/// little, then six times its limit at once at all of 291 daemons; rates averaged over too long a
+/// time missed the rise.
 #[test]
 fn a_sudden_burst_is_held_too() {
     let mut fleet = FleetPlay::calm(291, 3);
@@ -122,9 +127,9 @@
     assert!(asked.worst(8) <= (RATE * 9) * 11 / 10, "{asked:?}");
 }
 
-/// Symptom: on a large fleet organisations below their limits are refused. Sequence: an organisation's callers are at
-/// a few daemons and ask for nine tenths of its limit. Cause: taking it that every daemon of the fleet lets as much
-/// through.
+/// Guards against a large fleet refusing organisations below their limits. The callers use a few
+/// daemons and request nine tenths of the limit; this failed when every daemon of the fleet was
+/// assumed to admit as much.
 #[rstest]
 #[case(74)]
 #[case(291)]
@@ -138,8 +143,8 @@
     assert!(asked.refused * 200 <= asked.requests, "{asked:?}");
 }
 
-/// Symptom: a burst passes twice. Sequence: a process is killed after letting a burst through and started again.
-/// Cause: a new process with full buckets.
+/// Guards against admitting a burst twice. A process is killed after admitting a burst and
+/// restarted; the new process must not start with full buckets.
 #[test]
 fn a_new_process_begins_with_empty_buckets() {
     let mut daemon = hot_limits(Moment::from_millis(5_000));
@@ -151,9 +156,9 @@
     assert!(later.is_ok());
 }
 
-/// Symptom: an organisation's limit is exceeded by half in the first three seconds. Sequence: all daemons start at
-/// once; until there is a leader none is told of the others. Cause: a daemon that knows of nobody takes itself for the
-/// only one. (Found by the soak, seed 106.)
+/// Guards against exceeding the limit by half in the first three seconds. All daemons start at
+/// once, and until there is a leader none knows of the others; a daemon that knew no other took
+/// itself for the only one. Found by the soak, seed 106.
 #[test]
 fn daemons_that_know_of_nobody_yet_keep_the_limit_between_them() {
     let alone = |number: u16| {
@@ -182,9 +187,9 @@
     assert!(state.limit_share() >= 1.0);
 }
 
-/// Symptom: an organisation's limit is exceeded after a machine froze for seconds. Sequence: one of four daemons
-/// stands still; the others let the whole limit through; it goes on with a bucket that has been refilled. Cause: a
-/// pause that only a new process reckons with. (Found by the soak, seed 106.)
+/// Guards against exceeding the limit after a machine froze for seconds. One of four daemons is
+/// paused while the others admit the whole limit; it resumed with a refilled bucket, because only a
+/// new process accounted for the gap. Found by the soak, seed 106.
 #[test]
 fn a_process_that_stood_still_goes_on_with_empty_buckets() {
     let began = Moment::from_millis(0);
@@ -211,8 +216,8 @@
     assert_eq!(passed, 150);
 }
 
-/// Symptom: in a burst every answer is late. Sequence: more comes than is worked off; first come, first served.
-/// Cause: each waits behind those that are late already.
+/// Guards against every answer of a burst being late. More requests arrive than are served, and
+/// under first-come, first-served each waits behind those that are already late.
 #[test]
 fn those_still_in_time_go_before_those_that_are_late() {
     let mut pool = BurstPool::new();
@@ -245,8 +250,8 @@
     assert!(place.is_some_and(|place| (1..=32).contains(&place)), "{order:?}");
 }
 
-/// Symptom: callers wait until they leave, and nothing tells them to come back. Sequence: a request waits past the
-/// time for which its caller waits for a first event. Cause: a wait bounded by the deadline alone.
+/// Guards against callers waiting until they leave without being told to retry. A request waits
+/// longer than its caller waits for a first event; the wait was bounded by the deadline alone.
 #[test]
 fn what_cannot_start_within_the_callers_patience_is_refused() {
     let mut pool = BurstPool::new();
@@ -260,14 +265,15 @@
     assert!(matches!(refused[..], [PoolAction::Refuse { id: RequestId(2), .. }]), "{refused:?}");
 }
 
-/// A caller that was here before comes at `millis`, late in any case.
+/// A retry that arrives at `millis` and has already missed its objective.
 fn come_back(pool: &mut BurstPool, id: u64, millis: u64) {
     let mut request = arrived(id, 0, 1_000, millis);
     request.objective = Some(Moment::from_millis(millis));
     pool.tell(PoolEvent::Arrived(request), millis);
 }
 
-/// Guards against callers that wait for the whole of their time, a second time, for a refusal that was to be expected.
+/// Guards against retries that wait for the whole of their time again before a refusal that was
+/// predictable.
 #[test]
 fn a_returned_caller_without_prospect_is_refused_at_once() {
     let mut pool = BurstPool::new();
@@ -286,7 +292,7 @@
     assert_eq!(ids.collect::<Vec<u64>>(), [1_000]);
 }
 
-/// Guards against returned callers that are refused though nothing goes before them.
+/// Guards against refusing retries although nothing is queued ahead of them.
 #[test]
 fn a_returned_caller_with_nothing_before_it_waits_for_its_place() {
     let mut pool = BurstPool::new();
@@ -300,8 +306,8 @@
     assert_eq!((waited, served), (Vec::new(), vec![2]));
 }
 
-/// Symptom: a failing engine gets the most requests, since nothing runs there. Sequence: it ends each at once with a
-/// failure. Cause: placement by load alone.
+/// Guards against a failing engine getting the most requests. It ends each at once with a failure,
+/// so nothing runs there, and placement by load alone prefers it.
 #[test]
 fn an_engine_that_fails_rests() {
     let mut pool = BurstPool::new();
@@ -325,7 +331,7 @@
     assert!(to_failing <= 2, "{to_failing}");
 }
 
-/// A pool of two engines, the first four times slower, as its events tell.
+/// A pool of two engines; the token gaps reported for the first are four times longer.
 fn pool_with_a_slow_engine() -> BurstPool {
     let mut pool = BurstPool::new();
     pool.tell(PoolEvent::Sources(vec![source("e1", 1), source("e2", 2)]), 1);
@@ -339,8 +345,9 @@
     pool
 }
 
-/// Symptom: the longest answers are cut by their deadline. Sequence: a long answer goes to an engine that begins it
-/// in time and makes its tokens four times slower than the rest. Cause: placement by the first event alone.
+/// Guards against the longest answers being cut off by their deadline. A long answer goes to an
+/// engine that starts it in time but generates tokens four times slower than the rest, when
+/// placement considers the first event alone.
 #[test]
 fn a_long_answer_does_not_go_to_an_engine_too_slow_for_it() {
     let mut pool = pool_with_a_slow_engine();
@@ -356,8 +363,8 @@
     assert_eq!(slow, 0);
 }
 
-/// Symptom: engines with queues beside idle ones. Sequence: daemons that know the same place their requests at the
-/// same moment. Cause: taking the first of those that look alike.
+/// Guards against queues on some engines while others are idle. Daemons with the same information
+/// place their requests at the same moment, and all chose the first of several equal engines.
 #[test]
 fn engines_that_look_alike_are_chosen_in_turn() {
     let mut pool = BurstPool::new();
@@ -379,8 +386,9 @@
     LimitClaim { cost, usual_cost: cost, rank, ..LimitClaim::default() }
 }
 
-/// Symptom: an organisation at its limit has its urgent requests refused while its least urgent ones run.
-/// Sequence: it asks for twice its limit, half of it urgent. Cause: a limit that is spent on what comes first.
+/// Guards against an organisation at its limit having urgent requests refused while its least
+/// urgent ones run. It requests twice its limit, half of it urgent, and the limit was spent in
+/// order of arrival.
 #[test]
 fn an_organisation_spends_its_limit_on_what_is_urgent() {
     let mut daemon = hot_limits(Moment::from_millis(0));
@@ -399,7 +407,7 @@
     assert!(least_urgent >= 150, "{refused:?}");
 }
 
-/// Below the limit a lower rank is refused nothing.
+/// Below the limit, no request of a lower rank is refused.
 #[test]
 fn a_lower_rank_has_the_whole_limit_while_nobody_else_wants_it() {
     let mut daemon = hot_limits(Moment::from_millis(0));
@@ -412,8 +420,9 @@
     assert_eq!(refused.count(), 0);
 }
 
-/// Symptom: tiny bookings are refused beside long notes. Sequence: an organisation at its limit sends both. Cause: a
-/// part of the limit kept from a rank whatever its requests take.
+/// Guards against refusing small requests because large ones of the same organisation do not fit.
+/// An organisation at its limit sends both, and a part of the limit was withheld from a rank
+/// regardless of the cost of its requests.
 #[test]
 fn a_small_request_of_a_low_rank_passes_while_a_large_one_leaves_room() {
     let mut daemon = hot_limits(Moment::from_millis(0));
@@ -427,9 +436,9 @@
     assert!(small.is_ok());
 }
 
-/// Symptom: an organisation at its limit gets late answers while its newcomers are refused. Sequence: it asks for more than
-/// its limit; who was refused comes back and is let through in the stead of a newcomer. Cause: a limit that is spent on
-/// what comes first.
+/// Guards against an organisation at its limit getting late answers while its new requests are
+/// refused. It requests more than its limit, and a retry of a refused request was admitted in place
+/// of a new request, because the limit was spent in order of arrival.
 #[test]
 fn an_organisation_spends_its_limit_on_newcomers_first() {
     let mut daemon = hot_limits(Moment::from_millis(0));
