--- a/tests/test_worth.rs
+++ b/tests/test_worth.rs
@@ -1,4 +1,4 @@
-//! Which requests earn most for the engines' time, which callers have been here before, and which places fit.
+//! Request order by value density, detection of retries, and choice of fitting engines.
 
 use crate::burst_pool::{BurstPool, arrived, sent, urgency_plan};
 use crate::session::source;
@@ -19,7 +19,7 @@
     sent(&pool.tell(PoolEvent::Arrived(request), at))
 }
 
-/// A pool whose only place is taken by request 0 until it is ended.
+/// A pool whose only slot is held by request 0 until that ends.
 fn busy_pool(off: &[Mechanism]) -> BurstPool {
     let mut plan = urgency_plan();
     plan.mechanisms = MechanismSet::without(off);
@@ -46,7 +46,8 @@
     assert_eq!(sent(&pool.end(0, 10)), [1]);
 }
 
-/// Which of two ranks earns more follows from what their requests cost, not from a figure for each rank.
+/// The order of two ranks follows from value and cost of their requests, not from a fixed figure
+/// for each rank.
 #[test]
 fn a_lower_rank_goes_first_where_it_costs_so_little_that_it_earns_more() {
     let mut dear = busy_pool(&[]);
@@ -60,8 +61,8 @@
     assert_eq!(sent(&alike.end(0, 10)), [1]);
 }
 
-/// Symptom: in a burst that lasts, long requests are never served. Sequence: there is always a short one that earns more.
-/// Cause: an order by worth alone.
+/// Guards against starving long requests in a lasting burst. There is always a short request with a
+/// higher value density, so an order by value density alone never serves the long ones.
 #[test]
 fn long_requests_of_a_lane_are_served_in_their_turn() {
     let mut pool = busy_pool(&[]);
@@ -103,8 +104,8 @@
     assert_eq!(ladder.cost_at_or_above(0.0), 11_000);
 }
 
-/// Symptom: in a burst a tenth of the answers are late that were thought to be in time. Sequence: a caller is refused and
-/// comes back with what is left of its time. Cause: its objective is taken to begin anew.
+/// Guards against a tenth of a burst's answers being late that were counted as in time. A caller is
+/// refused and retries with the rest of its time, and its objective was assumed to start anew.
 #[test]
 fn a_caller_with_much_less_time_than_usual_has_been_here_before() {
     let mut times = RetryDetector::default();
@@ -134,9 +135,10 @@
     assert!(!times.is_retry(millis(100)));
 }
 
-/// Symptom: prompts of 2,000 tokens are kept from engines that they would not stall, and short requests are sent too late.
-/// Sequence: short prompts, whose first event takes an engine's own 70 ms, make every token seem to take 40 us. Cause: one
-/// time for each token instead of a base and a slope.
+/// Guards against keeping prompts of 2,000 tokens from engines that they would not stall, and
+/// sending short requests too late. The first event of a short prompt takes the engine's own 70 ms,
+/// so that every token seemed to take 40 µs when the model had one time per token instead of a base
+/// and a slope.
 #[test]
 fn first_events_are_a_base_and_a_time_for_each_token() {
     let mut model = FirstEventModel::default();
@@ -175,8 +177,9 @@
     assert_eq!((model.base_micros(), model.slope_micros()), guess);
 }
 
-/// A pool of a fast and a slow engine with two places each; one place of each is taken, by requests 1 and 2 or the other
-/// way round, and how fast they are is known.
+/// A pool of a fast and a slow engine with two slots each. One slot of each is in use, by requests
+/// 1 and 2 in either order, and the speed of both engines is known. Returns the request on each
+/// engine.
 fn unlike_engines() -> (BurstPool, BTreeMap<&'static str, u64>) {
     let mut plan = urgency_plan();
     plan.first_guess = 2;
@@ -203,9 +206,9 @@
     (pool, running)
 }
 
-/// Symptom: a tenth of all engine time goes to runs that end with their callers' deadline. Sequence: under load the slowest
-/// engines are those with a place; a long answer goes there and is cut after all of its caller's time. Cause: the earliest
-/// first event alone decides.
+/// Guards against spending a tenth of all engine time on runs that end at their callers' deadline.
+/// Under load the engines with a free slot are the slowest; a long answer goes there and is cut off
+/// after all of its caller's time, when the earliest first event alone decides.
 #[test]
 fn a_long_answer_waits_for_an_engine_that_ends_it_in_time() {
     let (mut pool, running) = unlike_engines();
@@ -236,7 +239,8 @@
     assert_eq!(endless, [1]);
 }
 
-/// What callers get in a burst of twice what one engine carries, in requests sent before their objective had passed.
+/// Number of requests dispatched before their objective has passed, in a burst of twice the
+/// capacity of one engine.
 fn in_time(off: &[Mechanism]) -> usize {
     let mut plan = urgency_plan();
     plan.mechanisms = MechanismSet::without(off);
