--- a/tests/test_reservations.rs
+++ b/tests/test_reservations.rs
@@ -1,4 +1,4 @@
-//! Places that engines reserve before a request is sent.
+//! Slots reserved on engines before a request is dispatched.
 
 use crate::burst_pool::{BurstPool, sent, urgency_plan};
 use crate::routed_fleet::{EngineMove, RoutedFleet, ScriptedEngine, document_with_places};
@@ -20,7 +20,8 @@
     engine.seen().iter().filter(|seen| is_request(&seen.path)).count()
 }
 
-/// Answers calls for a place with `place`, and then the request.
+/// Answers the first call, a reservation, with `reservation`, and later calls with a stream of
+/// events.
 fn answers_after(place: EngineMove) -> impl Fn(usize) -> EngineMove + Send + Sync {
     move |number| if number == 0 { place.clone() } else { EngineMove::Events(1, 2) }
 }
@@ -48,8 +49,9 @@
     assert_eq!(seen[1].header("tarragonknot-hold"), Some("h-1"));
 }
 
-/// Symptom: requests wait inside full engines while others have places free. Sequence: daemons that know late of each
-/// other choose the same engine. Cause: sending without asking.
+/// Guards against requests queuing inside full engines while others have free slots. Daemons that
+/// learn late of each other's requests choose the same engine, when they dispatch without a
+/// reservation.
 #[tokio::test]
 async fn a_full_engine_gets_no_request() {
     let full = ScriptedEngine::start("e1", |_| EngineMove::NoPlace).await;
@@ -62,8 +64,8 @@
     assert_eq!((requests(&full), requests(&free)), (0, 1));
 }
 
-/// Symptom: a stream that may run once ends as lost. Sequence: its engine says nothing any more; the request is sent
-/// there and may have run. Cause: finding out that an engine is silent with a request.
+/// Guards against losing a stream that may run only once. Its engine no longer responds; a request
+/// dispatched there may have run, so it must not be the request that detects the silent engine.
 #[tokio::test]
 async fn a_silent_engine_is_found_out_before_the_request_is_there() {
     let silent = ScriptedEngine::start("e1", |_| EngineMove::Silent).await;
@@ -106,7 +108,7 @@
     assert_eq!(engine.seen()[1].header("tarragonknot-hold"), None);
 }
 
-/// A pool of `count` engines that reserve places.
+/// A pool of `count` engines that support reservations.
 fn reserving_pool(count: u16) -> BurstPool {
     let mut plan = urgency_plan();
     plan.has_reservations = true;
@@ -151,8 +153,8 @@
     assert_eq!((at_once, soon, later), (vec![], vec![], vec![1]));
 }
 
-/// Symptom: daemons spend their processors on calls that end in a refusal. Sequence: a burst fills every engine; each
-/// request asks one after the other. Cause: asking without a pause.
+/// Guards against daemons spending CPU time on calls that end in a refusal. A burst fills every
+/// engine, and each request tried one engine after another without a pause.
 #[test]
 fn while_nothing_is_free_places_are_asked_for_with_pauses() {
     let mut pool = reserving_pool(40);
@@ -167,9 +169,10 @@
     assert!((6..=16).contains(&asked), "{asked}");
 }
 
-/// Symptom: half of the answers to the most urgent requests are late in a burst, though the engines could carry all of
-/// them in time. Sequence: places are scarce; every waiting request asks an engine for one; the one that is free goes
-/// to whichever asked there. Cause: no bound on the places asked for at once.
+/// Guards against half of the answers to the most urgent requests being late in a burst that the
+/// engines could carry in time. Slots are scarce, and without a bound on concurrent reservation
+/// attempts every waiting request tries an engine, so that a free slot goes to whichever request
+/// tried there.
 #[test]
 fn a_scarce_place_goes_to_the_most_urgent_request() {
     let mut pool = reserving_pool(20);
