--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the name that they had.
+//! Upstreams that restart under the same name, as a new incarnation.
 
 use crate::burst_pool::{BurstPool, sent, urgency_plan};
 use crate::session::source;
@@ -14,7 +14,7 @@
     UpstreamSource { incarnation, ..source("e1", 1) }
 }
 
-/// A pool of one upstream that was born at 5, with a request on it and a failure behind it.
+/// A pool of one upstream with incarnation 5, a request in flight on it and a measured token gap.
 fn pool() -> BurstPool {
     let mut plan = urgency_plan();
     plan.first_guess = 2;
@@ -32,9 +32,10 @@
     set.get(index).expect("its status")
 }
 
-/// Symptom: an engine that crashed and is back idle gets little work, and is taken for slow and half full. Sequence: it
-/// crashes while a stream is held silent, and starts again under its name within one period of the list. Cause: what
-/// was believed of the one before is believed of the one after.
+/// Guards against an engine that crashed and returned idle getting little work because it is taken
+/// for slow and half full. It crashes while one of its streams has stalled, and restarts under its
+/// name within one refresh period of the upstream list; the state of the old incarnation was kept
+/// for the new one.
 #[test]
 fn a_later_birth_is_another_upstream() {
     let mut pool = pool();
@@ -66,7 +67,8 @@
     assert!(after.gap().is_some());
 }
 
-/// Word that comes with a place is earlier than the list, which is read each second.
+/// An incarnation reported with a reservation is newer than the upstream list, which is read every
+/// second.
 #[test]
 fn an_upstreams_own_word_on_its_birth_comes_first() {
     let mut pool = pool();
@@ -93,8 +95,9 @@
     assert_eq!(current(&pool).in_flight, 1);
 }
 
-/// Symptom: an engine that left and was started again gets no work. Sequence: it drains, goes, and is back under its
-/// name while the list still names it. Cause: that it left is remembered of the name alone.
+/// Guards against an engine that left and was restarted getting no work. It drains, stops and
+/// returns under its name while the list still contains it; that it left was recorded for the name
+/// alone.
 #[test]
 fn one_that_left_is_used_again_once_it_is_born_again() {
     let mut pool = BurstPool::new();
