--- a/tests/test_limit_sizes.rs
+++ b/tests/test_limit_sizes.rs
@@ -1,4 +1,4 @@
-//! What requests of each size and kind get of an organisation's limit while it is asked for more than it allows.
+//! Admission of requests by size and kind while an organisation requests more than its limit.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,11 +12,11 @@
 };
 
 const HOT: OrganisationIndex = OrganisationIndex(0);
-/// Tokens a second and burst of the limit.
+/// Rate of the limit, in tokens per second.
 const RATE: f64 = 100_000.0;
 const BURST: u64 = 200_000;
 
-/// How long requests come.
+/// Time until which requests arrive.
 const END: Moment = Moment::from_millis(40_000);
 
 fn hot_limits() -> LimitTable {
@@ -31,7 +31,7 @@
     limits
 }
 
-/// The fleet is asked for `times` the limit.
+/// A forecast for a fleet that is asked for `times` the limit.
 fn forecast(times: f64, now: Moment) -> LimitForecast {
     LimitForecast {
         others_admitted_rate: 0.0,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Requests of one kind that ask for `times` the limit: their costs, and whether each was let through.
+/// Plays requests of one kind that request `times` the limit. Returns the cost of each and whether
+/// it was admitted.
 fn ask(times: f64, rank: u8) -> Vec<(u32, bool)> {
     let mut limits = hot_limits();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -63,7 +64,7 @@
     asked.iter().filter(|(_, passes)| *passes).count() as f64 / asked.len().max(1) as f64
 }
 
-/// Guards against a limit that is spent on small requests while large ones are refused.
+/// Guards against spending a limit on small requests while large ones are refused.
 #[rstest]
 #[case::highest_rank(2.0, 0)]
 #[case::lower_rank(2.0, 2)]
@@ -78,7 +79,8 @@
     assert!(tokens >= RATE * 40.0 * 0.9, "{tokens} tokens were let through");
 }
 
-/// Guards against a limit that is spent on the cheapest kinds while the kind of the highest rank is refused.
+/// Guards against spending a limit on the cheapest kinds while the kind of the highest rank is
+/// refused.
 #[test]
 fn no_kind_is_starved_far_beyond_the_limit() {
     let kinds = [(10_000, 0), (3_500, 1), (2_000, 2)];
@@ -89,8 +91,8 @@
     assert!(passed.iter().all(|part| *part >= mean / 4.0), "let through by kind: {passed:?}");
 }
 
-/// Requests of kinds, each a cost and a rank, that come equally often and ask for `times` the limit for 40 s. The part of each
-/// that is let through.
+/// Plays requests of several kinds, each a cost and a rank, that arrive equally often and request
+/// `times` the limit for 40 s. Returns the admitted fraction of each kind.
 fn ask_kinds(kinds: &[(u32, u8)], times: f64) -> Vec<f64> {
     let mut limits = hot_limits();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
