--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -1,4 +1,5 @@
-//! Which upstream a request goes to: groups of the fleet, others' word on speed, and pauses of those who run there.
+//! Placement of requests on upstreams: by fleet group, by speeds that other daemons report, and by
+//! the pauses caused to running streams.
 
 use crate::burst_pool::{BurstPool, arrived, urgency_plan};
 use crate::session::source;
@@ -13,8 +14,8 @@
     PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
-/// A pool of `count` engines with three places each, numbered from 1, of which this daemon's group is the first of
-/// `groups`.
+/// A pool of `count` engines with three slots each, numbered from 1. This daemon's group is the
+/// first of `groups`.
 fn pool_of(count: u16, groups: usize) -> BurstPool {
     let mut plan = urgency_plan();
     plan.first_guess = 3;
@@ -53,8 +54,9 @@
     assert_eq!(placed, BTreeSet::from([1, 2, 3]));
 }
 
-/// Symptom: a third of all streams are late from the first second on. Sequence: a daemon that has sent nothing yet
-/// to an engine four times slower than the rest sends there. Cause: each daemon learns the engines' speeds by itself.
+/// Guards against a third of all streams being late from the first second on. A daemon that has not
+/// yet used an engine four times slower than the rest dispatches there, when each daemon learns the
+/// engines' speeds by itself.
 #[test]
 fn an_engine_that_another_daemon_knows_to_be_slow_is_used_last() {
     let mut pool = pool_of(2, 1);
@@ -69,9 +71,9 @@
     assert_eq!(placed, [2, 2, 2]);
 }
 
-/// Symptom: every stream on a slow engine pauses for longer than its route allows. Sequence: a prompt of 6,000 tokens
-/// comes to an engine that reads it in 0.36 s, between the steps of three streams. Cause: placement by the first event
-/// of the new request alone.
+/// Guards against every stream on a slow engine pausing for longer than its route allows. A prompt
+/// of 6,000 tokens goes to an engine that processes it in 0.36 s between the steps of three
+/// streams, when placement considers only the first event of the new request.
 #[test]
 fn a_long_prompt_does_not_make_running_streams_pause() {
     let mut pool = pool_of(2, 1);
