--- a/tests/test_size_share.rs
+++ b/tests/test_size_share.rs
@@ -1,9 +1,10 @@
-//! What large requests get of what their kind gets, under lasting overload.
+//! Service of large requests relative to others of their kind, under lasting overload.
 
 use crate::sized_load::{SizedLoad, by_size, in_time_part, play, play_with, served_part};
 use rstest::rstest;
 
-/// The part of a kind's service that its largest tenth, and the fifth below it, get at least.
+/// Minimum service of a kind's largest tenth, and of the fifth below it, as a fraction of the
+/// service of the whole kind.
 const LEAST_PART: f64 = 0.5;
 
 fn check_sizes(load: &SizedLoad) {
@@ -30,7 +31,8 @@
     }
 }
 
-/// Guards against long answers that wait behind shorter ones of their kind until their callers leave.
+/// Guards against long answers that wait behind shorter ones of their kind until their callers
+/// leave.
 #[rstest]
 #[case::one_daemon(1)]
 #[case::seven_daemons(7)]
@@ -39,7 +41,8 @@
     check_sizes(&SizedLoad::overload(daemons));
 }
 
-/// Guards against a promise that holds only where guesses are good, engines are alike and loads are steady.
+/// Guards against a guarantee that holds only with good size estimates, equal engines and steady
+/// loads.
 #[rstest]
 #[case::engines_alike(SizedLoad { engines: vec![1.0; 12], ..SizedLoad::overload(7) })]
 #[case::engines_far_apart(SizedLoad { engines: [0.4, 2.0].repeat(6), ..SizedLoad::overload(7) })]
@@ -53,14 +56,14 @@
     check_sizes(&load);
 }
 
-/// Five times as many requests of one kind, at what the engines do without them.
+/// A load at the engines' capacity on which five times as many requests of one kind arrive.
 fn burst_of(kind: usize) -> SizedLoad {
     let mut load = SizedLoad { times: 1.0, ..SizedLoad::overload(7) };
     load.kinds[kind].burst = 5.0;
     load
 }
 
-/// Guards against a promise that is paid for while there is room for all.
+/// Guards against a guarantee that costs service while there is capacity for all requests.
 #[test]
 fn a_load_that_the_engines_carry_is_served_whole() {
     let load = SizedLoad { times: 0.5, ..SizedLoad::overload(7) };
@@ -71,7 +74,7 @@
     assert!(served >= 0.98 && in_time >= 0.95, "{served} served, {in_time} in time");
 }
 
-/// Guards against a promise that costs callers more than a sixth of what is served without it.
+/// Guards against a guarantee that costs callers more than a sixth of what is served without it.
 #[rstest]
 #[case::one_daemon(1)]
 #[case::seven_daemons(7)]
