--- a/tests/test_size_accounts.rs
+++ b/tests/test_size_accounts.rs
@@ -1,4 +1,4 @@
-//! Accounts of what each size of a kind is owed.
+//! Service accounts of each size decile of a route.
 
 use rstest::rstest;
 use tarragonknot::policy::{Moment, RouteKey, SizeClaim, SizeDecile, SizeShares, TierRank};
@@ -14,14 +14,16 @@
     }
 }
 
-/// One arrival that is served if it is owed, or if `is_served` anyway; true if it was owed.
+/// Plays one arrival, which is served if it is underserved or if `is_served`. Returns whether it
+/// was underserved.
 fn pass(shares: &mut SizeShares, claim: SizeClaim, is_served: bool, draw: f64) -> bool {
     let is_underserved = shares.record_arrival(&claim, draw, Moment(0));
     shares.record_end(&SizeClaim { is_underserved, ..claim }, is_underserved || is_served, PART);
     is_underserved
 }
 
-/// Guards against a largest tenth that waits for ever: half of all are served, none of its own without the promise.
+/// Guards against a largest tenth that waits forever: half of the smallest tenth are served, and
+/// none of the largest without the guarantee.
 #[rstest]
 #[case::one_daemon(1, 2_000)]
 #[case::many_daemons_with_few_requests_each(400, 5)]
@@ -53,7 +55,8 @@
     assert_eq!(owed, 0);
 }
 
-/// Guards against a size that collects claims while it cannot be served, and takes every place afterwards.
+/// Guards against a size that accumulates a deficit while it cannot be served, and takes every slot
+/// afterwards.
 #[test]
 fn what_is_owed_to_one_size_is_bounded() {
     let mut shares = SizeShares::default();
