--- a/tests/test_group_order.rs
+++ b/tests/test_group_order.rs
@@ -1,10 +1,12 @@
-//! What callers get where daemons share places: the order of the group, not of each daemon.
+//! Service where daemons share slots: requests are ordered across the group, not within each daemon
+//! alone.
 
 use crate::shared_places::{SecondShare, play};
 use rstest::rstest;
 use tarragonknot::policy::{DensityLevel, Mechanism, WaitingLevels};
 
-/// Three calm seconds, a burst of three, and seven seconds as calm as the first.
+/// Load in each second, as a fraction of capacity: three calm seconds, a burst of three, and seven
+/// seconds as calm as the first.
 const BURST: [f64; 13] = [0.9, 0.9, 0.9, 2.0, 2.0, 2.0, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9];
 
 fn in_time(off: &[Mechanism], seconds: std::ops::Range<usize>, rank: Option<u8>) -> f64 {
@@ -12,9 +14,9 @@
     SecondShare::of(&plays.collect::<Vec<SecondShare>>())
 }
 
-/// Symptom: after a burst a third of all requests is late for 14 s, at a load that was served in time before it (291
-/// daemons). Sequence: each daemon has some late requests waiting; the place that becomes free goes to whichever daemon asks
-/// first. Cause: an order that each daemon keeps for itself.
+/// Guards against a third of all requests being late for 14 s after a burst, at a load that was
+/// served in time before it (291 daemons). Each daemon has some late requests waiting, and with an
+/// order within each daemon alone a free slot goes to whichever daemon tries first.
 #[test]
 fn after_a_burst_those_in_time_go_before_the_late_ones_of_other_daemons() {
     let without = in_time(&[Mechanism::GroupOrder], 7..13, None);
@@ -32,7 +34,7 @@
     assert!(with >= without, "{with} with, {without} without");
 }
 
-/// While places are free nobody waits for others.
+/// While slots are free, no request yields to those of other daemons.
 #[test]
 fn a_calm_load_is_served_as_before() {
     let without = in_time(&[Mechanism::GroupOrder], 0..3, None);
