--- a/tests/test_small_calls.rs
+++ b/tests/test_small_calls.rs
@@ -1,13 +1,13 @@
-//! What callers of a plain service get while it is asked for more than its upstreams can do.
+//! Service of calls to a plain service while more arrive than its upstreams can serve.
 
 use crate::small_calls::{CallEnds, play};
 use rstest::rstest;
 use tarragonknot::policy::Mechanism;
 
-/// Calls a second that the upstreams can do.
+/// Calls per second that the upstreams can serve.
 const CAPACITY: f64 = 300.0;
 
-/// The calls that came in a span of seconds, over several seeds.
+/// Sums the outcomes of the calls that arrived in a range of seconds, over several seeds.
 fn calls(
     daemons: usize,
     rates: impl Fn(u64) -> f64 + Copy,
@@ -23,7 +23,8 @@
     })
 }
 
-/// Guards against newcomers that become late behind callers who were refused before and are late in any case.
+/// Guards against new calls becoming late behind retries of refused calls, which are late in any
+/// case.
 #[rstest]
 fn in_a_burst_more_newcomers_are_served_in_time(
     #[values(7, 71, 291)] daemons: usize,
@@ -39,7 +40,7 @@
     assert!(worth(&with) >= worth(&without) * 0.99, "{with:?}, without {without:?}");
 }
 
-/// Guards against calls that are refused though the upstreams have time for all.
+/// Guards against refusing calls although the upstreams have capacity for all of them.
 #[rstest]
 fn below_the_capacity_next_to_nothing_is_refused(#[values(1, 7, 71)] daemons: usize) {
     let ends = calls(daemons, |_| CAPACITY * 0.75, &[], 0..10);
