--- a/tests/test_request_sizes.rs
+++ b/tests/test_request_sizes.rs
@@ -1,4 +1,4 @@
-//! The place of a request by size among the recent ones of its route.
+//! The size decile of a request among the recent requests of its route.
 
 use rstest::rstest;
 use tarragonknot::policy::{RequestSizes, RouteSizes, SizeDecile};
