--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -68,40 +68,40 @@
     #[test]
     fn the_queue_loses_and_doubles_nothing(steps in proptest::collection::vec(queue_step(), 1..120)) {
         let mut queue = FairQueue::new(&SHARES);
-        let mut inside: BTreeMap<u64, (u8, u32)> = BTreeMap::new();
-        let mut next = 1;
+        let mut queued: BTreeMap<u64, (u8, u32)> = BTreeMap::new();
+        let mut next_id = 1;
 
         for step in steps {
             match step {
                 QueueStep::Push { tier, organisation, cost } => {
-                    queue.push(waiting(next, tier, organisation, cost));
-                    inside.insert(next, (tier, cost));
-                    next += 1;
+                    queue.push(waiting(next_id, tier, organisation, cost));
+                    queued.insert(next_id, (tier, cost));
+                    next_id += 1;
                 }
                 QueueStep::Pop => {
                     let popped = queue.pop(TierRank(u8::MAX), Moment(0)).map(|request| request.id.0);
-                    prop_assert_eq!(popped.is_none(), inside.is_empty());
-                    popped.into_iter().for_each(|id| assert!(inside.remove(&id).is_some()));
+                    prop_assert_eq!(popped.is_none(), queued.is_empty());
+                    popped.into_iter().for_each(|id| assert!(queued.remove(&id).is_some()));
                 }
                 QueueStep::Remove(id) => {
                     let removed = queue.remove(RequestId(id)).is_some();
-                    prop_assert_eq!(removed, inside.remove(&id).is_some());
+                    prop_assert_eq!(removed, queued.remove(&id).is_some());
                 }
                 QueueStep::EvictBelow(tier) => {
-                    let lowest = inside.values().map(|(tier, _)| *tier).max();
+                    let lowest = queued.values().map(|(tier, _)| *tier).max();
                     let evicted = queue.evict_below(TierRank(tier));
                     prop_assert_eq!(evicted.as_ref().map(|request| request.tier.0), lowest.filter(|lowest| *lowest > tier));
-                    evicted.into_iter().for_each(|request| assert!(inside.remove(&request.id.0).is_some()));
+                    evicted.into_iter().for_each(|request| assert!(queued.remove(&request.id.0).is_some()));
                 }
             }
-            prop_assert_eq!(queue.len(), inside.len());
+            prop_assert_eq!(queue.len(), queued.len());
             for tier in 0..3 {
-                let tokens: u64 = inside.values().filter(|(at, _)| *at == tier).map(|(_, cost)| u64::from(*cost)).sum();
+                let tokens: u64 = queued.values().filter(|(at, _)| *at == tier).map(|(_, cost)| u64::from(*cost)).sum();
                 prop_assert_eq!(queue.waiting_tokens(TierRank(tier)), tokens);
             }
         }
-        let rest: BTreeSet<u64> = std::iter::from_fn(|| queue.pop(TierRank(u8::MAX), Moment(0))).map(|request| request.id.0).collect();
-        prop_assert_eq!(rest, inside.keys().copied().collect::<BTreeSet<u64>>());
+        let remaining: BTreeSet<u64> = std::iter::from_fn(|| queue.pop(TierRank(u8::MAX), Moment(0))).map(|request| request.id.0).collect();
+        prop_assert_eq!(remaining, queued.keys().copied().collect::<BTreeSet<u64>>());
     }
 
     #[test]
@@ -132,19 +132,19 @@
 
     #[test]
     fn the_rate_limit_never_passes_more_than_burst_and_rate(costs in proptest::collection::vec(1u32..300, 1..200), gap in 0u64..200) {
-        let mut book = LimitTable::default();
+        let mut limits = LimitTable::default();
         let limit = OrganisationLimit { tokens_per_second: Some(1_000), burst_tokens: Some(500), concurrent: None };
-        book.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
-        let mut passed = 0u64;
+        limits.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
+        let mut admitted = 0u64;
         let mut now = Moment::from_millis(1_000);
 
         for cost in costs {
             now = now + Duration::from_millis(gap);
-            if book.admit(OrganisationIndex(1), cost, now).is_ok() {
-                passed += u64::from(cost);
+            if limits.admit(OrganisationIndex(1), cost, now).is_ok() {
+                admitted += u64::from(cost);
             }
             let elapsed = now.since(Moment::from_millis(1_000)).as_secs_f64();
-            prop_assert!(passed as f64 <= 500.0 + 1_000.0 * elapsed + 1e-6);
+            prop_assert!(admitted as f64 <= 500.0 + 1_000.0 * elapsed + 1e-6);
         }
     }
 
@@ -211,16 +211,16 @@
     #[case] requests: u32,
     #[case] expected: Result<(), AnswerKind>,
 ) {
-    let mut book = LimitTable::default();
+    let mut limits = LimitTable::default();
     let limit = OrganisationLimit { concurrent: Some(1), ..OrganisationLimit::default() };
-    book.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
+    limits.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
 
     let results: Vec<Result<(), AnswerKind>> =
-        (0..requests).map(|_| book.admit(OrganisationIndex(1), 1, Moment(1))).collect();
+        (0..requests).map(|_| limits.admit(OrganisationIndex(1), 1, Moment(1))).collect();
 
     assert_eq!(results.last(), Some(&expected));
-    book.release(OrganisationIndex(1), 0);
-    assert!(book.admit(OrganisationIndex(1), 1, Moment(2)).is_ok());
+    limits.release(OrganisationIndex(1), 0);
+    assert!(limits.admit(OrganisationIndex(1), 1, Moment(2)).is_ok());
 }
 
 /// Guards against shedding a middle tier while another daemon still admits the lowest. This
@@ -239,13 +239,13 @@
         imposed: Some(TierRank(0)),
         is_fresh: false,
     };
-    let is_free = floor.raise(TierRank(0), now);
+    let may_raise = floor.raise(TierRank(0), now);
     let first = floor.lowest_admitted();
     floor.apply(order(TierRank(2)));
     let second = floor.lowest_admitted();
     floor.apply(order(TierRank(0)));
 
-    assert!(!is_free);
+    assert!(!may_raise);
     assert_eq!(first, Some(TierRank(2)));
     assert_eq!(second, Some(TierRank(1)));
     assert!(floor.raise(TierRank(0), now));
@@ -323,21 +323,21 @@
     assert_eq!(counts, [20, 20]);
 }
 
-fn limit_book(share: f64) -> LimitTable {
-    let mut book = LimitTable::default();
+fn limits_with_share(share: f64) -> LimitTable {
+    let mut limits = LimitTable::default();
     let limit = OrganisationLimit {
         tokens_per_second: Some(100),
         burst_tokens: Some(200),
         concurrent: Some(10),
     };
-    book.set_limits(HashMap::from([(OrganisationIndex(0), limit)]));
-    book.set_share(share);
-    book
+    limits.set_limits(HashMap::from([(OrganisationIndex(0), limit)]));
+    limits.set_share(share);
+    limits
 }
 
-fn admitted(book: &mut LimitTable, cost: u32) -> usize {
+fn admitted(limits: &mut LimitTable, cost: u32) -> usize {
     (0..100)
-        .take_while(|_| book.admit(OrganisationIndex(0), cost, Moment::from_millis(1)).is_ok())
+        .take_while(|_| limits.admit(OrganisationIndex(0), cost, Moment::from_millis(1)).is_ok())
         .count()
 }
 
@@ -346,37 +346,37 @@
 #[rstest]
 #[case::requests(1, 10)]
 #[case::tokens(50, 4)]
-fn daemons_divide_an_organisations_limit(#[case] cost: u32, #[case] whole: usize) {
-    let mut one = limit_book(0.5);
-    let mut other = limit_book(0.5);
+fn daemons_divide_an_organisations_limit(#[case] cost: u32, #[case] expected: usize) {
+    let mut first = limits_with_share(0.5);
+    let mut second = limits_with_share(0.5);
 
-    let together = admitted(&mut one, cost) + admitted(&mut other, cost);
+    let total = admitted(&mut first, cost) + admitted(&mut second, cost);
 
-    assert_eq!(together, whole);
+    assert_eq!(total, expected);
 }
 
 /// Guards against exceeding the concurrency limit after shares have moved. A daemon's share shrinks
 /// while its requests run; the released part must not be given away before those requests end.
 #[test]
 fn requests_in_progress_count_until_they_end() {
-    let mut book = limit_book(0.5);
-    let running = admitted(&mut book, 1);
+    let mut limits = limits_with_share(0.5);
+    let running = admitted(&mut limits, 1);
 
-    book.set_share(0.1);
-    let used = book.largest_utilisation();
-    book.release(OrganisationIndex(0), 0);
+    limits.set_share(0.1);
+    let utilisation = limits.largest_utilisation();
+    limits.release(OrganisationIndex(0), 0);
 
-    assert_eq!((running, used), (5, 0.5));
-    assert_eq!(book.largest_utilisation(), 0.4);
-    assert_eq!(book.demand(), 4);
+    assert_eq!((running, utilisation), (5, 0.5));
+    assert_eq!(limits.largest_utilisation(), 0.4);
+    assert_eq!(limits.demand(), 4);
 }
 
 /// A daemon without a share admits nothing under a rate limit, rather than everything.
 #[test]
 fn without_a_share_the_rate_is_refused() {
-    let mut book = limit_book(0.0);
+    let mut limits = limits_with_share(0.0);
 
-    let refused = book.admit(OrganisationIndex(0), 1, Moment::from_millis(1));
+    let refused = limits.admit(OrganisationIndex(0), 1, Moment::from_millis(1));
 
     assert_eq!(refused, Err(AnswerKind::RateLimited));
 }
