--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -18,20 +18,20 @@
 /// Tokens of one request.
 const COST: u32 = 2_000;
 
-/// Requests `times` the limit, spread evenly over all daemons of a fleet. `hears` decides which
-/// daemon receives whose messages, and when.
+/// Requests `times` the limit, spread evenly over all daemons of a fleet. `is_received` decides
+/// which daemon receives messages from which other, and when.
 fn play(
     times: f64,
     daemons: usize,
     seconds: u64,
-    hears: impl Fn(usize, usize, u64) -> bool + 'static,
+    is_received: impl Fn(usize, usize, u64) -> bool + 'static,
 ) -> AskedTokens {
-    let began = 4_400;
+    let start_millis = 4_400;
     let weather: Weather = Box::new(move |from, to, now: Moment, _| {
-        usize::from(hears(from, to, (now.0 / 1_000).saturating_sub(began)))
+        usize::from(is_received(from, to, (now.0 / 1_000).saturating_sub(start_millis)))
     });
     let mut fleet = FleetPlay::new(daemons, 1, weather);
-    fleet.run(began - 2_000, true);
+    fleet.run(start_millis - 2_000, true);
     fleet.ask((times, COST), seconds, |draw| (draw * daemons as f64) as usize)
 }
 
@@ -51,9 +51,10 @@
 /// silent daemon was assumed to admit nothing, or less and less.
 #[test]
 fn daemons_that_hear_nothing_of_each_other_keep_it_too() {
-    let is_cut = |number: usize, millis: u64| number < 4 && millis >= 2_000;
+    let is_partitioned = |number: usize, millis: u64| number < 4 && millis >= 2_000;
 
-    let asked = play(8.0, 7, 12, move |from, to, at| !is_cut(from, at) && !is_cut(to, at));
+    let asked =
+        play(8.0, 7, 12, move |from, to, at| !is_partitioned(from, at) && !is_partitioned(to, at));
 
     assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
@@ -61,9 +62,10 @@
 /// The same in a fleet with aggregators: a member and an aggregator are partitioned.
 #[test]
 fn daemons_of_a_large_fleet_that_are_cut_off_keep_it_too() {
-    let is_cut = |number: usize, millis: u64| number < 4 && millis >= 2_000;
+    let is_partitioned = |number: usize, millis: u64| number < 4 && millis >= 2_000;
 
-    let asked = play(8.0, 64, 12, move |from, to, at| !is_cut(from, at) && !is_cut(to, at));
+    let asked =
+        play(8.0, 64, 12, move |from, to, at| !is_partitioned(from, at) && !is_partitioned(to, at));
 
     assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
@@ -73,9 +75,11 @@
 /// the others used up the refill.
 #[test]
 fn a_daemon_that_comes_back_gets_its_part_again() {
-    let is_cut = |number: usize, millis: u64| number == 0 && (2_000..7_000).contains(&millis);
+    let is_partitioned =
+        |number: usize, millis: u64| number == 0 && (2_000..7_000).contains(&millis);
 
-    let asked = play(8.0, 4, 16, move |from, to, at| !is_cut(from, at) && !is_cut(to, at));
+    let asked =
+        play(8.0, 4, 16, move |from, to, at| !is_partitioned(from, at) && !is_partitioned(to, at));
 
     let late = asked.mean_from(10);
     assert!(late >= RATE as f64 * 0.8, "{asked:?}");
@@ -120,9 +124,9 @@
 fn a_sudden_burst_is_held_too() {
     let mut fleet = FleetPlay::calm(291, 3);
     fleet.run(2_400, true);
-    let everywhere = |draw: f64| (draw * 291.0) as usize;
-    fleet.ask((0.2, COST), 4, everywhere);
-    let asked = fleet.ask((6.0, COST), 10, everywhere);
+    let any_daemon = |draw: f64| (draw * 291.0) as usize;
+    fleet.ask((0.2, COST), 4, any_daemon);
+    let asked = fleet.ask((6.0, COST), 10, any_daemon);
 
     assert!(asked.worst(8) <= (RATE * 9) * 11 / 10, "{asked:?}");
 }
@@ -161,18 +165,18 @@
 /// itself for the only one. Found by the soak, seed 106.
 #[test]
 fn daemons_that_know_of_nobody_yet_keep_the_limit_between_them() {
-    let alone = |number: u16| {
+    let isolated = |number: u16| {
         let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + number));
         FleetState::new(DaemonIdentity { daemon: "entry".into(), boot: 1, address })
     };
     let mut fleet: Vec<(FleetState, LimitTable)> =
-        (0..6).map(|number| (alone(number), hot_limits(Moment::from_millis(0)))).collect();
-    let mut passed = 0;
+        (0..6).map(|number| (isolated(number), hot_limits(Moment::from_millis(0)))).collect();
+    let mut admitted = 0;
     for millis in (0..3_000).step_by(10) {
         let now = Moment::from_millis(millis);
         for (state, daemon) in &mut fleet {
             daemon.set_share(state.limit_share());
-            passed += u64::from(daemon.admit(HOT, 2_000, now).is_ok()) * 2_000;
+            admitted += u64::from(daemon.admit(HOT, 2_000, now).is_ok()) * 2_000;
         }
     }
     let state = &mut fleet[0].0;
@@ -182,7 +186,7 @@
         Moment::from_millis(3_000),
     );
 
-    assert!(passed <= 4 * RATE, "{passed}");
+    assert!(admitted <= 4 * RATE, "{admitted}");
     assert!(share < 1.0);
     assert!(state.limit_share() >= 1.0);
 }
@@ -192,17 +196,17 @@
 /// new process accounted for the gap. Found by the soak, seed 106.
 #[test]
 fn a_process_that_stood_still_goes_on_with_empty_buckets() {
-    let began = Moment::from_millis(0);
-    let mut daemon = hot_limits(began);
+    let start = Moment::from_millis(0);
+    let mut daemon = hot_limits(start);
     let full_at = 20_000;
     daemon.record_alive(Moment::from_millis(full_at));
     let before = daemon.admit(HOT, 1_000, Moment::from_millis(full_at)).is_ok();
-    let woken = Moment::from_millis(full_at + 3_000);
+    let resumed_at = Moment::from_millis(full_at + 3_000);
 
-    let passed = (0..200).filter(|_| daemon.admit(HOT, 1_000, woken).is_ok()).count();
+    let admitted = (0..200).filter(|_| daemon.admit(HOT, 1_000, resumed_at).is_ok()).count();
 
     assert!(before);
-    assert_eq!(passed, 0);
+    assert_eq!(admitted, 0);
 }
 
 #[test]
@@ -211,9 +215,9 @@
     daemon.set_tolerance(LimitTolerance { overage: 0.1, slack: 100_000 });
     let now = Moment::from_millis(60_000);
 
-    let passed = (0..400).filter(|_| daemon.admit(HOT, 1_000, now).is_ok()).count();
+    let admitted = (0..400).filter(|_| daemon.admit(HOT, 1_000, now).is_ok()).count();
 
-    assert_eq!(passed, 150);
+    assert_eq!(admitted, 150);
 }
 
 /// Guards against every answer of a burst being late. More requests arrive than are served, and
@@ -266,7 +270,7 @@
 }
 
 /// A retry that arrives at `millis` and has already missed its objective.
-fn come_back(pool: &mut BurstPool, id: u64, millis: u64) {
+fn arrive_retry(pool: &mut BurstPool, id: u64, millis: u64) {
     let mut request = arrived(id, 0, 1_000, millis);
     request.objective = Some(Moment::from_millis(millis));
     pool.tell(PoolEvent::Arrived(request), millis);
@@ -278,7 +282,7 @@
 fn a_returned_caller_without_prospect_is_refused_at_once() {
     let mut pool = BurstPool::new();
     pool.arrive(1, 0, 10);
-    come_back(&mut pool, 1_000, 11);
+    arrive_retry(&mut pool, 1_000, 11);
     for id in 2..=400 {
         pool.tell(PoolEvent::Arrived(arrived(id, 0, 1_000, 12)), 12);
     }
@@ -297,7 +301,7 @@
 fn a_returned_caller_with_nothing_before_it_waits_for_its_place() {
     let mut pool = BurstPool::new();
     pool.arrive(1, 0, 10);
-    come_back(&mut pool, 2, 20);
+    arrive_retry(&mut pool, 2, 20);
 
     let waited: Vec<PoolAction> =
         (1..=20).flat_map(|step| pool.tell(PoolEvent::Tick, step * 100)).collect();
@@ -451,8 +455,8 @@
         }
     }
 
-    let [returned, new] = refused;
+    let [retries, new] = refused;
 
     assert_eq!(new, 0, "{refused:?}");
-    assert!(returned >= 150, "{refused:?}");
+    assert!(retries >= 150, "{refused:?}");
 }
