--- a/tests/test_worth.rs
+++ b/tests/test_worth.rs
@@ -50,15 +50,15 @@
 /// for each rank.
 #[test]
 fn a_lower_rank_goes_first_where_it_costs_so_little_that_it_earns_more() {
-    let mut dear = busy_pool(&[]);
-    arrive(&mut dear, arrived(1, 0, 1_000, 0), 0);
-    arrive(&mut dear, arrived(2, 1, 10, 0), 0);
-    let mut alike = busy_pool(&[]);
-    arrive(&mut alike, arrived(1, 0, 10, 0), 0);
-    arrive(&mut alike, arrived(2, 1, 10, 0), 0);
-
-    assert_eq!(sent(&dear.end(0, 10)), [2]);
-    assert_eq!(sent(&alike.end(0, 10)), [1]);
+    let mut costly_pool = busy_pool(&[]);
+    arrive(&mut costly_pool, arrived(1, 0, 1_000, 0), 0);
+    arrive(&mut costly_pool, arrived(2, 1, 10, 0), 0);
+    let mut equal_pool = busy_pool(&[]);
+    arrive(&mut equal_pool, arrived(1, 0, 10, 0), 0);
+    arrive(&mut equal_pool, arrived(2, 1, 10, 0), 0);
+
+    assert_eq!(sent(&costly_pool.end(0, 10)), [2]);
+    assert_eq!(sent(&equal_pool.end(0, 10)), [1]);
 }
 
 /// Guards against starving long requests in a lasting burst. There is always a short request with a
@@ -92,47 +92,47 @@
 
 #[test]
 fn the_ladder_sums_up_what_is_worth_as_much_or_more() {
-    let mut ladder = CostHistogram::default();
-    ladder.add(1e-3, 100);
-    ladder.add(1e-5, 1_000);
-    ladder.add(0.0, 10_000);
-
-    assert_eq!(ladder.cost_at_or_above(1e-4), 100);
-    assert_eq!(ladder.cost_at_or_above(1e-5), 1_100);
-    ladder.remove(1e-3, 100);
-    assert_eq!(ladder.cost_at_or_above(1e-9), 1_000);
-    assert_eq!(ladder.cost_at_or_above(0.0), 11_000);
+    let mut histogram = CostHistogram::default();
+    histogram.add(1e-3, 100);
+    histogram.add(1e-5, 1_000);
+    histogram.add(0.0, 10_000);
+
+    assert_eq!(histogram.cost_at_or_above(1e-4), 100);
+    assert_eq!(histogram.cost_at_or_above(1e-5), 1_100);
+    histogram.remove(1e-3, 100);
+    assert_eq!(histogram.cost_at_or_above(1e-9), 1_000);
+    assert_eq!(histogram.cost_at_or_above(0.0), 11_000);
 }
 
 /// Guards against a tenth of a burst's answers being late that were counted as in time. A caller is
 /// refused and retries with the rest of its time, and its objective was assumed to start anew.
 #[test]
 fn a_caller_with_much_less_time_than_usual_has_been_here_before() {
-    let mut times = RetryDetector::default();
+    let mut detector = RetryDetector::default();
     let first: Vec<bool> =
-        (0..60).map(|step| times.is_retry(millis(2_550 + step % 10 * 50))).collect();
+        (0..60).map(|step| detector.is_retry(millis(2_550 + step % 10 * 50))).collect();
 
-    assert!(first.iter().all(|has_returned| !has_returned));
-    assert!(times.is_retry(millis(1_900)));
-    assert!(!times.is_retry(millis(2_500)));
+    assert!(first.iter().all(|is_retry| !is_retry));
+    assert!(detector.is_retry(millis(1_900)));
+    assert!(!detector.is_retry(millis(2_500)));
 }
 
 #[test]
 fn a_few_who_wait_for_long_do_not_make_everyone_a_returned_caller() {
-    let mut times = RetryDetector::default();
+    let mut detector = RetryDetector::default();
     (0..60).for_each(|step| {
-        times.is_retry(millis(if step % 20 == 0 { 600_000 } else { 3_000 }));
+        detector.is_retry(millis(if step % 20 == 0 { 600_000 } else { 3_000 }));
     });
 
-    assert!(!times.is_retry(millis(3_000)));
+    assert!(!detector.is_retry(millis(3_000)));
 }
 
 #[test]
 fn nobody_is_a_returned_caller_before_what_is_usual_is_known() {
-    let mut times = RetryDetector::default();
-    times.is_retry(millis(3_000));
+    let mut detector = RetryDetector::default();
+    detector.is_retry(millis(3_000));
 
-    assert!(!times.is_retry(millis(100)));
+    assert!(!detector.is_retry(millis(100)));
 }
 
 /// Guards against keeping prompts of 2,000 tokens from engines that they would not stall, and
@@ -171,16 +171,16 @@
 #[test]
 fn first_guesses_hold_until_enough_was_seen() {
     let mut model = FirstEventModel::default();
-    let guess = (model.base_micros(), model.slope_micros());
+    let initial = (model.base_micros(), model.slope_micros());
     (0..5).for_each(|step| model.learn(100 * step, 1.0, millis(900)));
 
-    assert_eq!((model.base_micros(), model.slope_micros()), guess);
+    assert_eq!((model.base_micros(), model.slope_micros()), initial);
 }
 
 /// A pool of a fast and a slow engine with two slots each. One slot of each is in use, by requests
 /// 1 and 2 in either order, and the speed of both engines is known. Returns the request on each
 /// engine.
-fn unlike_engines() -> (BurstPool, BTreeMap<&'static str, u64>) {
+fn pool_of_unequal_engines() -> (BurstPool, BTreeMap<&'static str, u64>) {
     let mut plan = urgency_plan();
     plan.first_guess = 2;
     let mut pool = BurstPool::with_plan(plan);
@@ -211,19 +211,19 @@
 /// after all of its caller's time, when the earliest first event alone decides.
 #[test]
 fn a_long_answer_waits_for_an_engine_that_ends_it_in_time() {
-    let (mut pool, running) = unlike_engines();
-    let long = arrive(&mut pool, arrived(5, 0, 200, 50), 50);
+    let (mut pool, running) = pool_of_unequal_engines();
+    let on_arrival = arrive(&mut pool, arrived(5, 0, 200, 50), 50);
     let on_slow = sent(&pool.end(running["slow"], 60));
 
     let on_fast = sent(&pool.end(running["fast"], 70));
 
-    assert_eq!((long, on_slow), (vec![], vec![]));
+    assert_eq!((on_arrival, on_slow), (vec![], vec![]));
     assert_eq!(on_fast, [5]);
 }
 
 #[test]
 fn a_short_answer_takes_the_place_that_a_long_one_leaves() {
-    let (mut pool, running) = unlike_engines();
+    let (mut pool, running) = pool_of_unequal_engines();
     arrive(&mut pool, arrived(5, 0, 200, 50), 50);
     arrive(&mut pool, arrived(6, 1, 10, 50), 50);
 
@@ -234,9 +234,9 @@
 fn where_no_engine_would_do_better_the_request_goes_at_once() {
     let mut pool = BurstPool::new();
 
-    let endless = arrive(&mut pool, arrived(1, 0, 1_000_000, 0), 0);
+    let dispatched = arrive(&mut pool, arrived(1, 0, 1_000_000, 0), 0);
 
-    assert_eq!(endless, [1]);
+    assert_eq!(dispatched, [1]);
 }
 
 /// Number of requests dispatched before their objective has passed, in a burst of twice the
@@ -258,8 +258,8 @@
             sizes.insert(now, output);
             started.extend(arrive(&mut pool, request, now));
         }
-        if let Some((id, until)) = running
-            && until <= now
+        if let Some((id, ends_at)) = running
+            && ends_at <= now
         {
             running = None;
             started.extend(sent(&pool.end(id, now)));
