--- a/tests/test_reservations.rs
+++ b/tests/test_reservations.rs
@@ -22,8 +22,8 @@
 
 /// Answers the first call, a reservation, with `reservation`, and later calls with a stream of
 /// events.
-fn answers_after(place: EngineMove) -> impl Fn(usize) -> EngineMove + Send + Sync {
-    move |number| if number == 0 { place.clone() } else { EngineMove::Events(1, 2) }
+fn answers_after(reservation: EngineMove) -> impl Fn(usize) -> EngineMove + Send + Sync {
+    move |number| if number == 0 { reservation.clone() } else { EngineMove::Events(1, 2) }
 }
 
 #[tokio::test]
@@ -44,8 +44,8 @@
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(seen[0].path, "/-/hold-take");
     assert_eq!(seen[0].header("tarragonknot-expect-instance"), Some("e1"));
-    let asked: serde_json::Value = serde_json::from_slice(&seen[0].body).expect("JSON");
-    assert_eq!(asked["tokens"], 42);
+    let body: serde_json::Value = serde_json::from_slice(&seen[0].body).expect("JSON");
+    assert_eq!(body["tokens"], 42);
     assert_eq!(seen[1].header("tarragonknot-hold"), Some("h-1"));
 }
 
@@ -69,12 +69,12 @@
 #[tokio::test]
 async fn a_silent_engine_is_found_out_before_the_request_is_there() {
     let silent = ScriptedEngine::start("e1", |_| EngineMove::Silent).await;
-    let sound = ScriptedEngine::start("e2", |number| match number % 2 {
+    let healthy = ScriptedEngine::start("e2", |number| match number % 2 {
         0 => EngineMove::Reserve("h-2"),
         _ => EngineMove::Events(1, 2),
     })
     .await;
-    let fleet = fleet(&[&silent, &sound]).await;
+    let fleet = fleet(&[&silent, &healthy]).await;
 
     let mut statuses = Vec::new();
     for id in ["r1", "r2", "r3"] {
@@ -82,19 +82,19 @@
     }
 
     assert_eq!(statuses, [StatusCode::OK; 3]);
-    assert_eq!((requests(&silent), requests(&sound)), (0, 3));
+    assert_eq!((requests(&silent), requests(&healthy)), (0, 3));
 }
 
 #[tokio::test]
 async fn another_incarnation_is_found_out_before_the_request_is_there() {
     let other = ScriptedEngine::start("e1", |_| EngineMove::OtherIncarnation).await;
-    let sound = ScriptedEngine::start("e2", answers_after(EngineMove::Reserve("h-2"))).await;
-    let fleet = fleet(&[&other, &sound]).await;
+    let healthy = ScriptedEngine::start("e2", answers_after(EngineMove::Reserve("h-2"))).await;
+    let fleet = fleet(&[&other, &healthy]).await;
 
     let answer = fleet.call("/stream/a", "r1").await;
 
     assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!((requests(&other), requests(&sound)), (0, 1));
+    assert_eq!((requests(&other), requests(&healthy)), (0, 1));
 }
 
 #[tokio::test]
@@ -118,7 +118,7 @@
     pool
 }
 
-fn crowded(pool: &mut BurstPool, id: u64, millis: u64) -> Vec<PoolAction> {
+fn end_without_slot(pool: &mut BurstPool, id: u64, millis: u64) -> Vec<PoolAction> {
     let outcome = DispatchOutcome::NoSlot;
     pool.tell(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
 }
@@ -136,7 +136,7 @@
     let mut pool = reserving_pool(2);
     let first = upstreams(&pool.arrive(1, 0, 10));
 
-    let second = upstreams(&crowded(&mut pool, 1, 11));
+    let second = upstreams(&end_without_slot(&mut pool, 1, 11));
 
     assert_eq!((first.len(), second.len()), (1, 1));
     assert_ne!(first, second);
@@ -146,7 +146,7 @@
 fn an_engine_without_a_place_is_asked_again_after_a_while() {
     let mut pool = reserving_pool(1);
     pool.arrive(1, 0, 10);
-    let at_once = sent(&crowded(&mut pool, 1, 11));
+    let at_once = sent(&end_without_slot(&mut pool, 1, 11));
     let soon = sent(&pool.tell(PoolEvent::Tick, 21));
     let later = sent(&pool.tell(PoolEvent::Tick, 42));
 
@@ -158,15 +158,15 @@
 #[test]
 fn while_nothing_is_free_places_are_asked_for_with_pauses() {
     let mut pool = reserving_pool(40);
-    let mut asked = pool.arrive(1, 0, 10).len();
+    let mut attempts = pool.arrive(1, 0, 10).len();
     for millis in 11..111 {
-        let running = asked;
-        asked += crowded(&mut pool, 1, millis).len();
-        asked += pool.tell(PoolEvent::Tick, millis).len();
-        assert!(asked <= running + 1, "one request is at one engine");
+        let before = attempts;
+        attempts += end_without_slot(&mut pool, 1, millis).len();
+        attempts += pool.tell(PoolEvent::Tick, millis).len();
+        assert!(attempts <= before + 1, "one request is at one engine at a time");
     }
 
-    assert!((6..=16).contains(&asked), "{asked}");
+    assert!((6..=16).contains(&attempts), "{attempts}");
 }
 
 /// Guards against half of the answers to the most urgent requests being late in a burst that the
@@ -177,12 +177,12 @@
 fn a_scarce_place_goes_to_the_most_urgent_request() {
     let mut pool = reserving_pool(20);
     pool.arrive(1, 2, 10);
-    crowded(&mut pool, 1, 11);
+    end_without_slot(&mut pool, 1, 11);
     (2..=9).for_each(|id| drop(pool.arrive(id, 2, 12)));
     let urgent = sent(&pool.arrive(10, 0, 13));
-    let others = crowded(&mut pool, 1, 14);
+    let others = end_without_slot(&mut pool, 1, 14);
 
-    assert_eq!(urgent, Vec::<u64>::new(), "two requests are asking already");
+    assert_eq!(urgent, Vec::<u64>::new(), "two reservation attempts are already in progress");
     assert_eq!(sent(&others), [10]);
 }
 
