--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -10,16 +10,16 @@
     UpstreamStatus,
 };
 
-fn born(incarnation: u64) -> UpstreamSource {
+fn source_with_incarnation(incarnation: u64) -> UpstreamSource {
     UpstreamSource { incarnation, ..source("e1", 1) }
 }
 
 /// A pool of one upstream with incarnation 5, a request in flight on it and a measured token gap.
-fn pool() -> BurstPool {
+fn pool_with_request() -> BurstPool {
     let mut plan = urgency_plan();
     plan.first_guess = 2;
     let mut pool = BurstPool::with_plan(plan);
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 0);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(5)]), 0);
     assert_eq!(sent(&pool.arrive(1, 0, 0)), [1]);
     let gap = Duration::from_millis(80);
     pool.tell(PoolEvent::TokenGap { id: RequestId(1), gap }, 10);
@@ -33,21 +33,22 @@
 }
 
 /// Guards against an engine that crashed and returned idle getting little work because it is taken
-/// for slow and half full. It crashes while one of its streams has stalled, and restarts under its
-/// name within one refresh period of the upstream list; the state of the old incarnation was kept
-/// for the new one.
+/// for slow and half full. It crashes while a stream on it is silent, and restarts under its name
+/// within one refresh period of the upstream list; the state of the old incarnation was kept for
+/// the new one.
 #[test]
 fn a_later_birth_is_another_upstream() {
-    let mut pool = pool();
+    let mut pool = pool_with_request();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 100);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(9)]), 100);
 
     let after = current(&pool);
     assert_ne!(after.index, before);
     assert_eq!((after.in_flight, after.unread_tokens, after.gap()), (0, 0, None));
     assert_eq!((after.failure_rate, after.peer_work), (0.0, PeerWork::default()));
-    let old = pool.scheduler.upstreams().get(before).expect("it has a request");
+    let old =
+        pool.scheduler.upstreams().get(before).expect("the old incarnation still has a request");
     assert_eq!(old.state(), UpstreamState::Leaving);
 }
 
@@ -55,12 +56,12 @@
 #[case::earlier(3)]
 #[case::not_told(0)]
 #[case::the_same(5)]
-fn word_of_no_later_birth_changes_nothing(#[case] birth: u64) {
-    let mut pool = pool();
+fn word_of_no_later_birth_changes_nothing(#[case] incarnation: u64) {
+    let mut pool = pool_with_request();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![born(birth)]), 100);
-    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: birth }, 110);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(incarnation)]), 100);
+    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation }, 110);
 
     let after = current(&pool);
     assert_eq!((after.index, after.source.incarnation, after.in_flight), (before, 5, 1));
@@ -71,12 +72,12 @@
 /// second.
 #[test]
 fn an_upstreams_own_word_on_its_birth_comes_first() {
-    let mut pool = pool();
+    let mut pool = pool_with_request();
     let before = current(&pool).index;
 
     pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: 9 }, 100);
     let after = current(&pool).index;
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 200);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(5)]), 200);
     pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: 7 }, 210);
 
     assert_ne!(after, before);
@@ -89,7 +90,7 @@
     pool.arrive(1, 0, 0);
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 100);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(9)]), 100);
 
     assert_eq!((current(&pool).index, current(&pool).source.incarnation), (before, 9));
     assert_eq!(current(&pool).in_flight, 1);
@@ -101,13 +102,13 @@
 #[test]
 fn one_that_left_is_used_again_once_it_is_born_again() {
     let mut pool = BurstPool::new();
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 0);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(5)]), 0);
     let index = current(&pool).index;
     pool.tell(PoolEvent::Lifecycle { upstream: index, event: UpstreamEvent::Leaving }, 10);
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 20);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(5)]), 20);
     let refused = pool.arrive(1, 0, 30);
 
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 40);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(9)]), 40);
 
     assert!(sent(&refused).is_empty());
     assert_eq!(sent(&pool.arrive(2, 0, 50)), [2]);
@@ -115,8 +116,8 @@
 
 #[test]
 fn the_end_of_a_request_counts_for_the_one_that_ran_it() {
-    let mut pool = pool();
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 100);
+    let mut pool = pool_with_request();
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(9)]), 100);
     assert_eq!(sent(&pool.arrive(2, 0, 110)), [2]);
 
     pool.end(1, 120);
@@ -126,7 +127,7 @@
 
 #[test]
 fn what_others_tell_of_another_birth_says_nothing() {
-    let hash = |birth| UpstreamHash::of(&"pool".into(), &"e1".into(), birth);
+    let hash = |incarnation| UpstreamHash::of(&"pool".into(), &"e1".into(), incarnation);
 
     assert_eq!(hash(5), hash(5));
     assert_ne!(hash(5), hash(9));
@@ -135,7 +136,7 @@
 
 #[test]
 fn an_upstream_that_is_not_known_is_not_born() {
-    let mut pool = pool();
+    let mut pool = pool_with_request();
 
     pool.tell(PoolEvent::IncarnationReported { upstream: UpstreamIndex(99), incarnation: 9 }, 100);
 
