--- a/tests/test_limit_sizes.rs
+++ b/tests/test_limit_sizes.rs
@@ -14,10 +14,11 @@
 const HOT: OrganisationIndex = OrganisationIndex(0);
 /// Rate of the limit, in tokens per second.
 const RATE: f64 = 100_000.0;
+/// Burst of the limit, in tokens.
 const BURST: u64 = 200_000;
 
 /// Time until which requests arrive.
-const END: Moment = Moment::from_millis(40_000);
+const ARRIVALS_END: Moment = Moment::from_millis(40_000);
 
 fn hot_limits() -> LimitTable {
     let mut limits = LimitTable::default();
@@ -43,25 +44,26 @@
 
 /// Plays requests of one kind that request `times` the limit. Returns the cost of each and whether
 /// it was admitted.
-fn ask(times: f64, rank: u8) -> Vec<(u32, bool)> {
+fn play_kind(times: f64, rank: u8) -> Vec<(u32, bool)> {
     let mut limits = hot_limits();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mean = 2_000.0f64;
     let costs = LogNormal::new(mean.ln() - 0.5, 1.0).expect("costs");
     let mut now = Moment(0);
-    let mut asked = Vec::new();
-    while now < END {
+    let mut outcomes = Vec::new();
+    while now < ARRIVALS_END {
         let cost = costs.sample(&mut rng).clamp(100.0, 20_000.0) as u32;
         limits.set_forecast(HOT, forecast(times, now));
         let claim = LimitClaim { cost, usual_cost: mean as u32, rank, ..LimitClaim::default() };
-        asked.push((cost, limits.admit_claim(HOT, claim, now).is_ok()));
+        outcomes.push((cost, limits.admit_claim(HOT, claim, now).is_ok()));
         now = now + Duration::from_micros((mean / (RATE * times) * 1e6) as u64);
     }
-    asked
+    outcomes
 }
 
-fn passed(asked: &[(u32, bool)]) -> f64 {
-    asked.iter().filter(|(_, passes)| *passes).count() as f64 / asked.len().max(1) as f64
+fn admitted_fraction(outcomes: &[(u32, bool)]) -> f64 {
+    outcomes.iter().filter(|(_, is_admitted)| *is_admitted).count() as f64
+        / outcomes.len().max(1) as f64
 }
 
 /// Guards against spending a limit on small requests while large ones are refused.
@@ -70,13 +72,18 @@
 #[case::lower_rank(2.0, 2)]
 #[case::far_beyond(5.0, 2)]
 fn the_largest_requests_get_their_part_of_a_limit(#[case] times: f64, #[case] rank: u8) {
-    let mut asked = ask(times, rank);
+    let mut outcomes = play_kind(times, rank);
 
-    let tokens: f64 = asked.iter().filter(|row| row.1).map(|row| f64::from(row.0)).sum();
-    asked.sort_by_key(|row| row.0);
-    let (whole, largest) = (passed(&asked), passed(&asked[asked.len() * 9 / 10..]));
-    assert!(largest >= whole / 2.0, "{largest:.3} of the largest tenth, {whole:.3} of all");
-    assert!(tokens >= RATE * 40.0 * 0.9, "{tokens} tokens were let through");
+    let tokens: f64 =
+        outcomes.iter().filter(|outcome| outcome.1).map(|outcome| f64::from(outcome.0)).sum();
+    outcomes.sort_by_key(|outcome| outcome.0);
+    let (overall, largest) =
+        (admitted_fraction(&outcomes), admitted_fraction(&outcomes[outcomes.len() * 9 / 10..]));
+    assert!(
+        largest >= overall / 2.0,
+        "admitted {largest:.3} of the largest tenth, {overall:.3} of all"
+    );
+    assert!(tokens >= RATE * 40.0 * 0.9, "{tokens} tokens were admitted");
 }
 
 /// Guards against spending a limit on the cheapest kinds while the kind of the highest rank is
@@ -85,28 +92,31 @@
 fn no_kind_is_starved_far_beyond_the_limit() {
     let kinds = [(10_000, 0), (3_500, 1), (2_000, 2)];
 
-    let passed = ask_kinds(&kinds, 6.0);
+    let fractions = play_kinds(&kinds, 6.0);
 
-    let mean = passed.iter().sum::<f64>() / passed.len() as f64;
-    assert!(passed.iter().all(|part| *part >= mean / 4.0), "let through by kind: {passed:?}");
+    let mean = fractions.iter().sum::<f64>() / fractions.len() as f64;
+    assert!(
+        fractions.iter().all(|fraction| *fraction >= mean / 4.0),
+        "admitted by kind: {fractions:?}"
+    );
 }
 
 /// Plays requests of several kinds, each a cost and a rank, that arrive equally often and request
 /// `times` the limit for 40 s. Returns the admitted fraction of each kind.
-fn ask_kinds(kinds: &[(u32, u8)], times: f64) -> Vec<f64> {
+fn play_kinds(kinds: &[(u32, u8)], times: f64) -> Vec<f64> {
     let mut limits = hot_limits();
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mean = kinds.iter().map(|kind| f64::from(kind.0)).sum::<f64>() / kinds.len() as f64;
-    let mut rows: Vec<Vec<(u32, bool)>> = vec![Vec::new(); kinds.len()];
+    let mut outcomes_by_kind: Vec<Vec<(u32, bool)>> = vec![Vec::new(); kinds.len()];
     let mut now = Moment(0);
-    while now < END {
+    while now < ARRIVALS_END {
         let number = rng.random_range(0..kinds.len());
         let (cost, rank) = kinds[number];
         limits.set_forecast(HOT, forecast(times, now));
         let route = RouteKey::of(&format!("kind-{number}"));
         let claim = LimitClaim { route, cost, usual_cost: cost, rank, has_returned: false };
-        rows[number].push((cost, limits.admit_claim(HOT, claim, now).is_ok()));
+        outcomes_by_kind[number].push((cost, limits.admit_claim(HOT, claim, now).is_ok()));
         now = now + Duration::from_micros((mean / (RATE * times) * 1e6) as u64);
     }
-    rows.iter().map(|asked| passed(asked)).collect()
+    outcomes_by_kind.iter().map(|outcomes| admitted_fraction(outcomes)).collect()
 }
