--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -10,7 +10,7 @@
     UpstreamIndex,
 };
 
-fn work(requests: u32, gap_micros: u32) -> PeerWork {
+fn peer_work(requests: u32, gap_micros: u32) -> PeerWork {
     PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
@@ -28,7 +28,7 @@
     pool
 }
 
-fn chosen(actions: &[PoolAction]) -> Option<UpstreamIndex> {
+fn placed_on(actions: &[PoolAction]) -> Option<UpstreamIndex> {
     actions.iter().find_map(|action| match action {
         PoolAction::Dispatch { upstream, .. } => Some(*upstream),
         PoolAction::Refuse { .. } => None,
@@ -39,7 +39,7 @@
 fn a_groups_engines_are_used_first_and_others_once_they_are_full() {
     let mut pool = pool_of(40, 4);
     let placed: Vec<u32> =
-        (1..=31).filter_map(|id| chosen(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
+        (1..=31).filter_map(|id| placed_on(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
 
     assert!(placed[..30].iter().all(|index| *index <= 10), "{placed:?}");
     assert!(placed[30] > 10, "{placed:?}");
@@ -49,7 +49,7 @@
 fn a_small_pool_is_shared_by_all_groups() {
     let mut pool = pool_of(3, 8);
     let placed: BTreeSet<u32> =
-        (1..=9).filter_map(|id| chosen(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
+        (1..=9).filter_map(|id| placed_on(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
 
     assert_eq!(placed, BTreeSet::from([1, 2, 3]));
 }
@@ -60,13 +60,13 @@
 #[test]
 fn an_engine_that_another_daemon_knows_to_be_slow_is_used_last() {
     let mut pool = pool_of(2, 1);
-    let rows = vec![("e001".into(), work(0, 24_000)), ("e002".into(), work(0, 6_000))];
+    let rows = vec![("e001".into(), peer_work(0, 24_000)), ("e002".into(), peer_work(0, 6_000))];
     pool.tell(
         PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
     let placed: Vec<u32> =
-        (1..=3).filter_map(|id| chosen(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
+        (1..=3).filter_map(|id| placed_on(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
 
     assert_eq!(placed, [2, 2, 2]);
 }
@@ -77,24 +77,24 @@
 #[test]
 fn a_long_prompt_does_not_make_running_streams_pause() {
     let mut pool = pool_of(2, 1);
-    // The second engine is three times slower, and idle enough to begin first; streams run on it.
+    // The second engine is three times slower and runs streams, but has the earlier first event.
     let rows = vec![
-        ("e001".into(), PeerWork { unread_tokens: 30_000, gap_micros: 6_000, ..work(0, 0) }),
-        ("e002".into(), work(2, 18_000)),
+        ("e001".into(), PeerWork { unread_tokens: 30_000, gap_micros: 6_000, ..peer_work(0, 0) }),
+        ("e002".into(), peer_work(2, 18_000)),
     ];
     pool.tell(
         PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
-    let mut long = arrived(1, 0, 10, 10);
-    long.sizes = Some(RequestSizes { prompt: 6_000, output: 10 });
-    let mut without_bound = long.clone();
-    long.pause = Some(Duration::from_millis(300));
-    without_bound.id = RequestId(2);
+    let mut bounded = arrived(1, 0, 10, 10);
+    bounded.sizes = Some(RequestSizes { prompt: 6_000, output: 10 });
+    let mut unbounded_request = bounded.clone();
+    bounded.pause = Some(Duration::from_millis(300));
+    unbounded_request.id = RequestId(2);
 
-    let bound = chosen(&pool.tell(PoolEvent::Arrived(long), 10));
+    let with_bound = placed_on(&pool.tell(PoolEvent::Arrived(bounded), 10));
     pool.end(1, 11);
-    let unbound = chosen(&pool.tell(PoolEvent::Arrived(without_bound), 12));
+    let unbounded = placed_on(&pool.tell(PoolEvent::Arrived(unbounded_request), 12));
 
-    assert_eq!((bound, unbound), (Some(UpstreamIndex(1)), Some(UpstreamIndex(2))));
+    assert_eq!((with_bound, unbounded), (Some(UpstreamIndex(1)), Some(UpstreamIndex(2))));
 }
