--- a/tests/test_size_share.rs
+++ b/tests/test_size_share.rs
@@ -5,27 +5,31 @@
 
 /// Minimum service of a kind's largest tenth, and of the fifth below it, as a fraction of the
 /// service of the whole kind.
-const LEAST_PART: f64 = 0.5;
+const MIN_SERVED_RATIO: f64 = 0.5;
 
-fn check_sizes(load: &SizedLoad) {
+fn check_service_by_size(load: &SizedLoad) {
     let ends = play(load);
     let lost = ends.iter().filter(|end| end.is_lost).count();
-    assert!(lost * 20 <= ends.len(), "{lost} of {} were begun in vain by {load:?}", ends.len());
+    assert!(
+        lost * 20 <= ends.len(),
+        "{lost} of {} were started but not served under {load:?}",
+        ends.len()
+    );
     let all = served_part(ends.iter());
     for kind in 0..load.kinds.len() {
         let own = by_size(&ends, kind);
         let whole = served_part(own.iter());
         assert!(
             whole >= all / 4.0,
-            "kind {kind} of {load:?}: {whole:.3} were served, of all {all:.3}"
+            "kind {kind} of {load:?}: served {whole:.3} of the kind, {all:.3} of all"
         );
         let (large, largest) = (own.len() * 7 / 10, own.len() * 9 / 10);
         let parts = [("largest tenth", &own[largest..]), ("fifth below", &own[large..largest])];
         for (name, part) in parts {
             let served = served_part(part.iter());
             assert!(
-                served >= whole * LEAST_PART,
-                "kind {kind} of {load:?}: of the {name} {served:.3} were served, of all {whole:.3}"
+                served >= whole * MIN_SERVED_RATIO,
+                "kind {kind} of {load:?}: served {served:.3} of the {name}, {whole:.3} of the kind"
             );
         }
     }
@@ -38,7 +42,7 @@
 #[case::seven_daemons(7)]
 #[case::many_daemons(56)]
 fn the_largest_requests_of_a_kind_are_served_under_lasting_overload(#[case] daemons: usize) {
-    check_sizes(&SizedLoad::overload(daemons));
+    check_service_by_size(&SizedLoad::overload(daemons));
 }
 
 /// Guards against a guarantee that holds only with good size estimates, equal engines and steady
@@ -53,7 +57,7 @@
 #[case::the_lowest_kind_bursts(burst_of(2))]
 #[case::another_seed(SizedLoad { seed: 7, ..SizedLoad::overload(7) })]
 fn every_load_serves_the_largest(#[case] load: SizedLoad) {
-    check_sizes(&load);
+    check_service_by_size(&load);
 }
 
 /// A load at the engines' capacity on which five times as many requests of one kind arrive.
