--- a/tests/test_group_order.rs
+++ b/tests/test_group_order.rs
@@ -7,10 +7,11 @@
 
 /// Load in each second, as a fraction of capacity: three calm seconds, a burst of three, and seven
 /// seconds as calm as the first.
-const BURST: [f64; 13] = [0.9, 0.9, 0.9, 2.0, 2.0, 2.0, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9];
+const LOADS: [f64; 13] = [0.9, 0.9, 0.9, 2.0, 2.0, 2.0, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9];
 
-fn in_time(off: &[Mechanism], seconds: std::ops::Range<usize>, rank: Option<u8>) -> f64 {
-    let plays = (1..=4).flat_map(|seed| play(&BURST, off, rank, seed)[seconds.clone()].to_vec());
+fn in_time_share(disabled: &[Mechanism], seconds: std::ops::Range<usize>, rank: Option<u8>) -> f64 {
+    let plays =
+        (1..=4).flat_map(|seed| play(&LOADS, disabled, rank, seed)[seconds.clone()].to_vec());
     SecondShare::of(&plays.collect::<Vec<SecondShare>>())
 }
 
@@ -19,8 +20,8 @@
 /// order within each daemon alone a free slot goes to whichever daemon tries first.
 #[test]
 fn after_a_burst_those_in_time_go_before_the_late_ones_of_other_daemons() {
-    let without = in_time(&[Mechanism::GroupOrder], 7..13, None);
-    let with = in_time(&[], 7..13, None);
+    let without = in_time_share(&[Mechanism::GroupOrder], 7..13, None);
+    let with = in_time_share(&[], 7..13, None);
 
     assert!(with >= 0.9, "{with} with, {without} without");
     assert!(with >= without + 0.05, "{with} with, {without} without");
@@ -28,8 +29,8 @@
 
 #[test]
 fn during_a_burst_more_of_the_urgent_ones_are_in_time() {
-    let without = in_time(&[Mechanism::GroupOrder], 3..6, Some(0));
-    let with = in_time(&[], 3..6, Some(0));
+    let without = in_time_share(&[Mechanism::GroupOrder], 3..6, Some(0));
+    let with = in_time_share(&[], 3..6, Some(0));
 
     assert!(with >= without, "{with} with, {without} without");
 }
@@ -37,8 +38,8 @@
 /// While slots are free, no request yields to those of other daemons.
 #[test]
 fn a_calm_load_is_served_as_before() {
-    let without = in_time(&[Mechanism::GroupOrder], 0..3, None);
-    let with = in_time(&[], 0..3, None);
+    let without = in_time_share(&[Mechanism::GroupOrder], 0..3, None);
+    let with = in_time_share(&[], 0..3, None);
 
     assert!(with >= without - 0.01, "{with} with, {without} without");
 }
