--- a/tests/test_small_calls.rs
+++ b/tests/test_small_calls.rs
@@ -5,17 +5,18 @@
 use tarragonknot::policy::Mechanism;
 
 /// Calls per second that the upstreams can serve.
-const CAPACITY: f64 = 300.0;
+const CAPACITY_PER_SECOND: f64 = 300.0;
 
 /// Sums the outcomes of the calls that arrived in a range of seconds, over several seeds.
-fn calls(
+fn sum_outcomes(
     daemons: usize,
     rates: impl Fn(u64) -> f64 + Copy,
-    off: &[Mechanism],
+    disabled: &[Mechanism],
     seconds: std::ops::Range<usize>,
 ) -> CallEnds {
-    let plays = (0..6).flat_map(|seed| play(daemons, rates, off, seed)[seconds.clone()].to_vec());
-    plays.fold(CallEnds::default(), |sum, second| CallEnds {
+    let outcomes =
+        (0..6).flat_map(|seed| play(daemons, rates, disabled, seed)[seconds.clone()].to_vec());
+    outcomes.fold(CallEnds::default(), |sum, second| CallEnds {
         asked: sum.asked + second.asked,
         in_time: sum.in_time + second.in_time,
         late: sum.late + second.late,
@@ -30,20 +31,26 @@
     #[values(7, 71, 291)] daemons: usize,
     #[values(1.3, 1.7)] times: f64,
 ) {
-    let rates = |second| if (3..7).contains(&second) { CAPACITY * times } else { CAPACITY * 0.6 };
+    let rates = |second| {
+        if (3..7).contains(&second) {
+            CAPACITY_PER_SECOND * times
+        } else {
+            CAPACITY_PER_SECOND * 0.6
+        }
+    };
 
-    let without = calls(daemons, rates, &[Mechanism::LateWait], 3..7);
-    let with = calls(daemons, rates, &[], 3..7);
+    let without = sum_outcomes(daemons, rates, &[Mechanism::LateWait], 3..7);
+    let with = sum_outcomes(daemons, rates, &[], 3..7);
 
     assert!(with.in_time * 10 >= without.in_time * 11, "{with:?}, without {without:?}");
-    let worth = |ends: &CallEnds| f64::from(ends.in_time) + 0.3 * f64::from(ends.late);
-    assert!(worth(&with) >= worth(&without) * 0.99, "{with:?}, without {without:?}");
+    let value = |ends: &CallEnds| f64::from(ends.in_time) + 0.3 * f64::from(ends.late);
+    assert!(value(&with) >= value(&without) * 0.99, "{with:?}, without {without:?}");
 }
 
 /// Guards against refusing calls although the upstreams have capacity for all of them.
 #[rstest]
 fn below_the_capacity_next_to_nothing_is_refused(#[values(1, 7, 71)] daemons: usize) {
-    let ends = calls(daemons, |_| CAPACITY * 0.75, &[], 0..10);
+    let ends = sum_outcomes(daemons, |_| CAPACITY_PER_SECOND * 0.75, &[], 0..10);
 
     assert!(ends.refused * 100 <= ends.asked, "{ends:?}");
 }
