--- a/tests/test_request_sizes.rs
+++ b/tests/test_request_sizes.rs
@@ -19,10 +19,10 @@
 #[case::smallest(0, 0)]
 #[case::middle(55, 5)]
 #[case::largest(1_000, 9)]
-fn a_request_has_its_tenth_among_the_recent_ones(#[case] output: u32, #[case] tenth: u8) {
+fn a_request_has_its_tenth_among_the_recent_ones(#[case] output: u32, #[case] decile_number: u8) {
     let mut known = known_sizes(1..=100);
 
-    assert_eq!(known.decile(sizes(output)).map(SizeDecile::number), Some(tenth));
+    assert_eq!(known.decile(sizes(output)).map(SizeDecile::number), Some(decile_number));
 }
 
 #[test]
