--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -56,12 +56,12 @@
 #[case::earlier(3)]
 #[case::not_told(0)]
 #[case::the_same(5)]
-fn word_of_no_later_birth_changes_nothing(#[case] incarnation: u64) {
+fn word_of_no_later_birth_changes_nothing(#[case] reported: u64) {
     let mut pool = pool_with_request();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(incarnation)]), 100);
-    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation }, 110);
+    pool.tell(PoolEvent::Sources(vec![source_with_incarnation(reported)]), 100);
+    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: reported }, 110);
 
     let after = current(&pool);
     assert_eq!((after.index, after.source.incarnation, after.in_flight), (before, 5, 1));
--- a/tests/test_small_calls.rs
+++ b/tests/test_small_calls.rs
@@ -5,7 +5,7 @@
 use tarragonknot::policy::Mechanism;
 
 /// Calls per second that the upstreams can serve.
-const CAPACITY_PER_SECOND: f64 = 300.0;
+const CAPACITY: f64 = 300.0;
 
 /// Sums the outcomes of the calls that arrived in a range of seconds, over several seeds.
 fn sum_outcomes(
@@ -31,13 +31,7 @@
     #[values(7, 71, 291)] daemons: usize,
     #[values(1.3, 1.7)] times: f64,
 ) {
-    let rates = |second| {
-        if (3..7).contains(&second) {
-            CAPACITY_PER_SECOND * times
-        } else {
-            CAPACITY_PER_SECOND * 0.6
-        }
-    };
+    let rates = |second| if (3..7).contains(&second) { CAPACITY * times } else { CAPACITY * 0.6 };
 
     let without = sum_outcomes(daemons, rates, &[Mechanism::LateWait], 3..7);
     let with = sum_outcomes(daemons, rates, &[], 3..7);
@@ -50,7 +44,7 @@
 /// Guards against refusing calls although the upstreams have capacity for all of them.
 #[rstest]
 fn below_the_capacity_next_to_nothing_is_refused(#[values(1, 7, 71)] daemons: usize) {
-    let ends = sum_outcomes(daemons, |_| CAPACITY_PER_SECOND * 0.75, &[], 0..10);
+    let ends = sum_outcomes(daemons, |_| CAPACITY * 0.75, &[], 0..10);
 
     assert!(ends.refused * 100 <= ends.asked, "{ends:?}");
 }
