--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -1,4 +1,5 @@
-//! Which upstream a request goes to: groups of the fleet, others' word on speed, and pauses of those who run there.
+//! Placement of requests on upstreams: by fleet group, by speeds that other daemons report, and by
+//! the pauses caused to running streams.
 
 use crate::burst_pool::{BurstPool, arrived, urgency_plan};
 use crate::session::source;
@@ -9,12 +10,12 @@
     UpstreamIndex,
 };
 
-fn work(requests: u32, gap_micros: u32) -> PeerWork {
+fn peer_work(requests: u32, gap_micros: u32) -> PeerWork {
     PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
-/// A pool of `count` engines with three places each, numbered from 1, of which this daemon's group is the first of
-/// `groups`.
+/// A pool of `count` engines with three slots each, numbered from 1. This daemon's group is the
+/// first of `groups`.
 fn pool_of(count: u16, groups: usize) -> BurstPool {
     let mut plan = urgency_plan();
     plan.first_guess = 3;
@@ -27,7 +28,7 @@
     pool
 }
 
-fn chosen(actions: &[PoolAction]) -> Option<UpstreamIndex> {
+fn placed_on(actions: &[PoolAction]) -> Option<UpstreamIndex> {
     actions.iter().find_map(|action| match action {
         PoolAction::Dispatch { upstream, .. } => Some(*upstream),
         PoolAction::Refuse { .. } => None,
@@ -38,7 +39,7 @@
 fn a_groups_engines_are_used_first_and_others_once_they_are_full() {
     let mut pool = pool_of(40, 4);
     let placed: Vec<u32> =
-        (1..=31).filter_map(|id| chosen(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
+        (1..=31).filter_map(|id| placed_on(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
 
     assert!(placed[..30].iter().all(|index| *index <= 10), "{placed:?}");
     assert!(placed[30] > 10, "{placed:?}");
@@ -48,51 +49,52 @@
 fn a_small_pool_is_shared_by_all_groups() {
     let mut pool = pool_of(3, 8);
     let placed: BTreeSet<u32> =
-        (1..=9).filter_map(|id| chosen(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
+        (1..=9).filter_map(|id| placed_on(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
 
     assert_eq!(placed, BTreeSet::from([1, 2, 3]));
 }
 
-/// Symptom: a third of all streams are late from the first second on. Sequence: a daemon that has sent nothing yet
-/// to an engine four times slower than the rest sends there. Cause: each daemon learns the engines' speeds by itself.
+/// Guards against a third of all streams being late from the first second on. A daemon that has not
+/// yet used an engine four times slower than the rest dispatches there, when each daemon learns the
+/// engines' speeds by itself.
 #[test]
 fn an_engine_that_another_daemon_knows_to_be_slow_is_used_last() {
     let mut pool = pool_of(2, 1);
-    let rows = vec![("e001".into(), work(0, 24_000)), ("e002".into(), work(0, 6_000))];
+    let rows = vec![("e001".into(), peer_work(0, 24_000)), ("e002".into(), peer_work(0, 6_000))];
     pool.tell(
         PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
     let placed: Vec<u32> =
-        (1..=3).filter_map(|id| chosen(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
+        (1..=3).filter_map(|id| placed_on(&pool.arrive(id, 0, 10))).map(|index| index.0).collect();
 
     assert_eq!(placed, [2, 2, 2]);
 }
 
-/// Symptom: every stream on a slow engine pauses for longer than its route allows. Sequence: a prompt of 6,000 tokens
-/// comes to an engine that reads it in 0.36 s, between the steps of three streams. Cause: placement by the first event
-/// of the new request alone.
+/// Guards against every stream on a slow engine pausing for longer than its route allows. A prompt
+/// of 6,000 tokens goes to an engine that processes it in 0.36 s between the steps of three
+/// streams, when placement considers only the first event of the new request.
 #[test]
 fn a_long_prompt_does_not_make_running_streams_pause() {
     let mut pool = pool_of(2, 1);
-    // The second engine is three times slower, and idle enough to begin first; streams run on it.
+    // The second engine is three times slower and runs streams, but has the earlier first event.
     let rows = vec![
-        ("e001".into(), PeerWork { unread_tokens: 30_000, gap_micros: 6_000, ..work(0, 0) }),
-        ("e002".into(), work(2, 18_000)),
+        ("e001".into(), PeerWork { unread_tokens: 30_000, gap_micros: 6_000, ..peer_work(0, 0) }),
+        ("e002".into(), peer_work(2, 18_000)),
     ];
     pool.tell(
         PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
-    let mut long = arrived(1, 0, 10, 10);
-    long.sizes = Some(RequestSizes { prompt: 6_000, output: 10 });
-    let mut without_bound = long.clone();
-    long.pause = Some(Duration::from_millis(300));
-    without_bound.id = RequestId(2);
+    let mut bounded = arrived(1, 0, 10, 10);
+    bounded.sizes = Some(RequestSizes { prompt: 6_000, output: 10 });
+    let mut unbounded_request = bounded.clone();
+    bounded.pause = Some(Duration::from_millis(300));
+    unbounded_request.id = RequestId(2);
 
-    let bound = chosen(&pool.tell(PoolEvent::Arrived(long), 10));
+    let with_bound = placed_on(&pool.tell(PoolEvent::Arrived(bounded), 10));
     pool.end(1, 11);
-    let unbound = chosen(&pool.tell(PoolEvent::Arrived(without_bound), 12));
+    let unbounded = placed_on(&pool.tell(PoolEvent::Arrived(unbounded_request), 12));
 
-    assert_eq!((bound, unbound), (Some(UpstreamIndex(1)), Some(UpstreamIndex(2))));
+    assert_eq!((with_bound, unbounded), (Some(UpstreamIndex(1)), Some(UpstreamIndex(2))));
 }
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -1,4 +1,4 @@
-//! Properties of queue, limits, floor and placement.
+//! Properties of the fair queue, organisation limits, shed floor and upstream placement.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -68,40 +68,40 @@
     #[test]
     fn the_queue_loses_and_doubles_nothing(steps in proptest::collection::vec(queue_step(), 1..120)) {
         let mut queue = FairQueue::new(&SHARES);
-        let mut inside: BTreeMap<u64, (u8, u32)> = BTreeMap::new();
-        let mut next = 1;
+        let mut queued: BTreeMap<u64, (u8, u32)> = BTreeMap::new();
+        let mut next_id = 1;
 
         for step in steps {
             match step {
                 QueueStep::Push { tier, organisation, cost } => {
-                    queue.push(waiting(next, tier, organisation, cost));
-                    inside.insert(next, (tier, cost));
-                    next += 1;
+                    queue.push(waiting(next_id, tier, organisation, cost));
+                    queued.insert(next_id, (tier, cost));
+                    next_id += 1;
                 }
                 QueueStep::Pop => {
                     let popped = queue.pop(TierRank(u8::MAX), Moment(0)).map(|request| request.id.0);
-                    prop_assert_eq!(popped.is_none(), inside.is_empty());
-                    popped.into_iter().for_each(|id| assert!(inside.remove(&id).is_some()));
+                    prop_assert_eq!(popped.is_none(), queued.is_empty());
+                    popped.into_iter().for_each(|id| assert!(queued.remove(&id).is_some()));
                 }
                 QueueStep::Remove(id) => {
                     let removed = queue.remove(RequestId(id)).is_some();
-                    prop_assert_eq!(removed, inside.remove(&id).is_some());
+                    prop_assert_eq!(removed, queued.remove(&id).is_some());
                 }
                 QueueStep::EvictBelow(tier) => {
-                    let lowest = inside.values().map(|(tier, _)| *tier).max();
+                    let lowest = queued.values().map(|(tier, _)| *tier).max();
                     let evicted = queue.evict_below(TierRank(tier));
                     prop_assert_eq!(evicted.as_ref().map(|request| request.tier.0), lowest.filter(|lowest| *lowest > tier));
-                    evicted.into_iter().for_each(|request| assert!(inside.remove(&request.id.0).is_some()));
+                    evicted.into_iter().for_each(|request| assert!(queued.remove(&request.id.0).is_some()));
                 }
             }
-            prop_assert_eq!(queue.len(), inside.len());
+            prop_assert_eq!(queue.len(), queued.len());
             for tier in 0..3 {
-                let tokens: u64 = inside.values().filter(|(at, _)| *at == tier).map(|(_, cost)| u64::from(*cost)).sum();
+                let tokens: u64 = queued.values().filter(|(at, _)| *at == tier).map(|(_, cost)| u64::from(*cost)).sum();
                 prop_assert_eq!(queue.waiting_tokens(TierRank(tier)), tokens);
             }
         }
-        let rest: BTreeSet<u64> = std::iter::from_fn(|| queue.pop(TierRank(u8::MAX), Moment(0))).map(|request| request.id.0).collect();
-        prop_assert_eq!(rest, inside.keys().copied().collect::<BTreeSet<u64>>());
+        let remaining: BTreeSet<u64> = std::iter::from_fn(|| queue.pop(TierRank(u8::MAX), Moment(0))).map(|request| request.id.0).collect();
+        prop_assert_eq!(remaining, queued.keys().copied().collect::<BTreeSet<u64>>());
     }
 
     #[test]
@@ -132,19 +132,19 @@
 
     #[test]
     fn the_rate_limit_never_passes_more_than_burst_and_rate(costs in proptest::collection::vec(1u32..300, 1..200), gap in 0u64..200) {
-        let mut book = LimitTable::default();
+        let mut limits = LimitTable::default();
         let limit = OrganisationLimit { tokens_per_second: Some(1_000), burst_tokens: Some(500), concurrent: None };
-        book.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
-        let mut passed = 0u64;
+        limits.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
+        let mut admitted = 0u64;
         let mut now = Moment::from_millis(1_000);
 
         for cost in costs {
             now = now + Duration::from_millis(gap);
-            if book.admit(OrganisationIndex(1), cost, now).is_ok() {
-                passed += u64::from(cost);
+            if limits.admit(OrganisationIndex(1), cost, now).is_ok() {
+                admitted += u64::from(cost);
             }
             let elapsed = now.since(Moment::from_millis(1_000)).as_secs_f64();
-            prop_assert!(passed as f64 <= 500.0 + 1_000.0 * elapsed + 1e-6);
+            prop_assert!(admitted as f64 <= 500.0 + 1_000.0 * elapsed + 1e-6);
         }
     }
 
@@ -211,21 +211,21 @@
     #[case] requests: u32,
     #[case] expected: Result<(), AnswerKind>,
 ) {
-    let mut book = LimitTable::default();
+    let mut limits = LimitTable::default();
     let limit = OrganisationLimit { concurrent: Some(1), ..OrganisationLimit::default() };
-    book.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
+    limits.set_limits(HashMap::from([(OrganisationIndex(1), limit)]));
 
     let results: Vec<Result<(), AnswerKind>> =
-        (0..requests).map(|_| book.admit(OrganisationIndex(1), 1, Moment(1))).collect();
+        (0..requests).map(|_| limits.admit(OrganisationIndex(1), 1, Moment(1))).collect();
 
     assert_eq!(results.last(), Some(&expected));
-    book.release(OrganisationIndex(1), 0);
-    assert!(book.admit(OrganisationIndex(1), 1, Moment(2)).is_ok());
+    limits.release(OrganisationIndex(1), 0);
+    assert!(limits.admit(OrganisationIndex(1), 1, Moment(2)).is_ok());
 }
 
-/// Symptom: a daemon sheds a middle tier while another still admits the lowest.
-/// Sequence: this daemon wants the floor at the top; the fleet has confirmed nothing, then one step.
-/// Cause: dropping several tiers at once. Each step waits for the whole fleet.
+/// Guards against shedding a middle tier while another daemon still admits the lowest. This
+/// happened when a daemon that wanted the highest floor dropped several tiers at once; each step
+/// must wait until the whole fleet has confirmed the previous one.
 #[test]
 fn the_floor_rises_one_confirmed_tier_at_a_time() {
     let mut floor = ShedFloor::default();
@@ -239,22 +239,22 @@
         imposed: Some(TierRank(0)),
         is_fresh: false,
     };
-    let is_free = floor.raise(TierRank(0), now);
+    let may_raise = floor.raise(TierRank(0), now);
     let first = floor.lowest_admitted();
     floor.apply(order(TierRank(2)));
     let second = floor.lowest_admitted();
     floor.apply(order(TierRank(0)));
 
-    assert!(!is_free);
+    assert!(!may_raise);
     assert_eq!(first, Some(TierRank(2)));
     assert_eq!(second, Some(TierRank(1)));
     assert!(floor.raise(TierRank(0), now));
     assert_eq!(floor.lowest_admitted(), Some(TierRank(0)));
 }
 
-/// Symptom: a confirmation of an earlier floor counts for a later one.
-/// Sequence: the daemon wanted a looser floor, or none, when it asked.
-/// Cause: an answer without the question. It counts only for the floor that was asked for.
+/// Guards against a confirmation of an earlier floor being counted for a later one. The daemon had
+/// reported a lower floor, or none, when it asked; a confirmation is valid only for the floor that
+/// was reported with the request.
 #[test]
 fn a_confirmation_of_another_floor_does_not_count() {
     let mut floor = ShedFloor::default();
@@ -271,9 +271,9 @@
     assert!(!floor.raise(TierRank(0), Moment::from_millis(20)));
 }
 
-/// Symptom: one engine gets every request until the next report.
-/// Sequence: two engines report equal load; many requests come before the next report.
-/// Cause: trusting a stale report. What was sent since is added to it.
+/// Guards against sending every request to one engine until the next load report. Two engines
+/// report equal load and many requests arrive before the next report, so the requests dispatched
+/// since a report must be added to it.
 #[test]
 fn sends_since_a_report_correct_it() {
     let mut plan = crate::session::plan(64);
@@ -323,60 +323,60 @@
     assert_eq!(counts, [20, 20]);
 }
 
-fn limit_book(share: f64) -> LimitTable {
-    let mut book = LimitTable::default();
+fn limits_with_share(share: f64) -> LimitTable {
+    let mut limits = LimitTable::default();
     let limit = OrganisationLimit {
         tokens_per_second: Some(100),
         burst_tokens: Some(200),
         concurrent: Some(10),
     };
-    book.set_limits(HashMap::from([(OrganisationIndex(0), limit)]));
-    book.set_share(share);
-    book
+    limits.set_limits(HashMap::from([(OrganisationIndex(0), limit)]));
+    limits.set_share(share);
+    limits
 }
 
-fn admitted(book: &mut LimitTable, cost: u32) -> usize {
+fn admitted(limits: &mut LimitTable, cost: u32) -> usize {
     (0..100)
-        .take_while(|_| book.admit(OrganisationIndex(0), cost, Moment::from_millis(1)).is_ok())
+        .take_while(|_| limits.admit(OrganisationIndex(0), cost, Moment::from_millis(1)).is_ok())
         .count()
 }
 
-/// Symptom: an organisation gets its limit once from every daemon.
-/// Sequence: its callers are spread over two daemons. Cause: each applying the limit whole.
+/// Guards against an organisation getting its full limit from every daemon. Its callers are spread
+/// over two daemons, and each applied the whole limit.
 #[rstest]
 #[case::requests(1, 10)]
 #[case::tokens(50, 4)]
-fn daemons_divide_an_organisations_limit(#[case] cost: u32, #[case] whole: usize) {
-    let mut one = limit_book(0.5);
-    let mut other = limit_book(0.5);
+fn daemons_divide_an_organisations_limit(#[case] cost: u32, #[case] expected: usize) {
+    let mut first = limits_with_share(0.5);
+    let mut second = limits_with_share(0.5);
 
-    let together = admitted(&mut one, cost) + admitted(&mut other, cost);
+    let total = admitted(&mut first, cost) + admitted(&mut second, cost);
 
-    assert_eq!(together, whole);
+    assert_eq!(total, expected);
 }
 
-/// Symptom: more requests in progress than the limit after shares have moved.
-/// Sequence: a daemon's share is made smaller while its requests run. Cause: giving the part away before they end.
+/// Guards against exceeding the concurrency limit after shares have moved. A daemon's share shrinks
+/// while its requests run; the released part must not be given away before those requests end.
 #[test]
 fn requests_in_progress_count_until_they_end() {
-    let mut book = limit_book(0.5);
-    let running = admitted(&mut book, 1);
+    let mut limits = limits_with_share(0.5);
+    let running = admitted(&mut limits, 1);
 
-    book.set_share(0.1);
-    let used = book.largest_utilisation();
-    book.release(OrganisationIndex(0), 0);
+    limits.set_share(0.1);
+    let utilisation = limits.largest_utilisation();
+    limits.release(OrganisationIndex(0), 0);
 
-    assert_eq!((running, used), (5, 0.5));
-    assert_eq!(book.largest_utilisation(), 0.4);
-    assert_eq!(book.demand(), 4);
+    assert_eq!((running, utilisation), (5, 0.5));
+    assert_eq!(limits.largest_utilisation(), 0.4);
+    assert_eq!(limits.demand(), 4);
 }
 
-/// A daemon without a share admits nothing under a rate, rather than everything.
+/// A daemon without a share admits nothing under a rate limit, rather than everything.
 #[test]
 fn without_a_share_the_rate_is_refused() {
-    let mut book = limit_book(0.0);
+    let mut limits = limits_with_share(0.0);
 
-    let refused = book.admit(OrganisationIndex(0), 1, Moment::from_millis(1));
+    let refused = limits.admit(OrganisationIndex(0), 1, Moment::from_millis(1));
 
     assert_eq!(refused, Err(AnswerKind::RateLimited));
 }
--- a/tests/test_size_share.rs
+++ b/tests/test_size_share.rs
@@ -1,45 +1,52 @@
-//! What large requests get of what their kind gets, under lasting overload.
+//! Service of large requests relative to others of their kind, under lasting overload.
 
 use crate::sized_load::{SizedLoad, by_size, in_time_part, play, play_with, served_part};
 use rstest::rstest;
 
-/// The part of a kind's service that its largest tenth, and the fifth below it, get at least.
-const LEAST_PART: f64 = 0.5;
+/// Minimum service of a kind's largest tenth, and of the fifth below it, as a fraction of the
+/// service of the whole kind.
+const MIN_SERVED_RATIO: f64 = 0.5;
 
-fn check_sizes(load: &SizedLoad) {
+fn check_service_by_size(load: &SizedLoad) {
     let ends = play(load);
     let lost = ends.iter().filter(|end| end.is_lost).count();
-    assert!(lost * 20 <= ends.len(), "{lost} of {} were begun in vain by {load:?}", ends.len());
+    assert!(
+        lost * 20 <= ends.len(),
+        "{lost} of {} were started but not served under {load:?}",
+        ends.len()
+    );
     let all = served_part(ends.iter());
     for kind in 0..load.kinds.len() {
         let own = by_size(&ends, kind);
         let whole = served_part(own.iter());
         assert!(
             whole >= all / 4.0,
-            "kind {kind} of {load:?}: {whole:.3} were served, of all {all:.3}"
+            "kind {kind} of {load:?}: served {whole:.3} of the kind, {all:.3} of all"
         );
         let (large, largest) = (own.len() * 7 / 10, own.len() * 9 / 10);
         let parts = [("largest tenth", &own[largest..]), ("fifth below", &own[large..largest])];
         for (name, part) in parts {
             let served = served_part(part.iter());
             assert!(
-                served >= whole * LEAST_PART,
-                "kind {kind} of {load:?}: of the {name} {served:.3} were served, of all {whole:.3}"
+                served >= whole * MIN_SERVED_RATIO,
+                "kind {kind} of {load:?}: served {served:.3} of the {name}, {whole:.3} of the kind"
             );
         }
     }
 }
 
-/// Guards against long answers that wait behind shorter ones of their kind until their callers leave.
+/// Guards against long answers that wait behind shorter ones of their kind until their callers
+/// leave.
 #[rstest]
 #[case::one_daemon(1)]
 #[case::seven_daemons(7)]
 #[case::many_daemons(56)]
 fn the_largest_requests_of_a_kind_are_served_under_lasting_overload(#[case] daemons: usize) {
-    check_sizes(&SizedLoad::overload(daemons));
+    check_service_by_size(&SizedLoad::overload(daemons));
 }
 
-/// Guards against a promise that holds only where guesses are good, engines are alike and loads are steady.
+/// Guards against a guarantee that holds only with good size estimates, equal engines and steady
+/// loads.
 #[rstest]
 #[case::engines_alike(SizedLoad { engines: vec![1.0; 12], ..SizedLoad::overload(7) })]
 #[case::engines_far_apart(SizedLoad { engines: [0.4, 2.0].repeat(6), ..SizedLoad::overload(7) })]
@@ -50,17 +57,17 @@
 #[case::the_lowest_kind_bursts(burst_of(2))]
 #[case::another_seed(SizedLoad { seed: 7, ..SizedLoad::overload(7) })]
 fn every_load_serves_the_largest(#[case] load: SizedLoad) {
-    check_sizes(&load);
+    check_service_by_size(&load);
 }
 
-/// Five times as many requests of one kind, at what the engines do without them.
+/// A load at the engines' capacity on which five times as many requests of one kind arrive.
 fn burst_of(kind: usize) -> SizedLoad {
     let mut load = SizedLoad { times: 1.0, ..SizedLoad::overload(7) };
     load.kinds[kind].burst = 5.0;
     load
 }
 
-/// Guards against a promise that is paid for while there is room for all.
+/// Guards against a guarantee that costs service while there is capacity for all requests.
 #[test]
 fn a_load_that_the_engines_carry_is_served_whole() {
     let load = SizedLoad { times: 0.5, ..SizedLoad::overload(7) };
@@ -71,7 +78,7 @@
     assert!(served >= 0.98 && in_time >= 0.95, "{served} served, {in_time} in time");
 }
 
-/// Guards against a promise that costs callers more than a sixth of what is served without it.
+/// Guards against a guarantee that costs callers more than a sixth of what is served without it.
 #[rstest]
 #[case::one_daemon(1)]
 #[case::seven_daemons(7)]
