--- a/tests/test_fleet_processes.rs
+++ b/tests/test_fleet_processes.rs
@@ -1,4 +1,5 @@
-//! A few daemons of their own processes: kills, pauses, wiped disks, silent connections, resent claims.
+//! Fleets of daemons in separate processes: kills, pauses, wiped disks, silent connections and
+//! resent bookings.
 
 use crate::fixtures::{AGENTS_KEY, small_table, upstream};
 use crate::workdir::{FleetDaemon, WorkDir, stderr, stdout};
@@ -17,8 +18,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Something that must come is waited for this many times 20 ms.
-const PATIENCE: usize = 1_500;
+/// Attempts, 20 ms apart, before a wait fails.
+const MAX_POLLS: usize = 1_500;
 
 struct ProcessFleet {
     work: WorkDir,
@@ -27,7 +28,7 @@
 }
 
 impl ProcessFleet {
-    /// Starts `voters` daemons with data folders and `diskless` without.
+    /// Starts `voters` daemons with data folders and `diskless` daemons without.
     fn start(voters: usize, diskless: usize) -> Self {
         let daemons = (1..=voters + diskless).map(FleetDaemon::new).collect();
         let mut fleet = ProcessFleet { work: WorkDir::new(), daemons, edits: AtomicU64::new(0) };
@@ -92,7 +93,7 @@
         rows.as_array().map_or(0, |rows| rows.iter().filter(|row| row["votes"] == true).count())
     }
 
-    /// Edits the weight of a tier, through daemon `number`; returns the version.
+    /// Applies a table edit through daemon `number`; returns the accepted version.
     fn edit(&self, number: usize, change: impl FnOnce(&mut Value)) -> u64 {
         let output = self.operate(number, &["table", "show", "--json"]);
         let mut versioned: Value = serde_json::from_str(&stdout(&output))
@@ -106,7 +107,7 @@
         answer["outcome"]["accepted"]["version"].as_u64().expect("an accepted version")
     }
 
-    fn first_table(&self, service: SocketAddr) {
+    fn apply_first_table(&self, service: SocketAddr) {
         let mut table = small_table();
         table.upstreams.push(upstream("service-1", "pack-api", service));
         let table = serde_json::to_value(table).unwrap();
@@ -147,7 +148,7 @@
     Some((status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// A booking under an idempotency key, through one daemon.
+/// Sends a booking with an idempotency key through one daemon.
 async fn book(callers: SocketAddr, key: &str, body: &str) -> Option<(StatusCode, String)> {
     let request = Request::post(format!("http://{callers}/pack-api/bookings"))
         .header("authorization", format!("Bearer {AGENTS_KEY}"))
@@ -157,35 +158,35 @@
     send(request).await
 }
 
-fn kind_of(answer: &(StatusCode, String)) -> Option<AnswerKind> {
+fn problem_kind(answer: &(StatusCode, String)) -> Option<AnswerKind> {
     serde_json::from_str::<ProblemBody>(&answer.1).ok().map(|problem| problem.kind)
 }
 
-fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    for _ in 0..PATIENCE {
-        if is_so() {
+fn wait_until(what: &str, mut is_met: impl FnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
+        if is_met() {
             return;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    panic!("{what}: did not come");
+    panic!("timed out waiting for: {what}");
 }
 
-async fn started(voters: usize, diskless: usize) -> (ProcessFleet, Arc<PlainStandin>) {
+async fn start_ready_fleet(voters: usize, diskless: usize) -> (ProcessFleet, Arc<PlainStandin>) {
     let service = start_plain(PlainShape::default()).await.unwrap();
     let fleet = tokio::task::block_in_place(|| ProcessFleet::start(voters, diskless));
-    wait_until("all voters", || fleet.voter_count(0) == voters);
-    fleet.first_table(service.address);
+    wait_until("all daemons with data folders vote", || fleet.voter_count(0) == voters);
+    fleet.apply_first_table(service.address);
     wait_until("all daemons ready", || (0..voters + diskless).all(|number| fleet.is_ready(number)));
     (fleet, service)
 }
 
-/// Symptom: an accepted edit is gone, or the fleet takes none any more.
-/// Sequence: the leader is killed between edits, a new one is elected, the old one comes back.
-/// Cause: an edit answered before a quorum kept it.
+/// Guards against losing an accepted edit, or accepting none, after the leader is killed between
+/// edits, another is elected and the old one restarts. An edit acknowledged before a quorum has
+/// stored it would be lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn killing_the_leader_loses_no_edit() {
-    let (mut fleet, _service) = started(3, 1).await;
+    let (mut fleet, _service) = start_ready_fleet(3, 1).await;
     let leader = fleet.leader();
     let before = fleet.set_weight(leader, 11);
 
@@ -202,13 +203,12 @@
     assert!((0..4).all(|number| fleet.shown_version(number) == after));
 }
 
-/// Symptom: a leader that was paused goes on under an old table.
-/// Sequence: the leader stops past its lease and the fleet's, another leads and an edit is accepted; the
-/// old one wakes, believing that it leads.
-/// Cause: a lease that is not checked against time at each use.
+/// Guards against a paused leader serving an old table. It is stopped until its own lease and the
+/// fleet's have expired, another leader accepts an edit, and the old one resumes believing that it
+/// still leads. This happens if the lease is not checked against the clock at each use.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_leader_wakes_without_its_lease() {
-    let (fleet, service) = started(3, 0).await;
+    let (fleet, service) = start_ready_fleet(3, 0).await;
     let leader = fleet.leader();
     let other = (leader + 1) % 3;
 
@@ -219,22 +219,22 @@
     let version = fleet.edit(other, |table| table["organisations"][0]["key_digests"] = json!([]));
     let is_in_force = fleet.shown_version(other) == version;
     fleet.signal(leader, "-CONT");
-    // The edit took the organisation's key away: an answer to it would be one under the old table.
-    let woken = block_on(book(fleet.daemons[leader].callers, "after-the-pause", "van"));
+    // The edit removed the organisation's key, so serving this booking would use the old table.
+    let resumed = block_on(book(fleet.daemons[leader].callers, "after-the-pause", "van"));
     wait_until("the old leader follows", || fleet.shown_version(leader) == version);
 
     assert!(is_in_force);
-    let kind = woken.as_ref().and_then(kind_of);
-    assert!(matches!(kind, Some(AnswerKind::TableStale | AnswerKind::KeyUnknown)), "{woken:?}");
+    let kind = resumed.as_ref().and_then(problem_kind);
+    assert!(matches!(kind, Some(AnswerKind::TableStale | AnswerKind::KeyUnknown)), "{resumed:?}");
     assert!(service.runs().is_empty());
 }
 
-/// Symptom: after a disk was replaced the fleet forgets edits, or cannot elect.
-/// Sequence: a voter's folder is wiped and it comes back; right after its repair a second voter is lost.
-/// Cause: a wiped voter that votes as its old self, or an old identity that still counts for the quorum.
+/// Guards against lost edits or failed elections after a disk is replaced. A voter restarts with a
+/// wiped folder, and a second voter is lost right after the repair. This happens if the wiped voter
+/// votes under its old identity, or if the old identity still counts towards the quorum.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_wiped_voter_is_repaired_and_a_second_may_be_lost() {
-    let (mut fleet, _service) = started(3, 0).await;
+    let (mut fleet, _service) = start_ready_fleet(3, 0).await;
     let leader = fleet.leader();
     let (wiped, lost) = ((leader + 1) % 3, (leader + 2) % 3);
     let before = fleet.set_weight(leader, 21);
@@ -267,15 +267,15 @@
     let after = fleet.set_weight(leader, 22);
 
     assert_eq!((before, after), (2, 3));
-    wait_until("the repaired voter has it", || fleet.status(wiped)["table_version"] == 3);
+    wait_until("the repaired voter has the edit", || fleet.status(wiped)["table_version"] == 3);
 }
 
-/// Symptom: a daemon turns stale although the network works.
-/// Sequence: the connection between a daemon and the leader goes silent for good; new ones work.
-/// Cause: waiting on a connection that something in between has forgotten.
+/// Guards against a daemon becoming stale while the network works. Its connection to the leader
+/// goes silent for good, as when a middlebox has dropped its state, and new connections work. This
+/// happens if the daemon keeps waiting on the silent connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_silent_control_connection_is_replaced() {
-    let (mut fleet, _service) = started(1, 1).await;
+    let (mut fleet, _service) = start_ready_fleet(1, 1).await;
     let proxy = SilentProxy::start(fleet.daemons[0].control).await;
     tokio::task::block_in_place(|| {
         fleet.kill(1);
@@ -286,64 +286,64 @@
         fleet.restart(1);
     });
     wait_until("ready through the proxy", || fleet.is_ready(1));
-    let opened = proxy.opened.load(Ordering::Relaxed);
+    let opened_count = proxy.opened_count.load(Ordering::Relaxed);
 
     proxy.silence();
-    wait_until("a new connection", || proxy.opened.load(Ordering::Relaxed) > opened);
+    wait_until("a new connection", || proxy.opened_count.load(Ordering::Relaxed) > opened_count);
     let version = fleet.set_weight(0, 31);
 
-    wait_until("the edit is in force there", || fleet.shown_version(1) == version);
+    wait_until("the edit is in force on the second daemon", || fleet.shown_version(1) == version);
     assert!(fleet.is_ready(1));
 }
 
-/// Refusals that say that nothing was done and to ask again. On a machine with many times more work than processors a
-/// round to the voters takes longer than a claim or a lease waits, so that any booking may meet one.
-const ASKS_AGAIN: [AnswerKind; 2] = [AnswerKind::ClaimUnavailable, AnswerKind::TableStale];
+/// Refusals that mean that nothing was run and the caller may retry. On a heavily oversubscribed
+/// machine a round trip to the voters can outlast the timeout of a claim or a lease, so any booking
+/// may receive one.
+const RETRYABLE_KINDS: [AnswerKind; 2] = [AnswerKind::ClaimUnavailable, AnswerKind::TableStale];
 
-/// True for the last word on a booking: neither a run under way is one, nor a refusal that asks again.
+/// Returns whether the answer is final: neither a booking still running nor a retryable refusal.
 fn is_settled(answer: &(StatusCode, String)) -> bool {
-    let kind = kind_of(answer);
-    kind.is_none_or(|kind| kind != AnswerKind::ClaimRunning && !ASKS_AGAIN.contains(&kind))
+    let kind = problem_kind(answer);
+    kind.is_none_or(|kind| kind != AnswerKind::ClaimRunning && !RETRYABLE_KINDS.contains(&kind))
 }
 
-/// Books, and again while the answer asks for it.
-async fn book_patiently(
+/// Sends a booking and retries while the answer is a retryable refusal.
+async fn book_with_retries(
     callers: SocketAddr,
     key: &'static str,
     body: &'static str,
 ) -> Option<(StatusCode, String)> {
     loop {
         let answer = book(callers, key, body).await;
-        let asks_again = answer.as_ref().and_then(kind_of);
-        if !asks_again.is_some_and(|kind| ASKS_AGAIN.contains(&kind)) {
+        let retryable_kind = answer.as_ref().and_then(problem_kind);
+        if !retryable_kind.is_some_and(|kind| RETRYABLE_KINDS.contains(&kind)) {
             return answer;
         }
     }
 }
 
-/// Symptom: a booking is made twice.
-/// Sequence: a caller loses the answer and sends the booking again, through another daemon; later with
-/// another body; then a daemon dies between claim and outcome.
-/// Cause: each daemon knowing only its own requests.
+/// Guards against running a booking twice. A caller loses the answer and resends the booking
+/// through another daemon, then with another body; later a daemon dies between claim and outcome.
+/// This happens if each daemon knows only its own requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_booking_runs_once_whichever_daemon_is_asked() {
-    let (mut fleet, service) = started(3, 0).await;
+    let (mut fleet, service) = start_ready_fleet(3, 0).await;
     let callers: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
     let leader = fleet.leader();
     let (first, second) = ((leader + 1) % 3, (leader + 2) % 3);
 
-    let answer = book_patiently(callers[first], "key-1", "van at nine").await.unwrap();
+    let answer = book_with_retries(callers[first], "key-1", "van at nine").await.unwrap();
     let mut again = None;
     wait_until("the outcome is recorded", || {
         again = block_on(book(callers[second], "key-1", "van at nine"));
         again.as_ref().is_some_and(is_settled)
     });
-    let other_body = book_patiently(callers[second], "key-1", "van at ten").await.unwrap();
+    let other_body = book_with_retries(callers[second], "key-1", "van at ten").await.unwrap();
     let runs_before = service.runs().len();
     service.faults.push(StandinFault::Delayed(Duration::from_secs(30)));
-    let dying = tokio::spawn(book_patiently(callers[first], "key-2", "van at noon"));
+    let dying = tokio::spawn(book_with_retries(callers[first], "key-2", "van at noon"));
     wait_until("the second booking runs", || service.runs().len() > runs_before);
-    let running = book_patiently(callers[second], "key-2", "van at noon").await.unwrap();
+    let running = book_with_retries(callers[second], "key-2", "van at noon").await.unwrap();
     tokio::task::block_in_place(|| fleet.kill(first));
     let mut orphaned = None;
     wait_until("the owner counts as dead", || {
@@ -353,36 +353,36 @@
 
     assert_eq!(answer.0, StatusCode::OK);
     assert_eq!(again, Some(answer));
-    assert_eq!(kind_of(&other_body), Some(AnswerKind::ClaimMismatch));
-    assert_eq!(kind_of(&running), Some(AnswerKind::ClaimRunning));
-    assert_eq!(orphaned.as_ref().and_then(kind_of), Some(AnswerKind::ClaimUnknown));
+    assert_eq!(problem_kind(&other_body), Some(AnswerKind::ClaimMismatch));
+    assert_eq!(problem_kind(&running), Some(AnswerKind::ClaimRunning));
+    assert_eq!(orphaned.as_ref().and_then(problem_kind), Some(AnswerKind::ClaimUnknown));
     assert!(dying.await.unwrap().is_none());
     assert_eq!(service.runs().len(), 2);
     assert!(service.runs().values().all(|runs| *runs == 1));
 }
 
-/// Symptom: work is admitted under a table that may be old.
-/// Sequence: two of three voters are lost; the third and its callers go on.
-/// Cause: a daemon that trusts its table for ever. Its lease runs out and it refuses, not run.
+/// Guards against admitting requests under a table that may be stale. Two of three voters are lost
+/// while the third still receives requests. A daemon must not trust its table indefinitely: once
+/// its lease expires it refuses requests without running them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_a_quorum_a_daemon_refuses_truthfully() {
-    let (mut fleet, service) = started(3, 0).await;
+    let (mut fleet, service) = start_ready_fleet(3, 0).await;
 
     tokio::task::block_in_place(|| (1..3).for_each(|number| fleet.kill(number)));
-    wait_until("unready", || !fleet.is_ready(0));
+    wait_until("the daemon is not ready", || !fleet.is_ready(0));
     let refused = book(fleet.daemons[0].callers, "key-1", "van").await.unwrap();
     tokio::task::block_in_place(|| fleet.restart(1));
-    wait_until("ready again", || fleet.is_ready(0));
+    wait_until("the daemon is ready again", || fleet.is_ready(0));
     let served = book(fleet.daemons[0].callers, "key-1", "van").await.unwrap();
 
-    assert_eq!(kind_of(&refused), Some(AnswerKind::TableStale));
+    assert_eq!(problem_kind(&refused), Some(AnswerKind::TableStale));
     assert_eq!(served.0, StatusCode::OK);
     assert_eq!(service.runs().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_removed_voter_stays_out_until_it_is_added() {
-    let (fleet, _service) = started(3, 0).await;
+    let (fleet, _service) = start_ready_fleet(3, 0).await;
     let leader = fleet.leader();
     let removed = (leader + 1) % 3;
     let name = fleet.daemons[removed].name.clone();
@@ -397,20 +397,21 @@
     assert_eq!(fleet.set_weight(leader, 41), 2);
 }
 
-/// Forwards connections to one address; on order the open ones go silent, and new ones work.
+/// Forwards connections to one address. [`SilentProxy::silence`] silences the open ones; new ones
+/// work.
 struct SilentProxy {
     address: SocketAddr,
-    opened: Arc<AtomicU64>,
-    silent_below: Arc<AtomicU64>,
+    opened_count: Arc<AtomicU64>,
+    silent_before: Arc<AtomicU64>,
 }
 
 impl SilentProxy {
     async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let opened = Arc::new(AtomicU64::new(0));
-        let silent_below = Arc::new(AtomicU64::new(0));
-        let (count, silent) = (Arc::clone(&opened), Arc::clone(&silent_below));
+        let opened_count = Arc::new(AtomicU64::new(0));
+        let silent_before = Arc::new(AtomicU64::new(0));
+        let (count, silent) = (Arc::clone(&opened_count), Arc::clone(&silent_before));
         tokio::spawn(async move {
             while let Ok((inner, _)) = listener.accept().await {
                 let number = count.fetch_add(1, Ordering::Relaxed);
@@ -421,36 +422,36 @@
                 tokio::spawn(forward(outer_read, inner_write, number, Arc::clone(&silent)));
             }
         });
-        SilentProxy { address, opened, silent_below }
+        SilentProxy { address, opened_count, silent_before }
     }
 
     fn silence(&self) {
-        self.silent_below.store(self.opened.load(Ordering::Relaxed), Ordering::Relaxed);
+        self.silent_before.store(self.opened_count.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 }
 
-/// Passes bytes on until the connection is silenced; then it swallows them and stays open.
+/// Forwards bytes until the connection is silenced, then discards them and keeps it open.
 async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     number: u64,
-    silent_below: Arc<AtomicU64>,
+    silent_before: Arc<AtomicU64>,
 ) {
     let mut bytes = [0u8; 16 * 1024];
     while let Ok(count) = from.read(&mut bytes).await {
-        let is_silent = number < silent_below.load(Ordering::Relaxed);
+        let is_silent = number < silent_before.load(Ordering::Relaxed);
         if count == 0 || (!is_silent && to.write_all(&bytes[..count]).await.is_err()) {
             return;
         }
     }
 }
 
-/// Symptom: a voter with a damaged disk takes part in elections.
-/// Sequence: a bit of its log changes while it is down. Cause: voting from what is left. The folder is set
-/// aside with a clear error, and the voter joins again under a new identity.
+/// Guards against a voter with a damaged disk taking part in elections. A bit of its log flips
+/// while it is down, and it would vote from the remaining log. Its folder must be set aside with a
+/// clear error, and the voter must join again under a new identity.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_damaged_voter_joins_again_under_a_new_identity() {
-    let (mut fleet, _service) = started(3, 0).await;
+    let (mut fleet, _service) = start_ready_fleet(3, 0).await;
     let leader = fleet.leader();
     let damaged = (leader + 1) % 3;
     let name = fleet.daemons[damaged].name.clone();
