--- a/tests/test_voters.rs
+++ b/tests/test_voters.rs
@@ -1,4 +1,4 @@
-//! Voters as processes of their own, founded from seeds: tables by version, lost and wiped voters, SIGHUP.
+//! Voters in separate processes, founded from seeds: table versions, lost and wiped voters, SIGHUP.
 
 use crate::workdir::{ServedDaemon, WorkDir, free_address, stdout};
 use serde_json::{Value, json};
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Something that must come is waited for this many times 20 ms.
-const PATIENCE: usize = 1_500;
+/// Attempts, 20 ms apart, before a wait fails.
+const MAX_POLLS: usize = 1_500;
 
-/// Voters on loopback addresses of their own, all on the same ports.
+/// Voters on separate loopback addresses, all on the same ports.
 struct SeededFleet {
     work: WorkDir,
     network: u8,
@@ -23,7 +23,7 @@
     fn found(network: u8) -> Self {
         let (control, operators) = (free_address().port(), free_address().port());
         let work = WorkDir::new();
-        // Fleets without a key file answer whoever brings the open word.
+        // Fleets without a key file accept any caller that presents the word `open`.
         work.write("fleet.key", "open");
         let mut fleet = SeededFleet { work, network, control, operators, running: Vec::new() };
         (1..=3).for_each(|host| fleet.start(host, true));
@@ -55,14 +55,14 @@
 
     fn signal(&self, host: u8, signal: &str) {
         let process = self.running.iter().find(|(known, _)| *known == host);
-        process.expect("it runs").1.signal(signal);
+        process.expect("the voter is running").1.signal(signal);
     }
 
     fn is_running(&self, host: u8) -> bool {
         self.call(host, "GET", "/-/config/read", "").is_some()
     }
 
-    /// An operator's call; none if nobody answers.
+    /// Sends an operator's request; `None` if there is no answer.
     fn call(&self, host: u8, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let mut stream = TcpStream::connect(self.address(host, self.operators)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
@@ -79,10 +79,10 @@
         Some((status, body.to_owned()))
     }
 
-    /// Sends a table until some voter acknowledges it.
+    /// Sends a table until a voter accepts or rejects it; returns the status.
     fn replace(&self, version: u64) -> u16 {
         let document = document(version);
-        self.until("an acknowledgement", || {
+        self.wait_for("an acknowledgement", || {
             let hosts: Vec<u8> = self.running.iter().map(|(host, _)| *host).collect();
             let calls = hosts
                 .iter()
@@ -91,9 +91,9 @@
         })
     }
 
-    /// The version that is read back from the voter that is sure.
+    /// Reads the table version from a voter that can confirm it.
     fn read(&self) -> u64 {
-        self.until("a sure reader", || {
+        self.wait_for("a voter that can confirm its state", || {
             let hosts: Vec<u8> = self.running.iter().map(|(host, _)| *host).collect();
             let mut calls =
                 hosts.iter().filter_map(|host| self.call(*host, "GET", "/-/config/read", ""));
@@ -112,24 +112,24 @@
         voting.filter_map(|row| row["voter"].as_str().map(str::to_owned)).collect()
     }
 
-    fn until<T>(&self, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-        for _ in 0..PATIENCE {
-            if let Some(found) = look() {
+    fn wait_for<T>(&self, what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+        for _ in 0..MAX_POLLS {
+            if let Some(found) = poll() {
                 return found;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        panic!("{what} did not come; logs in {}", self.work.path("").display());
+        panic!("timed out waiting for {what}; logs in {}", self.work.path("").display());
     }
 
-    /// Waits until the voters are those on these hosts.
+    /// Waits until the voters are exactly those on `hosts`.
     fn wait_for_voters(&self, hosts: &[u8]) {
         let expected: Vec<String> =
             hosts.iter().map(|host| format!("127.0.{}.{host}~", self.network)).collect();
-        self.until("the voters", || {
+        self.wait_for("the voters", || {
             let voters = self.voters();
-            let is_there = |start: &String| voters.iter().any(|voter| voter.starts_with(start));
-            (voters.len() == hosts.len() && expected.iter().all(is_there)).then_some(())
+            let is_voter = |prefix: &String| voters.iter().any(|voter| voter.starts_with(prefix));
+            (voters.len() == hosts.len() && expected.iter().all(is_voter)).then_some(())
         });
     }
 }
@@ -140,10 +140,10 @@
     json!({"version": version, "routes": [route], "services": [{"name": "s"}]}).to_string()
 }
 
-/// Symptom: a fleet that nobody can start, or an accepted table that is gone after a voter was lost.
-/// Sequence: three voters start with the same seeds; a table is accepted; one voter is lost for good and an empty one
-/// comes at another address; then a second of the first three is lost. Cause: founding by one chosen voter, or lost
-/// voters that stay in the quorum until an operator acts.
+/// Guards against a fleet that cannot be founded and against losing an accepted table with a voter.
+/// Three voters start with the same seeds and accept a table; one is lost for good and an empty one
+/// joins at another address; then a second of the first three is lost. This happens if one chosen
+/// voter has to found the fleet, or if lost voters stay in the quorum until an operator acts.
 #[test]
 fn a_lost_voter_is_replaced_without_an_operator() {
     let mut fleet = SeededFleet::found(11);
@@ -153,23 +153,24 @@
     fleet.start(4, false);
     fleet.wait_for_voters(&[1, 2, 4]);
     fleet.kill(1);
-    let held = fleet.read();
+    let retained = fleet.read();
     let acknowledged = fleet.replace(8);
 
-    assert_eq!((held, acknowledged, fleet.read()), (3, 200, 8));
+    assert_eq!((retained, acknowledged, fleet.read()), (3, 200, 8));
 }
 
-/// Symptom: an accepted table is gone, or two fleets exist. Sequence: a voter loses its disk and comes back at its
-/// address; then another one is killed. Cause: a blank voter that votes as its old self, or founds anew.
+/// Guards against losing an accepted table and against a second fleet. A voter loses its disk and
+/// restarts at its address; then another one is killed. This happens if the empty voter votes under
+/// its old identity or founds a new fleet.
 #[test]
 fn a_wiped_voter_comes_back_under_a_new_identity() {
     let mut fleet = SeededFleet::found(12);
     assert_eq!(fleet.replace(5), 200);
 
     fleet.kill(2);
-    std::fs::remove_dir_all(fleet.work.path("data-2")).expect("its folder");
+    std::fs::remove_dir_all(fleet.work.path("data-2")).expect("the data folder is removed");
     fleet.start(2, false);
-    fleet.until("a new identity", || {
+    fleet.wait_for("a new identity", || {
         let voters = fleet.voters();
         let is_new =
             |voter: &&String| voter.starts_with("127.0.12.2~") && !voter.ends_with("~00000000");
@@ -181,8 +182,8 @@
     assert_eq!(fleet.replace(6), 200);
 }
 
-/// Symptom: an accepted table is older after all voters were killed. Sequence: a table is acknowledged; every process
-/// is killed at once and started again. Cause: acknowledging before a quorum has kept it.
+/// Guards against an acknowledged table reverting to an older one when every process is killed at
+/// once and restarted. This happens if it is acknowledged before a quorum has stored it.
 #[test]
 fn a_table_outlives_the_death_of_all_voters() {
     let mut fleet = SeededFleet::found(13);
@@ -193,22 +194,22 @@
     (1..=3).for_each(|host| fleet.start(host, false));
 
     assert_eq!(fleet.read(), 9);
-    assert_eq!(fleet.replace(4), 200, "an overtaken version is acknowledged and changes nothing");
+    assert_eq!(fleet.replace(4), 200, "an older version is acknowledged and changes nothing");
     assert_eq!(fleet.read(), 9);
 }
 
-/// Symptom: a daemon ends when its settings change. Sequence: SIGHUP; settings with a fault; SIGHUP. Cause: the
-/// signal's default, or a fault that is taken for a reason to end.
+/// Guards against a daemon exiting when its settings change: SIGHUP, invalid settings, SIGHUP. This
+/// happens if the signal keeps its default action, or if invalid settings are treated as fatal.
 #[test]
 fn settings_are_read_again_and_faults_leave_the_last_ones() {
     let fleet = SeededFleet::found(14);
     assert_eq!(fleet.replace(2), 200);
 
     fleet.signal(1, "-HUP");
-    fleet.until("the settings", || log_has(&fleet, "settings read again"));
+    fleet.wait_for("the reloaded settings", || log_has(&fleet, "settings read again"));
     fleet.work.write("voter-1.json", "{\"daemon\": 7}");
     fleet.signal(1, "-HUP");
-    fleet.until("the faults", || log_has(&fleet, "settings have faults"));
+    fleet.wait_for("the settings faults in the log", || log_has(&fleet, "settings have faults"));
 
     assert!(fleet.is_running(1));
     assert_eq!(fleet.read(), 2);
@@ -226,20 +227,20 @@
     let bad = document(7).replace("\"service\":\"s\"", "\"service\":\"nobody\"");
 
     let (status, body) =
-        fleet.until("an answer", || fleet.call(1, "POST", "/-/config/replace", &bad));
+        fleet.wait_for("an answer", || fleet.call(1, "POST", "/-/config/replace", &bad));
 
     assert_eq!(status, 400);
     assert!(body.contains("/routes/0/targets"), "{body}");
     assert_eq!(fleet.read(), 2);
 }
 
-/// Guards against an order that is taken though it makes no sense, or refused without a word on why.
+/// Guards against accepting an invalid roll-out order, or refusing it without naming the reason.
 #[test]
 fn roll_outs_are_ordered_and_read_back_and_bad_orders_name_their_field() {
     let mut fleet = SeededFleet::found(16);
     assert_eq!(fleet.replace(2), 200);
     let order = |text: &str| {
-        fleet.until("an answer", || {
+        fleet.wait_for("an answer", || {
             let hosts = fleet.running.iter().map(|(host, _)| *host);
             let calls =
                 hosts.filter_map(|host| fleet.call(host, "POST", "/-/rollouts/begin", text));
@@ -265,7 +266,7 @@
     fleet.start(1, true);
     let read = |service: &str| {
         let path = format!("/-/rollouts/{service}/read");
-        fleet.until("a sure reader", || {
+        fleet.wait_for("a voter that can confirm its state", || {
             let hosts = fleet.running.iter().map(|(host, _)| *host);
             let calls = hosts.filter_map(|host| fleet.call(host, "GET", &path, ""));
             calls.into_iter().find(|(status, _)| !matches!(status, 307 | 503))
