--- a/tests/test_voting.rs
+++ b/tests/test_voting.rs
@@ -1,4 +1,4 @@
-//! The leader's rules for changing voters by itself.
+//! Rules by which the leader changes the voters without an operator.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -37,19 +37,20 @@
     ReplicaCore::new(ReplicaConfig::default(), start, Moment(0), &mut rng)
 }
 
-/// Symptom: a fleet stands still although most of its machines are well. Sequence: a voter is lost, an empty one joins
-/// and makes four, and another is lost. Cause: a lost voter that stays in an even number of voters.
+/// Guards against a fleet without a quorum although most of its machines are healthy. A voter is
+/// lost, an empty one joins as the fourth, and another is lost. This happens if a lost voter is kept
+/// in an even number of voters.
 #[test]
 fn a_lost_voter_leaves_an_even_number() {
     let ledger = ControlLedger::default();
 
-    let changed = next_membership(&core(4), &ledger, &[voter(3)]).expect("a change");
+    let changed = next_membership(&core(4), &ledger, &[voter(3)]).expect("a membership change");
 
     assert!(!changed.voters.contains_key(&voter(3)));
     assert_eq!(changed.voters.len(), 3);
 }
 
-/// A voter that is only away for a while must not make the fleet smaller: two voters bear no loss at all.
+/// A temporary absence must not shrink the fleet: two voters tolerate no loss.
 #[test]
 fn an_odd_number_waits_for_its_lost_voter() {
     let ledger = ControlLedger::default();
@@ -59,7 +60,7 @@
     assert_eq!(next_membership(&core(4), &ledger, &[]), None);
 }
 
-/// Two lost at once is more than one change can mend safely: nothing is removed.
+/// One membership change cannot safely repair two simultaneous losses, so nothing is removed.
 #[test]
 fn two_lost_voters_are_not_removed() {
     let ledger = ControlLedger::default();
