--- a/tests/test_voting.rs
+++ b/tests/test_voting.rs
@@ -38,8 +38,8 @@
 }
 
 /// Guards against a fleet without a quorum although most of its machines are healthy. A voter is
-/// lost, an empty one joins as the fourth, and another is lost. This happens if a lost voter is kept
-/// in an even number of voters.
+/// lost, an empty one joins as the fourth, and another is lost. This happens if a lost voter is
+/// kept in an even number of voters.
 #[test]
 fn a_lost_voter_leaves_an_even_number() {
     let ledger = ControlLedger::default();
