--- a/tests/test_replica.rs
+++ b/tests/test_replica.rs
@@ -1,4 +1,4 @@
-//! The replicated state under seeded schedules of faults, and the proof that the checks can fail.
+//! Replication under seeded fault schedules, and mutation tests that show the checks can fail.
 
 use crate::schedule::{BrokenRule, Schedule};
 use rand::SeedableRng;
@@ -15,9 +15,10 @@
 const CI_SEEDS: u64 = 200;
 const FAULT_SECONDS: u64 = 8;
 
-/// Symptom: an accepted edit is gone, a claim is granted twice, two leaders answer at once, a read goes
-/// back. Sequence: loss, delay, reordering, crash, pause, partition and a wiped disk, as the seed has it.
-/// Cause: any departure from the protocol; the invariants are checked after every step.
+/// Guards against lost accepted edits, claims granted twice, two leaders answering at once and
+/// reads that go backwards. Each seed determines message loss, delay, reordering, crashes, pauses,
+/// partitions and wiped disks. The invariants are checked after every step, so any departure from
+/// the protocol fails.
 #[test]
 fn invariants_hold_under_fixed_seeds() {
     let mut commits = 0;
@@ -25,14 +26,14 @@
 
     let failures: Vec<String> = (0..CI_SEEDS)
         .filter_map(|seed| match Schedule::new(seed, BrokenRule::Nothing).run(FAULT_SECONDS) {
-            Ok(end) => {
-                commits += end.commits;
-                edits += end.edits;
-                claims += end.claims;
-                terms += end.terms;
+            Ok(totals) => {
+                commits += totals.commits;
+                edits += totals.edits;
+                claims += totals.claims;
+                terms += totals.terms;
                 None
             }
-            Err(fault) => Some(format!("seed {seed}: {fault}")),
+            Err(violation) => Some(format!("seed {seed}: {violation}")),
         })
         .collect();
 
@@ -41,10 +42,10 @@
     assert!(edits > CI_SEEDS as usize && claims > CI_SEEDS as usize && terms > CI_SEEDS as usize);
 }
 
-/// Symptom: an accepted edit is gone after two crashes (seed 3804 of the long run).
-/// Sequence: a follower is sent a snapshot up to entry 1; entries 2 and 3, sent later, overtake it and are
-/// acknowledged; the snapshot arrives; the leader, which has committed 3, crashes.
-/// Cause: the follower replaced its whole log by the snapshot, dropping what it had acknowledged.
+/// Guards against losing an accepted edit after two crashes (seed 3804 of the long run). A follower
+/// is sent a snapshot up to entry 1; entries 2 and 3, sent later, overtake it and are acknowledged;
+/// the snapshot arrives; the leader, which has committed entry 3, crashes. The follower had
+/// replaced its whole log by the snapshot and dropped the entries that it had acknowledged.
 #[test]
 fn a_snapshot_that_was_overtaken_drops_nothing() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -103,8 +104,9 @@
 #[case::keep_wiped_identity(BrokenRule::KeepWipedIdentity)]
 #[case::forget_edit_ids(BrokenRule::ForgetEditIds)]
 fn a_broken_rule_is_caught(#[case] rule: BrokenRule) {
-    let caught = (0..CI_SEEDS).find_map(|seed| Schedule::new(seed, rule).run(FAULT_SECONDS).err());
+    let violation =
+        (0..CI_SEEDS).find_map(|seed| Schedule::new(seed, rule).run(FAULT_SECONDS).err());
 
-    assert!(caught.is_some(), "{rule:?} was not caught by {CI_SEEDS} seeds");
-    println!("{rule:?}: {}", caught.unwrap_or_default());
+    assert!(violation.is_some(), "{rule:?} was not detected by {CI_SEEDS} seeds");
+    println!("{rule:?}: {}", violation.unwrap_or_default());
 }
