--- a/tests/test_store.rs
+++ b/tests/test_store.rs
@@ -1,4 +1,4 @@
-//! The files under the data folder: torn and damaged records, copied and foreign folders.
+//! Files of the data folder: torn and damaged records, copied and foreign folders.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -28,8 +28,8 @@
     ReplicaOutput { entries, ..ReplicaOutput::default() }
 }
 
-/// A folder with the entries 1 to 5, closed.
-fn filled(folder: &Path) {
+/// Writes entries 1 to 5 to a data folder and closes it.
+fn write_entries(folder: &Path) {
     let mut store = DataFolder::open(folder).unwrap();
     store.load::<String>(&log()).unwrap();
     (1..=5)
@@ -43,7 +43,7 @@
 #[test]
 fn what_was_kept_is_read_back() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_entries(folder.path());
     let hard = HardState { term: 7, vote: None };
     let mut store = DataFolder::open(folder.path()).unwrap();
     store.load::<String>(&log()).unwrap();
@@ -62,41 +62,40 @@
     assert_eq!(state.entries, (1..=4).map(entry).collect::<Vec<_>>());
 }
 
-/// Symptom: a data folder that was closed is now and then still in use.
-/// Sequence: a program is started in the moment in which the folder closes. Cause: the child has a copy of the
-/// lock's file until its program is loaded, and a lock lasts as long as a copy does.
+/// Guards against a closed data folder being reported as in use when a child process is spawned
+/// while the folder closes. Between fork and exec the child holds a copy of the lock file's
+/// descriptor, and the lock lasts as long as any copy.
 #[test]
 fn a_closed_folder_is_free_although_programs_start() {
     let folder = tempfile::tempdir().unwrap();
-    let done = Arc::new(AtomicBool::new(false));
-    let starts = (0..4).map(|_| thread::spawn(start_programs_until(done.clone())));
-    let starts: Vec<_> = starts.collect();
+    let is_done = Arc::new(AtomicBool::new(false));
+    let spawners = (0..4).map(|_| thread::spawn(spawn_programs_until(is_done.clone())));
+    let spawners: Vec<_> = spawners.collect();
 
-    let faults = (0..2_000).filter_map(|_| DataFolder::open(folder.path()).err()).count();
-    done.store(true, Ordering::Relaxed);
-    starts.into_iter().for_each(|start| start.join().unwrap());
+    let failures = (0..2_000).filter_map(|_| DataFolder::open(folder.path()).err()).count();
+    is_done.store(true, Ordering::Relaxed);
+    spawners.into_iter().for_each(|spawner| spawner.join().unwrap());
 
-    assert_eq!(faults, 0);
+    assert_eq!(failures, 0);
 }
 
-fn start_programs_until(done: Arc<AtomicBool>) -> impl FnOnce() + Send {
+fn spawn_programs_until(is_done: Arc<AtomicBool>) -> impl FnOnce() + Send {
     move || {
-        while !done.load(Ordering::Relaxed) {
+        while !is_done.load(Ordering::Relaxed) {
             let status = Command::new(env!("CARGO_BIN_EXE_tarragonknot")).arg("--version").output();
             assert!(status.unwrap().status.success());
         }
     }
 }
 
-/// Symptom: a voter does not start after a power cut.
-/// Sequence: the machine stops in the middle of a write. Cause: a last record that is not complete; it was
-/// never synced, so nobody was told of it, and it is cut off.
+/// Guards against a voter failing to start after a power cut during a write. The incomplete last
+/// record was never synced and so never acknowledged; it is truncated.
 #[rstest::rstest]
 #[case::inside_the_text(3)]
 #[case::inside_the_header(70)]
 fn a_torn_last_record_is_cut_off(#[case] missing: u64) {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_entries(folder.path());
     let path = folder.path().join("log.bin");
     let file = std::fs::File::options().write(true).open(&path).unwrap();
     let length = file.metadata().unwrap().len();
@@ -110,13 +109,13 @@
     assert!(std::fs::metadata(&path).unwrap().len() < length - missing);
 }
 
-/// Symptom: a fleet whose voters were all killed serves nobody until it has a leader again.
-/// Sequence: entries are committed; every process is killed; daemons start and ask a voter for its table. Cause: a
-/// voter that does not know what is committed. A note that was torn is as good as none.
+/// Guards against a fleet that serves no requests until it elects a leader, after every process was
+/// killed and daemons ask a restarted voter for its table. This happens if the voter does not know
+/// which entries are committed. A torn commit index record is ignored.
 #[test]
 fn a_note_of_what_is_committed_is_read_back_and_may_be_torn() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_entries(folder.path());
     let mut store = DataFolder::open(folder.path()).unwrap();
     store.load::<String>(&log()).unwrap();
     store.write_commit_index::<String>(3).unwrap();
@@ -133,27 +132,27 @@
     assert_eq!(torn.entries, whole.entries);
 }
 
-/// Symptom: a voter votes although it has lost entries it promised to keep.
-/// Sequence: a bit of an old record changes on the disk. Cause: taking damage for a torn end.
+/// Guards against a voter voting after losing entries that it has acknowledged. A bit of an old
+/// record flips on disk, and the damage is mistaken for a torn last record.
 #[test]
 fn damage_elsewhere_is_an_error_that_names_the_place() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_entries(folder.path());
     let path = folder.path().join("log.bin");
     let mut bytes = std::fs::read(&path).unwrap();
     bytes[20] ^= 1;
     std::fs::write(&path, bytes).unwrap();
 
-    let fault = reload(folder.path()).unwrap_err();
+    let error = reload(folder.path()).unwrap_err();
 
-    assert!(matches!(&fault, StoreError::Damaged { offset: 0, .. }), "{fault}");
-    assert!(fault.to_string().contains("log.bin: damaged at byte 0"), "{fault}");
+    assert!(matches!(&error, StoreError::Damaged { offset: 0, .. }), "{error}");
+    assert!(error.to_string().contains("log.bin: damaged at byte 0"), "{error}");
 }
 
 #[test]
 fn a_damaged_snapshot_is_an_error() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_entries(folder.path());
     let mut store = DataFolder::open(folder.path()).unwrap();
     let snapshot = SnapshotRecord {
         at: LogPosition { term: 1, index: 3 },
@@ -174,9 +173,9 @@
     assert!(matches!(reload(folder.path()), Err(StoreError::Damaged { .. })));
 }
 
-/// Symptom: two voters with one identity vote twice in one term.
-/// Sequence: a data folder is copied to another VM, or given to another daemon. Cause: an identity that is
-/// only a file. The copy's file has another inode, and the name must match.
+/// Guards against two voters with one identity voting twice in one term, after a data folder is
+/// copied to another VM or given to another daemon. File contents alone do not identify a folder:
+/// the copied file has another inode, and the daemon name must match.
 #[test]
 fn a_copied_or_foreign_folder_is_told_from_the_original() {
     let folder = tempfile::tempdir().unwrap();
@@ -197,7 +196,7 @@
 #[test]
 fn a_folder_is_used_by_one_process_at_a_time() {
     let folder = tempfile::tempdir().unwrap();
-    let _held = DataFolder::open(folder.path()).unwrap();
+    let _in_use = DataFolder::open(folder.path()).unwrap();
 
     assert!(matches!(DataFolder::open(folder.path()), Err(StoreError::InUse { .. })));
 }
