--- a/tests/test_power_loss.rs
+++ b/tests/test_power_loss.rs
@@ -1,4 +1,5 @@
-//! The moment of an acknowledgement on real data folders: one disk is lost and every other machine loses power.
+//! Durability of an acknowledged edit on real data folders: disks are lost and every other machine
+//! loses power right after the acknowledgement.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,10 +17,10 @@
 use tarragonknot::store::DataFolder;
 use tempfile::TempDir;
 
-/// What the operator was told is accepted.
+/// The edit that is acknowledged to the operator.
 const EDIT: &str = "the acknowledged edit";
-/// Virtual time within which voters must have a leader.
-const LEADER_TIME: Duration = Duration::from_secs(10);
+/// Virtual time within which the voters must elect a leader.
+const ELECTION_TIME: Duration = Duration::from_secs(10);
 const TICK: Duration = Duration::from_millis(20);
 
 fn voter_id(number: usize) -> VoterId {
@@ -33,14 +34,14 @@
     SnapshotRecord { at: LogPosition::default(), membership, state: Arc::from("") }
 }
 
-/// A voter on a folder of its own. What it promises goes out only after it was synced.
+/// A voter with its own data folder. It sends messages only after syncing what they acknowledge.
 struct FolderVoter {
     folder: TempDir,
     store: DataFolder,
     core: ReplicaCore<String>,
     hard: HardState,
-    /// Bytes of its log that a sync covered.
-    synced: u64,
+    /// Bytes of the log that have been synced.
+    synced_len: u64,
 }
 
 impl FolderVoter {
@@ -49,7 +50,9 @@
         let mut store = DataFolder::open(folder.path()).expect("open");
         store.load::<String>(&Logger::root(Discard, o!())).expect("load");
         let snapshot = founding_snapshot(count);
-        store.replace_with_snapshot::<String>(&snapshot, &HardState::default(), &[]).expect("kept");
+        store
+            .replace_with_snapshot::<String>(&snapshot, &HardState::default(), &[])
+            .expect("saved");
         drop(store);
         Self::start(folder, number, Moment(1), rng)
     }
@@ -65,12 +68,12 @@
             commit_index: state.commit_index,
         };
         let core = ReplicaCore::new(ReplicaConfig::default(), start, now, rng);
-        let synced = log_length(folder.path());
-        FolderVoter { folder, store, core, hard: state.hard_state, synced }
+        let synced_len = log_len(folder.path());
+        FolderVoter { folder, store, core, hard: state.hard_state, synced_len }
     }
 
-    /// Keeps what an output asks for, and gives its messages and what is committed.
-    fn settle(
+    /// Persists what an output requires; returns its messages and the committed commands.
+    fn persist(
         &mut self,
         output: ReplicaOutput<String>,
     ) -> (Vec<ReplicaEnvelope<String>>, Vec<String>) {
@@ -78,25 +81,25 @@
             self.hard = hard.clone();
         }
         if output.must_sync() {
-            self.store.save(&output, &self.hard).expect("kept");
-            self.synced = log_length(self.folder.path());
+            self.store.save(&output, &self.hard).expect("saved");
+            self.synced_len = log_len(self.folder.path());
         }
         let committed: Vec<String> =
             output.committed.iter().filter_map(|entry| command(&entry.payload)).collect();
         if let Some(last) = output.committed.last() {
-            // Not synced: a note that is lost is found out anew.
-            self.store.write_commit_index::<String>(last.at.index).expect("noted");
+            // Not synced: a lost commit index is determined again once there is a leader.
+            self.store.write_commit_index::<String>(last.at.index).expect("commit index written");
         }
         (output.messages, committed)
     }
 
-    /// Loses power: what no sync covered is gone, but for some bytes of it.
+    /// Simulates a power loss: unsynced bytes are lost, apart from the first `torn` of them.
     fn lose_power(self, torn: u64) -> TempDir {
-        let FolderVoter { folder, store, synced, .. } = self;
+        let FolderVoter { folder, store, synced_len, .. } = self;
         drop(store);
         let file = std::fs::File::options().write(true).open(folder.path().join("log.bin"));
-        let length = log_length(folder.path());
-        file.expect("the log").set_len((synced + torn).min(length)).expect("cut");
+        let length = log_len(folder.path());
+        file.expect("the log").set_len((synced_len + torn).min(length)).expect("truncated");
         folder
     }
 }
@@ -105,14 +108,14 @@
     if let EntryPayload::Command(command) = payload { Some(command.clone()) } else { None }
 }
 
-fn log_length(folder: &Path) -> u64 {
+fn log_len(folder: &Path) -> u64 {
     std::fs::metadata(folder.join("log.bin")).map_or(0, |file| file.len())
 }
 
-/// Voters in virtual time. Messages to or from those in `deaf` are lost.
+/// Voters in virtual time. Messages to or from those in `partitioned` are lost.
 struct VoterFleet {
     voters: BTreeMap<usize, FolderVoter>,
-    deaf: Vec<usize>,
+    partitioned: Vec<usize>,
     now: Moment,
     rng: ChaCha8Rng,
 }
@@ -121,7 +124,7 @@
     fn found(count: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(9);
         let voters = (0..count).map(|number| (number, FolderVoter::found(number, count, &mut rng)));
-        VoterFleet { voters: voters.collect(), deaf: Vec::new(), now: Moment(1), rng }
+        VoterFleet { voters: voters.collect(), partitioned: Vec::new(), now: Moment(1), rng }
     }
 
     fn leader(&self) -> Option<usize> {
@@ -129,19 +132,19 @@
         self.voters.keys().find(leads).copied()
     }
 
-    /// Delivers messages until none is left; gives what anybody saw committed.
+    /// Delivers messages until none is left; returns the commands that any voter saw committed.
     fn deliver(&mut self, from: usize, output: ReplicaOutput<String>) -> Vec<String> {
         let mut committed = Vec::new();
         let mut queue = VecDeque::from([(from, output)]);
         while let Some((number, output)) = queue.pop_front() {
             let Some(voter) = self.voters.get_mut(&number) else { continue };
-            let (messages, mut seen) = voter.settle(output);
+            let (messages, mut seen) = voter.persist(output);
             committed.append(&mut seen);
             for envelope in messages {
                 let to = (0..9).find(|number| voter_id(*number) == envelope.to);
-                let Some(to) =
-                    to.filter(|to| !self.deaf.contains(to) && !self.deaf.contains(&number))
-                else {
+                let Some(to) = to.filter(|to| {
+                    !self.partitioned.contains(to) && !self.partitioned.contains(&number)
+                }) else {
                     continue;
                 };
                 let Some(receiver) = self.voters.get_mut(&to) else { continue };
@@ -152,11 +155,11 @@
         committed
     }
 
-    /// Lets time pass until there is a leader, and some more for what it commits. Gives what was committed.
+    /// Advances virtual time by `ELECTION_TIME`; returns the commands committed meanwhile.
     fn run(&mut self) -> Vec<String> {
         let mut committed = Vec::new();
-        let until = self.now + LEADER_TIME;
-        while self.now < until {
+        let deadline = self.now + ELECTION_TIME;
+        while self.now < deadline {
             self.now = self.now + TICK;
             for number in self.voters.keys().copied().collect::<Vec<usize>>() {
                 let Some(voter) = self.voters.get_mut(&number) else { continue };
@@ -168,10 +171,11 @@
     }
 }
 
-/// Symptom: an edit that was acknowledged is gone after the last fault of a day. Sequence: the leader acknowledges it as
-/// soon as a quorum has it; at that moment one voter's disk is lost, and every other machine, voters that do not count
-/// and daemons among them, loses power: what no sync covered is gone or torn. Cause: a promise that goes out before
-/// its sync, or a quorum that counts a voter that has written but not synced.
+/// Guards against losing an acknowledged edit. The leader acknowledges it as soon as a quorum has
+/// it; at that moment voters' disks are lost (one of three, two of five) and every other machine,
+/// including daemons and voters outside that quorum, loses power, so unsynced data is gone or torn.
+/// This happens if an acknowledgement is sent before its sync, or if a quorum counts a voter that
+/// has written but not synced.
 #[rstest]
 fn an_acknowledged_edit_outlives_the_loss_of_disks_and_of_all_power(
     #[values((3, 1), (5, 2))] (count, lost): (usize, usize),
@@ -181,21 +185,21 @@
     let mut fleet = VoterFleet::found(count);
     fleet.run();
     let leader = fleet.leader().expect("a leader");
-    // As few voters as may be have the edit when it is acknowledged.
+    // Only a minimal quorum has the edit when it is acknowledged.
     let followers: Vec<usize> = (0..count).filter(|number| *number != leader).collect();
-    fleet.deaf = followers[count / 2..].to_vec();
+    fleet.partitioned = followers[count / 2..].to_vec();
     let now = fleet.now;
     let voter = fleet.voters.get_mut(&leader).expect("the leader");
-    let (_, output) = voter.core.propose(vec![EDIT.to_owned()], now).expect("it leads");
+    let (_, output) = voter.core.propose(vec![EDIT.to_owned()], now).expect("the voter leads");
     let acknowledged = fleet.deliver(leader, output);
     assert!(acknowledged.contains(&EDIT.to_owned()), "a quorum acknowledged it");
 
-    // The lost disks are those of holders first, in turn: the leader's, a follower's.
+    // The first lost disk is that of each holder of the edit in turn: the leader, then a follower.
     let holders: Vec<usize> = [leader].into_iter().chain(followers).collect();
     let wiped: Vec<usize> = (0..lost).map(|step| holders[(first_lost + step) % count]).collect();
     let voters = std::mem::take(&mut fleet.voters);
     fleet.now = fleet.now + Duration::from_secs(1);
-    fleet.deaf.clear();
+    fleet.partitioned.clear();
     for (number, voter) in voters {
         let folder = voter.lose_power(torn);
         if !wiped.contains(&number) {
