--- a/tests/test_crash_table.rs
+++ b/tests/test_crash_table.rs
@@ -1,4 +1,4 @@
-//! What one daemon believes of contents under which upstreams end, and how beliefs merge.
+//! A daemon's crash table, which maps request contents to upstream crashes, and its merging.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -18,7 +18,8 @@
     Moment::from_millis(count * 1_000)
 }
 
-/// A table in which `count` upstreams ended under the content, a second apart from `from` on.
+/// Returns a table in which `count` upstreams crashed on the content, one second apart, starting at
+/// second `from`.
 fn table_with(count: usize, from: u64) -> CrashTable {
     let mut table = CrashTable::default();
     for number in 0..count {
@@ -40,7 +41,8 @@
     assert_eq!(table.held_for(RequestFingerprint(8), seconds(110)), None);
 }
 
-/// Two requests of one content on one upstream, or two daemons that tell of the same end, are one end.
+/// Two requests with one content on one upstream, or two daemons reporting the same crash, count as
+/// one crash.
 #[test]
 fn an_upstream_that_ended_once_counts_once() {
     let mut table = CrashTable::default();
@@ -51,9 +53,9 @@
     assert_eq!(table.held_for(CONTENT, seconds(110)), None);
 }
 
-/// Symptom: a popular request is refused everywhere although nothing is wrong with it. Sequence: it runs on most
-/// upstreams of a rack, which loses power. Cause: every upstream that ended is held against each request on it, however
-/// often that was answered a moment before or since.
+/// Guards against quarantining a harmless popular request in the whole fleet. It runs on most
+/// upstreams of a rack that loses power, and each crash counts against every request on the
+/// upstream, however often that content was answered just before or since.
 #[rstest]
 #[case::answered_just_before(vec![99], 100)]
 #[case::answered_since(vec![101], 100)]
@@ -76,20 +78,20 @@
         .filter(|second| **second >= crash)
         .for_each(|second| table.record_answer(CONTENT, at(*second)));
     if answers.is_empty() {
-        let mut other = CrashTable::default();
-        other.record_answer(CONTENT, at(99));
-        other.merge_update(&"first".into(), &table.next_update(at(101)), at(101));
-        table.merge_update(&"other".into(), &other.next_update(at(102)), at(102));
+        let mut other_table = CrashTable::default();
+        other_table.record_answer(CONTENT, at(99));
+        other_table.merge_update(&"first".into(), &table.next_update(at(101)), at(101));
+        table.merge_update(&"other".into(), &other_table.next_update(at(102)), at(102));
     }
 
     assert_eq!(table.held_for(CONTENT, at(103)), None);
-    let news = table.next_update(at(103));
+    let update = table.next_update(at(103));
     let mut late = table_with(10, 100);
-    late.merge_update(&"table".into(), &news, at(110));
-    assert_eq!(late.held_for(CONTENT, at(111)), None, "{news:?}");
+    late.merge_update(&"table".into(), &update, at(110));
+    assert_eq!(late.held_for(CONTENT, at(111)), None, "{update:?}");
 }
 
-/// An answer of long ago says nothing of upstreams that were changed since.
+/// An old answer does not clear content, since the upstreams may have changed in the meantime.
 #[test]
 fn an_old_answer_does_not_speak_for_content_that_ends_upstreams_now() {
     let mut table = CrashTable::default();
@@ -104,11 +106,11 @@
 #[test]
 fn a_hold_ends_by_itself_and_comes_back_at_once_and_longer() {
     let mut table = table_with(3, 100);
-    let first = table.held_for(CONTENT, seconds(102)).expect("held");
+    let first = table.held_for(CONTENT, seconds(102)).expect("quarantined");
 
     let after = seconds(102) + first + Duration::from_secs(1);
     assert_eq!(table.held_for(CONTENT, after), None);
-    let held = table.record_crash(CONTENT, upstream(9), after).expect("held back again");
+    let held = table.record_crash(CONTENT, upstream(9), after).expect("quarantined again");
 
     assert_eq!((held.crashes, held.held_for), (4, first * 2));
 }
@@ -116,21 +118,25 @@
 #[test]
 fn an_operator_lets_content_through_everywhere() {
     let mut table = table_with(5, 100);
-    let mut other = table_with(5, 100);
+    let mut other_table = table_with(5, 100);
 
     table.release(CONTENT, seconds(120));
-    other.merge_update(&"table".into(), &table.next_update(seconds(121)), seconds(121));
+    other_table.merge_update(&"table".into(), &table.next_update(seconds(121)), seconds(121));
 
     assert_eq!(table.held_for(CONTENT, seconds(122)), None);
-    assert_eq!(other.held_for(CONTENT, seconds(122)), None);
+    assert_eq!(other_table.held_for(CONTENT, seconds(122)), None);
     for number in 10..13 {
         table.record_crash(CONTENT, upstream(number), seconds(130));
     }
-    assert!(table.held_for(CONTENT, seconds(131)).is_some(), "it may be held back anew");
+    assert!(
+        table.held_for(CONTENT, seconds(131)).is_some(),
+        "the content may be quarantined again"
+    );
 }
 
-/// Symptom: a daemon runs out of memory, or lets through what was held back. Sequence: callers send many contents
-/// under which an upstream ends. Cause: a table without a bound, or one that drops what matters most.
+/// Guards against a daemon running out of memory or admitting quarantined content when callers send
+/// many contents that crash an upstream. This happens if the table is unbounded, or if it evicts
+/// quarantined content first.
 #[test]
 fn a_flood_of_contents_is_bounded_and_drives_out_nothing_that_is_held_back() {
     let mut table = table_with(3, 100);
@@ -143,8 +149,8 @@
     assert!(table.held_for(CONTENT, seconds(104)).is_some());
     let first = table.next_update(seconds(104));
     assert!(first.is_plausible());
-    assert_eq!(first.rows[0].request, CONTENT, "what is held back is told first");
-    let bytes = postcard::to_stdvec(&first).expect("written").len();
+    assert_eq!(first.rows[0].request, CONTENT, "quarantined content is sent first");
+    let bytes = postcard::to_stdvec(&first).expect("serialised").len();
     assert!(bytes < 1_400, "{bytes} bytes in one message");
 }
 
@@ -157,7 +163,7 @@
     assert_eq!(table.sizes(seconds(100 + 650)).known, 0);
 }
 
-/// Counters that no daemon can have, in messages of a stranger or of another version.
+/// Values that no daemon can produce, in messages of an unknown sender or another version.
 #[rstest]
 #[case::too_many_rows(33, 0, 0, None)]
 #[case::too_many_upstreams(1, 65, 0, None)]
@@ -172,14 +178,14 @@
 ) {
     let crashes = (0..crashes).map(|number| (upstream(number), age)).collect();
     let row = SuspectRow { request: CONTENT, crashes, void_age_ms };
-    let news = SuspectUpdate { digest: 0, rows: vec![row; rows] };
+    let update = SuspectUpdate { digest: 0, rows: vec![row; rows] };
 
-    assert!(!news.is_plausible());
+    assert!(!update.is_plausible());
 }
 
 proptest! {
-    /// Rows in any order, doubled or by other ways come to the same: the same contents are held back, under the same
-    /// upstreams.
+    /// Merging is independent of order, duplication and path: the same contents are quarantined for
+    /// the same upstreams.
     #[test]
     fn rows_merge_to_the_same_in_any_order(
         rows in prop::collection::vec((0u64..4, 0usize..16, 0i64..20_000), 1..40),
@@ -193,12 +199,12 @@
         };
         let mut first = CrashTable::default();
         let mut second = CrashTable::default();
-        rows.iter().for_each(|given| _ = first.merge_row(&row(given), now));
-        let mut turned = rows.clone();
-        turned.rotate_left(order as usize % rows.len());
-        turned.reverse();
-        turned.extend(rows.clone());
-        turned.iter().for_each(|given| _ = second.merge_row(&row(given), now));
+        rows.iter().for_each(|entry| _ = first.merge_row(&row(entry), now));
+        let mut shuffled = rows.clone();
+        shuffled.rotate_left(order as usize % rows.len());
+        shuffled.reverse();
+        shuffled.extend(rows.clone());
+        shuffled.iter().for_each(|entry| _ = second.merge_row(&row(entry), now));
 
         prop_assert_eq!(first.held(now), second.held(now));
         prop_assert_eq!(first.next_update(now).digest, second.next_update(now).digest);
