--- a/tests/test_quarantine.rs
+++ b/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end, and those that only were there.
+//! Quarantine of requests that crash engines, and unaffected service of other requests.
 
 use crate::engine_park::{EnginePark, POISON};
 use crate::fixtures::{AGENTS_KEY, small_fleet, upstream};
@@ -13,19 +13,21 @@
 use tarragonknot::answer::{AnswerKind, ExecutionStatus, ProblemBody};
 use tarragonknot::quarantine::{RequestContent, RequestFingerprint};
 
-/// Engines that one content may end before the whole fleet holds it back, and sends of it after that.
-const MOST_SENDS: usize = 3 + 3;
-/// Attempts of the caller: enough for 12 engines where each ends one.
-const ATTEMPTS: usize = 12;
+/// Maximum number of sends of a crashing content: three before the fleet quarantines it, and three
+/// after that.
+const MAX_POISON_SENDS: usize = 3 + 3;
+/// Attempts of the caller: enough to crash 12 engines if each attempt crashes one.
+const ATTEMPT_COUNT: usize = 12;
 
-/// Symptom: users' drafts break off or are refused, and engines of one pool end in rows, in pairs 0.1 s apart, as long as
-/// one caller goes on. Order of events: a request ends the engine that begins to run it; its daemon sends it, or the
-/// rest of its stream, to a second engine, which ends too; its caller sends it again under another id to another daemon,
-/// which takes it for new; and so on. Cause: what a daemon learns of a request goes with that attempt's id, and each
-/// daemon learns for itself, so that nobody ever holds more than two ends against one content, while only the fleet's
-/// sum shows that it was on every engine that ended. Evidence: in the incident's logs one or two requests of each engine
-/// that ended had no event yet, of another id each time, twice for one id and never more often; in this test, whose
-/// only poison content is one body, each of its sends ends an engine, on whichever daemon.
+/// Guards against one caller's request crashing the engines of a pool one after another, in pairs
+/// 0.1 s apart, while users' streams break off or are refused. The request crashes the engine that
+/// starts to run it; its daemon sends it, or the rest of its stream, to a second engine, which
+/// crashes too; the caller retries it under another id through another daemon, which treats it as
+/// new. This happens if each daemon keeps crashes by attempt id and for itself: no daemon ever
+/// counts more than two crashes for one content, and only the sum over the fleet shows that it ran
+/// on every engine that crashed. In the logs of the incident, one or two requests on each crashed
+/// engine had no event yet, with different ids, and no id occurred more than twice. The only poison
+/// content of this test is one body, and each send of it crashes an engine, on whichever daemon.
 #[rstest]
 #[case::resumed_stream("/resumable/x", EngineMove::CrashAfter(1, 2))]
 #[case::stream_without_an_event("/resumable/x", EngineMove::Crash)]
@@ -39,19 +41,20 @@
 ) {
     let mut park = EnginePark::start(poison_move).await;
 
-    for number in 0..ATTEMPTS {
+    for number in 0..ATTEMPT_COUNT {
         park.attempt(number, path, POISON).await;
     }
 
-    let (sends, ended) = (park.poison_sends(), park.ended());
-    assert!(sends <= MOST_SENDS, "{sends} sends, {ended} engines ended");
+    let (sends, crashed) = (park.poison_sends(), park.ended());
+    assert!(sends <= MAX_POISON_SENDS, "{sends} sends, {crashed} engines crashed");
     for number in 0..3 {
         let answer = park.attempt(number, path, "sound").await;
         assert_eq!(answer.status, StatusCode::OK, "daemon {number}");
     }
 }
 
-/// What callers of content that is held back are told: that it has not run, why, and for how long.
+/// The refusal of quarantined content states that it has not run, why, and for how long it is
+/// refused.
 #[tokio::test]
 async fn a_request_that_is_held_back_is_refused_truthfully() {
     let mut park = EnginePark::start(EngineMove::Crash).await;
@@ -62,15 +65,15 @@
     let answer = park.attempt(3, "/unsafe/x", POISON).await;
 
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    let body = answer.body.expect("a whole body");
+    let body = answer.body.expect("a complete body");
     let problem: ProblemBody = serde_json::from_str(&body).expect("a problem document");
     assert_eq!((problem.kind, problem.ran), (AnswerKind::Quarantined, ExecutionStatus::No));
-    let returns = answer.headers["retry-after"].to_str().expect("text").parse::<f64>();
-    assert!(returns.expect("seconds") > 500.0, "what is left of ten minutes");
+    let retry_after = answer.headers["retry-after"].to_str().expect("text").parse::<f64>();
+    assert!(retry_after.expect("seconds") > 500.0, "remaining time of a ten-minute quarantine");
     assert_eq!(park.poison_sends(), 3);
 }
 
-fn request_of(body: &str) -> RequestFingerprint {
+fn fingerprint_of(body: &str) -> RequestFingerprint {
     RequestFingerprint::of(&RequestContent {
         organisation: "agents",
         method: "POST",
@@ -80,7 +83,7 @@
     })
 }
 
-/// The product's own interface: the same through another way to upstreams.
+/// The native interface, which reaches upstreams by another path, quarantines requests as well.
 #[tokio::test]
 async fn the_products_own_interface_holds_the_request_back_too() {
     let mut engines = Vec::new();
@@ -106,10 +109,10 @@
         let body = response.into_body().collect().await.expect("a body").to_bytes();
         let problem: ProblemBody = serde_json::from_slice(&body).expect("a problem document");
         kinds.push(problem.kind);
-        // The look at the engine's address comes a moment after the caller's answer.
-        let ended = engines.iter().filter(|engine| engine.has_ended()).count();
+        // The daemon probes the engine's address shortly after it answers the caller.
+        let crashed = engines.iter().filter(|engine| engine.has_ended()).count();
         for _ in 0..500 {
-            if fleet.state.quarantine.crashes(request_of(POISON)) >= ended {
+            if fleet.state.quarantine.crashes(fingerprint_of(POISON)) >= crashed {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
