--- a/tests/test_quarantine_fleet.rs
+++ b/tests/test_quarantine_fleet.rs
@@ -1,4 +1,4 @@
-//! Content under which upstreams end, known by whole fleets in virtual time.
+//! Distribution of quarantined contents through whole fleets in virtual time.
 
 use crate::fleet_play::FleetPlay;
 use rstest::rstest;
@@ -11,7 +11,7 @@
     UpstreamHash::of(&"pool".into(), &format!("e{number}").as_str().into(), 1)
 }
 
-/// Three daemons, far from each other in the fleet, see an upstream end each.
+/// Records one upstream crash on each of three daemons that are far apart in the fleet.
 fn crash_three(play: &mut FleetPlay) {
     let count = play.daemons.len();
     for (number, daemon) in [0, count / 2, count - 1].into_iter().enumerate() {
@@ -20,19 +20,20 @@
     }
 }
 
-fn holding(play: &FleetPlay) -> usize {
+fn quarantining_count(play: &FleetPlay) -> usize {
     let now = play.now;
     let daemons = play.daemons.iter().filter(|daemon| daemon.is_running);
     daemons.filter(|daemon| daemon.crashes.held_for(CONTENT, now).is_some()).count()
 }
 
-fn running(play: &FleetPlay) -> usize {
+fn running_count(play: &FleetPlay) -> usize {
     play.daemons.iter().filter(|daemon| daemon.is_running).count()
 }
 
-/// Symptom: upstreams end in rows under one content. Sequence: its caller tries one daemon after the other. Cause: each
-/// daemon knew of its own upstream alone. All must know within the time in which daemons hear of each other, by the
-/// operators' bound: 3 s in small fleets, 5 s in large ones.
+/// Guards against one content crashing one upstream after another while its caller tries one daemon
+/// after another. This happens if each daemon knows only the crashes of its own upstreams. All must
+/// know within the operators' bound for news between daemons: 3 s in small fleets, 5 s in large
+/// ones.
 #[rstest]
 #[case::seven(7, 1_000)]
 #[case::sixty(60, 1_500)]
@@ -48,10 +49,10 @@
     crash_three(&mut play);
     play.run(millis, true);
 
-    assert_eq!(holding(&play), count);
+    assert_eq!(quarantining_count(&play), count);
 }
 
-/// One message in five is lost.
+/// Updates reach every daemon although one message in five is lost.
 #[test]
 fn lost_messages_are_made_good() {
     let mut play = FleetPlay::new(60, 3, Box::new(|_, _, _, draw| usize::from(draw > 0.2)));
@@ -60,11 +61,11 @@
     crash_three(&mut play);
     play.run(2_500, true);
 
-    assert_eq!(holding(&play), 60);
+    assert_eq!(quarantining_count(&play), 60);
 }
 
-/// Symptom: content that was held back ends upstreams again after a restart. Sequence: daemons are killed and start with
-/// empty tables. Cause: news is told once, to those who listen then.
+/// Guards against quarantined content crashing upstreams again after daemons are killed and restart
+/// with empty tables. This happens if updates are sent once, to the daemons then running.
 #[rstest]
 #[case::seven(7)]
 #[case::sixty(60)]
@@ -81,10 +82,10 @@
     restarted.iter().for_each(|number| play.start(*number));
     play.run(4_000, true);
 
-    assert_eq!(holding(&play), running(&play));
+    assert_eq!(quarantining_count(&play), running_count(&play));
 }
 
-/// Those who saw the ends are gone a moment after they told.
+/// The daemons that recorded the crashes are killed shortly after they sent their updates.
 #[test]
 fn what_is_known_outlives_those_who_saw_it() {
     let mut play = FleetPlay::calm(60, 7);
@@ -95,31 +96,32 @@
     [0, 30, 59].into_iter().for_each(|number| play.kill(number));
     play.run(3_000, true);
 
-    assert_eq!(holding(&play), 57);
+    assert_eq!(quarantining_count(&play), 57);
 }
 
-/// Two halves hear nothing of each other for a while; each sees a part of the ends.
+/// A partition separates two halves of the fleet for a while; each half sees some of the crashes.
 #[rstest]
 #[case::seven(7)]
 #[case::sixty(60)]
 fn halves_that_were_cut_apart_learn_of_each_other(#[case] count: usize) {
-    let cut = move |from: usize, to: usize, now: Moment, _| {
-        let is_cut = (Moment::from_millis(5_000)..Moment::from_millis(12_000)).contains(&now);
-        usize::from(!(is_cut && (from < count / 2) != (to < count / 2)))
+    let partition = move |from: usize, to: usize, now: Moment, _| {
+        let is_partitioned =
+            (Moment::from_millis(5_000)..Moment::from_millis(12_000)).contains(&now);
+        usize::from(!(is_partitioned && (from < count / 2) != (to < count / 2)))
     };
-    let mut play = FleetPlay::new(count, 9, Box::new(cut));
+    let mut play = FleetPlay::new(count, 9, Box::new(partition));
     play.run(5_000, true);
     crash_three(&mut play);
     play.run(4_000, true);
-    let during = holding(&play);
+    let during = quarantining_count(&play);
 
     play.run(6_000, true);
 
-    assert!(during < count, "the cut kept nothing apart");
-    assert_eq!(holding(&play), count);
+    assert!(during < count, "the partition did not separate the halves");
+    assert_eq!(quarantining_count(&play), count);
 }
 
-/// Bytes and messages while a thousand contents are told of at once, and after it.
+/// Bounds the bytes sent while a thousand contents are reported at once, and afterwards.
 #[test]
 fn a_thousand_contents_at_once_cost_a_bounded_number_of_bytes() {
     let mut play = FleetPlay::calm(60, 11);
@@ -142,8 +144,8 @@
     let after = bytes(&play) - start;
 
     let now = play.now;
-    let least = play.daemons.iter().map(|daemon| daemon.crashes.sizes(now).held).min();
-    assert_eq!(least, Some(1_000));
+    let min_held = play.daemons.iter().map(|daemon| daemon.crashes.sizes(now).held).min();
+    assert_eq!(min_held, Some(1_000));
     println!(
         "bytes a daemon and second: calm {}, flood {}, after {}",
         calm / 4,
