--- a/tests/test_quarantine_log.rs
+++ b/tests/test_quarantine_log.rs
@@ -1,4 +1,4 @@
-//! What voters keep of contents that are held back, and what daemons are told of it.
+//! The voters' log of quarantined contents, and its distribution to daemons.
 
 use crate::workdir::{WorkDir, stderr};
 use rstest::rstest;
@@ -7,8 +7,8 @@
 use tarragonknot::quarantine::{CrashTable, RequestFingerprint, SuspectRow};
 
 const CONTENT: RequestFingerprint = RequestFingerprint(0x07e2_31c6_8511_4121);
-/// A wall-clock time, in milliseconds.
-const NOON: u64 = 1_780_000_000_000;
+/// Wall-clock time of the first report, in milliseconds.
+const REPORT_TIME_MS: u64 = 1_780_000_000_000;
 
 fn upstream(number: usize) -> UpstreamHash {
     UpstreamHash::of(&"pool".into(), &format!("e{number}").as_str().into(), 1)
@@ -19,24 +19,24 @@
     SuspectRow { request, crashes, void_age_ms: None }
 }
 
-/// A ledger to which the content was reported at noon.
+/// Returns a ledger to which the content was reported at `REPORT_TIME_MS`.
 fn ledger() -> ControlLedger {
     let mut ledger = ControlLedger::default();
-    ledger.apply(&ControlCommand::Quarantine { rows: vec![row(CONTENT, 3)], at: NOON });
+    ledger.apply(&ControlCommand::Quarantine { rows: vec![row(CONTENT, 3)], at: REPORT_TIME_MS });
     ledger
 }
 
-/// Symptom: after the whole fleet's restart, content that was held back ends upstreams again. Sequence: all daemons and
-/// voters are killed at once and start anew. Cause: daemons keep what they know in memory.
+/// Guards against quarantined content crashing upstreams again after all daemons and voters are
+/// killed at once and restarted. This happens if the records are kept only in the daemons' memory.
 #[test]
 fn what_is_held_back_outlives_the_restart_of_everything() {
-    let kept = ledger().to_json();
+    let snapshot = ledger().to_json();
 
-    let ledger = ControlLedger::from_json(&kept).expect("a snapshot");
+    let ledger = ControlLedger::from_json(&snapshot).expect("a snapshot");
     let mut daemon = CrashTable::default();
-    // The daemon has been up for 2 s; the content's last end was a minute ago.
+    // The daemon has been up for 2 s; the last crash on the content was a minute before.
     let now = Moment::from_millis(2_000);
-    let rows = ledger.quarantine().rows(None, NOON + 60_000);
+    let rows = ledger.quarantine().rows(None, REPORT_TIME_MS + 60_000);
     rows.iter().for_each(|row| _ = daemon.merge_row(row, now));
 
     let held = daemon.held(now);
@@ -45,7 +45,7 @@
     assert_eq!(held[0].last_crash.as_secs(), 61);
 }
 
-/// A snapshot of a version that kept no such contents.
+/// A snapshot written by a version without a quarantine log.
 #[test]
 fn a_snapshot_without_contents_is_read() {
     let mut snapshot: serde_json::Value =
@@ -54,7 +54,7 @@
 
     let ledger = ControlLedger::from_json(&snapshot.to_string()).expect("a snapshot");
 
-    assert_eq!(ledger.quarantine().held(NOON), []);
+    assert_eq!(ledger.quarantine().held(REPORT_TIME_MS), []);
 }
 
 #[test]
@@ -62,18 +62,19 @@
     let mut ledger = ledger();
     let mut daemon = CrashTable::default();
     let now = Moment::from_millis(100_000);
-    daemon.merge_row(&ledger.quarantine().rows(None, NOON)[0], now);
+    daemon.merge_row(&ledger.quarantine().rows(None, REPORT_TIME_MS)[0], now);
     assert!(daemon.held_for(CONTENT, now).is_some());
 
-    ledger.apply(&ControlCommand::Release { request: CONTENT, at: NOON + 500 });
+    ledger.apply(&ControlCommand::Release { request: CONTENT, at: REPORT_TIME_MS + 500 });
 
-    assert_eq!(ledger.quarantine().held(NOON + 600), []);
-    let rows = ledger.quarantine().rows(Some(CONTENT), NOON + 600);
+    assert_eq!(ledger.quarantine().held(REPORT_TIME_MS + 600), []);
+    let rows = ledger.quarantine().rows(Some(CONTENT), REPORT_TIME_MS + 600);
     rows.iter().for_each(|row| _ = daemon.merge_row(row, now));
     assert_eq!(daemon.held_for(CONTENT, now), None);
 }
 
-/// Hundreds of daemons report the same content; it is proposed for the log only while it says more than is kept.
+/// Hundreds of daemons report the same content; a report is proposed for the log only if it adds to
+/// the stored record.
 #[rstest]
 #[case::unknown(0, 3, true)]
 #[case::the_same(3, 3, false)]
@@ -86,44 +87,50 @@
 ) {
     let mut log = QuarantineLog::default();
     if known > 0 {
-        log.merge(&[row(CONTENT, known)], NOON);
+        log.merge(&[row(CONTENT, known)], REPORT_TIME_MS);
     }
 
     assert_eq!(log.is_news(&row(CONTENT, reported)), is_news);
 }
 
-/// Symptom: content that was cleared is held back again after a restart. Sequence: it is held back and logged; a run that
-/// was under way ends well, which clears it; daemons start anew. Cause: voters are told of ends alone.
+/// Guards against quarantining cleared content again after a restart. The content is quarantined
+/// and logged; a run in progress completes and clears it; daemons restart. This happens if only
+/// crashes are reported to the voters.
 #[test]
 fn voters_hear_that_a_content_was_cleared() {
     let mut ledger = ledger();
     let mut daemon = CrashTable::default();
     let now = Moment::from_millis(100_000);
-    ledger.quarantine().rows(None, NOON).iter().for_each(|row| _ = daemon.merge_row(row, now));
-    assert_eq!(daemon.reports(now), [], "others saw the ends");
+    ledger
+        .quarantine()
+        .rows(None, REPORT_TIME_MS)
+        .iter()
+        .for_each(|row| _ = daemon.merge_row(row, now));
+    assert_eq!(daemon.reports(now), [], "other daemons saw the crashes");
 
     daemon.record_answer(CONTENT, now);
     let rows = daemon.reports(now);
 
     assert!(ledger.quarantine().is_news(&rows[0]));
-    ledger.apply(&ControlCommand::Quarantine { rows, at: NOON + 1_000 });
-    assert_eq!(ledger.quarantine().held(NOON + 1_000), []);
+    ledger.apply(&ControlCommand::Quarantine { rows, at: REPORT_TIME_MS + 1_000 });
+    assert_eq!(ledger.quarantine().held(REPORT_TIME_MS + 1_000), []);
 }
 
 #[test]
 fn the_log_is_bounded_and_keeps_what_ended_most_upstreams() {
     let mut log = QuarantineLog::default();
-    log.merge(&[row(CONTENT, 5)], NOON);
+    log.merge(&[row(CONTENT, 5)], REPORT_TIME_MS);
     for number in 0..5_000 {
-        log.merge(&[row(RequestFingerprint(number), 3)], NOON);
+        log.merge(&[row(RequestFingerprint(number), 3)], REPORT_TIME_MS);
     }
 
-    let held = log.held(NOON);
+    let held = log.held(REPORT_TIME_MS);
     assert!(held.len() <= 1_024, "{}", held.len());
     assert_eq!(held[0].fingerprint, CONTENT.to_string());
 }
 
-/// Three reports of contents of its own, then an answer: a daemon that has just started is told everything once.
+/// A daemon that has just started requests all quarantined contents in each report until it gets an
+/// answer: here in two reports before the answer, not in the third.
 #[test]
 fn a_daemon_asks_for_what_is_held_back_until_it_was_told() {
     let mut member = FleetMember::new(
