--- a/tests/test_packed_table.rs
+++ b/tests/test_packed_table.rs
@@ -1,11 +1,12 @@
-//! Tables on their way to daemons.
+//! Packing of tables for distribution to daemons.
 
 use std::fmt::Write;
 use std::sync::Arc;
 use tarragonknot::control::{PackedTableCache, pack, unpack};
 use tarragonknot::table::VersionedTable;
 
-/// A document with this many routes, alike but for their names and paths, as operators write it.
+/// Returns a table, in the operators' format, with `routes` routes that differ only in name and
+/// path.
 fn large_table(routes: u32) -> VersionedTable {
     let mut text = String::from("{\"version\":7,\"routes\":[");
     for number in 0..routes {
@@ -21,17 +22,17 @@
     VersionedTable::from_document(7, &Arc::from(text))
 }
 
-/// Symptom: daemons refuse new routes for seconds after an edit was acknowledged. Sequence: an edit adds 1,312 routes on
-/// a fleet of 74; the leader writes 400 KB for each; reports time out, and daemons ask again. Cause: the whole table
-/// written anew for each daemon.
+/// Guards against daemons refusing new routes for seconds after an edit was acknowledged. An edit
+/// adds 1,312 routes on a fleet of 74; the leader serialises the whole table, 400 KB, anew for
+/// each daemon; reports time out and daemons retry.
 #[test]
 fn a_large_table_is_sent_small() {
     let table = large_table(1_312);
-    let plain = serde_json::to_vec(&table).expect("JSON").len();
+    let plain_len = serde_json::to_vec(&table).expect("JSON").len();
 
     let packed = pack(&table).expect("a packed table");
 
-    assert!(packed.len() * 6 <= plain, "{} of {plain}", packed.len());
+    assert!(packed.len() * 6 <= plain_len, "{} of {plain_len}", packed.len());
     assert_eq!(unpack(&packed), Some(table));
 }
 
