--- a/tests/test_table_versions.rs
+++ b/tests/test_table_versions.rs
@@ -1,4 +1,4 @@
-//! How far a table has come, as operators ask.
+//! The summary of table versions in force that operators query.
 
 use tarragonknot::control::{MemberView, TableVersionRow, table_versions};
 
@@ -13,8 +13,8 @@
     }
 }
 
-/// Symptom: operators of hundreds of daemons cannot tell which of them have taken a new table. Cause: a list of all of
-/// them, a line each.
+/// Guards against a list with one line per daemon, from which operators of hundreds of daemons
+/// cannot tell which of them have applied a new table.
 #[test]
 fn those_that_lag_are_named_with_how_long_they_do() {
     let mut members: Vec<MemberView> =
@@ -25,12 +25,12 @@
 
     let rows = table_versions(&members);
 
-    let [newest, behind] = &rows[..] else { panic!("{rows:?}") };
+    let [newest, lagging] = &rows[..] else { panic!("{rows:?}") };
     assert_eq!((newest.version, newest.live, newest.lapsed, newest.lags_ms), (7, 289, 0, None));
     assert_eq!(newest.named.len(), 5);
     let named = vec!["entry-289".into(), "entry-290".into()];
     let expected = TableVersionRow { version: 6, live: 1, lapsed: 1, lags_ms: Some(1_400), named };
-    assert_eq!(*behind, expected);
+    assert_eq!(*lagging, expected);
 }
 
 #[test]
