--- a/tests/test_explain.rs
+++ b/tests/test_explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: from a request's id to its cause.
+//! The `explain` command: finds the cause of a request's outcome by its id.
 
 use crate::workdir::{WorkDir, stderr, stdout};
 use tarragonknot::answer::ANSWER_TABLE;
@@ -34,36 +34,35 @@
 fn a_requests_way_ends_with_its_cause() {
     let log = log();
 
-    let ways = explain("id-1", log.lines());
+    let traces = explain("id-1", log.lines());
 
     let steps: Vec<(u64, &str)> =
-        ways[0].steps.iter().map(|step| (step.after_ms, step.message.as_str())).collect();
+        traces[0].steps.iter().map(|step| (step.after_ms, step.message.as_str())).collect();
     assert_eq!(steps, [(0, "sent"), (400, "stream broken"), (402, "sent"), (900, "stream cut")]);
-    assert_eq!(ways[0].cause, "upstream i-3 stopped after 9 events and its time is over");
-    assert_eq!(ways.len(), 1);
+    assert_eq!(traces[0].cause, "upstream i-3 stopped after 9 events and its time is over");
+    assert_eq!(traces.len(), 1);
 }
 
-/// What is found out of a lost upstream comes after the end of a request that was broken off with it.
+/// The finding about a lost upstream is logged after the outcome of the requests it broke off.
 #[test]
 fn the_cause_is_the_requests_end_though_another_line_follows() {
     let end =
         line("entry-1", 1, "stream cut", r#","upstream":"i-3","events":9,"detail":"no time""#);
     let later = line("entry-1", 2, "lost with its upstream", r#","upstream":"i-3""#);
 
-    let ways = explain("id-1", [end.as_str(), later.as_str()].into_iter());
+    let traces = explain("id-1", [end.as_str(), later.as_str()].into_iter());
 
-    assert_eq!(ways[0].cause, "upstream i-3 stopped after 9 events and no time");
+    assert_eq!(traces[0].cause, "upstream i-3 stopped after 9 events and no time");
 }
 
-/// Every kind of refusal has a line that explains it.
 #[test]
 fn every_kind_of_refusal_is_explained() {
     for row in ANSWER_TABLE {
         let line = line("entry-1", 1, "refused", &format!(r#","kind":"{}""#, row.name));
 
-        let ways = explain("id-1", [line.as_str()].into_iter());
+        let traces = explain("id-1", [line.as_str()].into_iter());
 
-        assert!(ways[0].cause.contains(row.title), "{}: {}", row.name, ways[0].cause);
+        assert!(traces[0].cause.contains(row.title), "{}: {}", row.name, traces[0].cause);
     }
 }
 
