--- a/tests/test_check.rs
+++ b/tests/test_check.rs
@@ -1,4 +1,4 @@
-//! `check`: every fault at once, each with its place.
+//! The `check` command: reports all faults at once, each with its location.
 
 use crate::workdir::{WorkDir, stderr, stdout};
 use std::path::Path;
