--- a/tests/test_power_loss.rs
+++ b/tests/test_power_loss.rs
@@ -39,7 +39,7 @@
     folder: TempDir,
     store: DataFolder,
     core: ReplicaCore<String>,
-    hard: HardState,
+    hard_state: HardState,
     /// Bytes of the log that have been synced.
     synced_len: u64,
 }
@@ -69,7 +69,7 @@
         };
         let core = ReplicaCore::new(ReplicaConfig::default(), start, now, rng);
         let synced_len = log_len(folder.path());
-        FolderVoter { folder, store, core, hard: state.hard_state, synced_len }
+        FolderVoter { folder, store, core, hard_state: state.hard_state, synced_len }
     }
 
     /// Persists what an output requires; returns its messages and the committed commands.
@@ -77,11 +77,11 @@
         &mut self,
         output: ReplicaOutput<String>,
     ) -> (Vec<ReplicaEnvelope<String>>, Vec<String>) {
-        if let Some(hard) = &output.hard_state {
-            self.hard = hard.clone();
+        if let Some(hard_state) = &output.hard_state {
+            self.hard_state = hard_state.clone();
         }
         if output.must_sync() {
-            self.store.save(&output, &self.hard).expect("saved");
+            self.store.save(&output, &self.hard_state).expect("saved");
             self.synced_len = log_len(self.folder.path());
         }
         let committed: Vec<String> =
@@ -112,10 +112,10 @@
     std::fs::metadata(folder.join("log.bin")).map_or(0, |file| file.len())
 }
 
-/// Voters in virtual time. Messages to or from those in `partitioned` are lost.
+/// Voters in virtual time. Messages to or from those in `isolated` are lost.
 struct VoterFleet {
     voters: BTreeMap<usize, FolderVoter>,
-    partitioned: Vec<usize>,
+    isolated: Vec<usize>,
     now: Moment,
     rng: ChaCha8Rng,
 }
@@ -124,7 +124,7 @@
     fn found(count: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(9);
         let voters = (0..count).map(|number| (number, FolderVoter::found(number, count, &mut rng)));
-        VoterFleet { voters: voters.collect(), partitioned: Vec::new(), now: Moment(1), rng }
+        VoterFleet { voters: voters.collect(), isolated: Vec::new(), now: Moment(1), rng }
     }
 
     fn leader(&self) -> Option<usize> {
@@ -142,9 +142,9 @@
             committed.append(&mut seen);
             for envelope in messages {
                 let to = (0..9).find(|number| voter_id(*number) == envelope.to);
-                let Some(to) = to.filter(|to| {
-                    !self.partitioned.contains(to) && !self.partitioned.contains(&number)
-                }) else {
+                let Some(to) =
+                    to.filter(|to| !self.isolated.contains(to) && !self.isolated.contains(&number))
+                else {
                     continue;
                 };
                 let Some(receiver) = self.voters.get_mut(&to) else { continue };
@@ -187,7 +187,7 @@
     let leader = fleet.leader().expect("a leader");
     // Only a minimal quorum has the edit when it is acknowledged.
     let followers: Vec<usize> = (0..count).filter(|number| *number != leader).collect();
-    fleet.partitioned = followers[count / 2..].to_vec();
+    fleet.isolated = followers[count / 2..].to_vec();
     let now = fleet.now;
     let voter = fleet.voters.get_mut(&leader).expect("the leader");
     let (_, output) = voter.core.propose(vec![EDIT.to_owned()], now).expect("the voter leads");
@@ -199,7 +199,7 @@
     let wiped: Vec<usize> = (0..lost).map(|step| holders[(first_lost + step) % count]).collect();
     let voters = std::mem::take(&mut fleet.voters);
     fleet.now = fleet.now + Duration::from_secs(1);
-    fleet.partitioned.clear();
+    fleet.isolated.clear();
     for (number, voter) in voters {
         let folder = voter.lose_power(torn);
         if !wiped.contains(&number) {
--- a/tests/test_store.rs
+++ b/tests/test_store.rs
@@ -44,21 +44,26 @@
 fn what_was_kept_is_read_back() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path());
-    let hard = HardState { term: 7, vote: None };
+    let hard_state = HardState { term: 7, vote: None };
     let mut store = DataFolder::open(folder.path()).unwrap();
     store.load::<String>(&log()).unwrap();
 
     store
         .save(
-            &ReplicaOutput::<String> { hard_state: Some(hard.clone()), ..ReplicaOutput::default() },
-            &hard,
+            &ReplicaOutput::<String> {
+                hard_state: Some(hard_state.clone()),
+                ..ReplicaOutput::default()
+            },
+            &hard_state,
         )
         .unwrap();
-    store.save(&ReplicaOutput { truncate_from: Some(4), ..output(vec![entry(4)]) }, &hard).unwrap();
+    store
+        .save(&ReplicaOutput { truncate_from: Some(4), ..output(vec![entry(4)]) }, &hard_state)
+        .unwrap();
     drop(store);
     let state = reload(folder.path()).unwrap();
 
-    assert_eq!(state.hard_state, hard);
+    assert_eq!(state.hard_state, hard_state);
     assert_eq!(state.entries, (1..=4).map(entry).collect::<Vec<_>>());
 }
 
