--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -1,4 +1,5 @@
-//! Daemons that share engines of unlike speed, in virtual time, under requests of long-tailed sizes.
+//! Simulates daemons that share engines of unequal speed, in virtual time, under requests with
+//! long-tailed sizes.
 
 use crate::burst_pool::{arrived, urgency_plan};
 use crate::session::source;
@@ -14,54 +15,54 @@
     UpstreamIndex, WaitingLevels,
 };
 
-/// Places of each engine.
+/// Requests that each engine runs at a time.
 const PLACES: u32 = 8;
-/// Microseconds that an engine of usual speed takes for a token that it makes, and for one that it reads.
+/// Decode time per output token and prefill time per prompt token at an engine with slowness 1.0.
 const GAP: f64 = 4_000.0;
 const READ: f64 = 10.0;
-/// Time to an engine and back, in microseconds.
+/// Round trip to an engine.
 const WAY: u64 = 1_000;
-/// Time between two messages of the daemons, and the age of what they say, in microseconds.
+/// Interval between load reports to peers, and their age on arrival.
 const PAUSE: u64 = 200_000;
 const WORD_AGE: u64 = 100_000;
-/// Callers leave after so long without a first event, and after so long in any case, in milliseconds.
+/// A caller leaves without a first event after its patience, and in any case at its deadline.
 const PATIENCE: u64 = 1_800;
 const DEADLINE: u64 = 12_000;
 const OBJECTIVE: u64 = 300;
-/// Longest answer, in means of its kind.
+/// Upper bound on prompt and output sizes, as a multiple of the mean of their kind.
 const LONGEST: f64 = 10.0;
 
-/// Requests of one kind.
+/// Size distribution and arrival rate of one kind of request.
 #[derive(Clone, Copy, Debug)]
 pub struct SizedKind {
     pub rank: u8,
     pub prompt: f64,
     pub output: f64,
-    /// Part of the arrivals.
+    /// Fraction of all arrivals.
     pub part: f64,
-    /// Times as many arrive while the load lasts.
+    /// Multiplies the arrival rate of this kind.
     pub burst: f64,
 }
 
-/// A load on a fleet.
+/// Parameters of a simulated load.
 #[derive(Clone, Debug)]
 pub struct SizedLoad {
     pub daemons: usize,
-    /// How slow each engine is beside the usual one.
+    /// Multiplier of the service times of each engine.
     pub engines: Vec<f64>,
     pub kinds: Vec<SizedKind>,
-    /// Work that arrives, as a part of what the engines do.
+    /// Arriving work relative to the capacity of the engines.
     pub times: f64,
-    /// Deviation of the logarithm of the callers' guesses of the output.
+    /// Standard deviation of the logarithm of the callers' error in estimating the output.
     pub guess_error: f64,
     pub seconds: u64,
-    /// Half of the engines leave in the middle.
+    /// Half of the engines leave half-way through the run.
     pub loses_half: bool,
     pub seed: u64,
 }
 
 impl SizedLoad {
-    /// Three kinds of requests on engines of three speeds, at twice what they carry.
+    /// Three kinds of requests on engines of three speeds, at twice their capacity.
     pub fn overload(daemons: usize) -> Self {
         let kind =
             |rank, prompt, output, part| SizedKind { rank, prompt, output, part, burst: 1.0 };
@@ -82,31 +83,31 @@
     }
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct SizedEnd {
     pub kind: usize,
     pub size: f64,
     pub is_served: bool,
-    /// True if it was served and its first event came within its objective.
+    /// True if it was served and its first event met the objective.
     pub is_in_time: bool,
-    /// True if it was begun and not served.
+    /// True if an engine started it and it was not served.
     pub is_lost: bool,
 }
 
-/// The part of `ends` that was served.
+/// Returns the fraction of `ends` that was served.
 pub fn served_part<'a>(ends: impl Iterator<Item = &'a SizedEnd>) -> f64 {
     let (served, all) =
         ends.fold((0, 0), |(served, all), end| (served + u32::from(end.is_served), all + 1));
     f64::from(served) / f64::from(all.max(1))
 }
 
-/// The part of `ends` that was served in time.
+/// Returns the fraction of `ends` that was served within the objective.
 pub fn in_time_part(ends: &[SizedEnd]) -> f64 {
     ends.iter().filter(|end| end.is_in_time).count() as f64 / ends.len().max(1) as f64
 }
 
-/// The requests of a kind, the smallest first.
+/// Returns the requests of a kind in ascending order of size.
 pub fn by_size(ends: &[SizedEnd], kind: usize) -> Vec<SizedEnd> {
     let mut own: Vec<SizedEnd> = ends.iter().copied().filter(|end| end.kind == kind).collect();
     own.sort_by(|a, b| a.size.total_cmp(&b.size));
@@ -145,12 +146,12 @@
     rng: ChaCha8Rng,
 }
 
-/// Plays a load; what became of each request.
+/// Simulates a load and returns the outcome of each request.
 pub fn play(load: &SizedLoad) -> Vec<SizedEnd> {
     play_with(load, |_| ())
 }
 
-/// The same with a changed plan.
+/// As [`play`], with `change` applied to the pool plan.
 pub fn play_with(load: &SizedLoad, change: impl Fn(&mut PoolPlan)) -> Vec<SizedEnd> {
     let mut play = SizedPlay::new(load, change);
     play.run();
@@ -192,7 +193,7 @@
         play
     }
 
-    /// All daemons see the first `count` engines in the list.
+    /// Sends all daemons a list of the first `count` engines.
     fn list(&mut self, count: usize) {
         let numbers = 1..=count as u16;
         let sources: Vec<_> = numbers.map(|number| source(&format!("e{number}"), number)).collect();
@@ -208,7 +209,7 @@
         self.events.insert(self.next, event);
     }
 
-    /// Arrivals of a kind a second.
+    /// Arrival rate of a kind per second.
     fn rate(&self, kind: usize) -> f64 {
         let mean = |kind: &SizedKind| (kind.prompt * READ + kind.output * GAP) * kind.part;
         let work: f64 = self.load.kinds.iter().map(mean).sum();
@@ -290,7 +291,7 @@
         self.push(now + gap as u64, DueEvent::Arrive(kind));
     }
 
-    /// The engine grants a place, or has none.
+    /// Grants the request a place, or reports that the engine has none free.
     fn ask(&mut self, id: RequestId, upstream: UpstreamIndex, now: u64) {
         let request = self.requests.get_mut(&id).expect("a request");
         let daemon = request.daemon;
@@ -329,7 +330,7 @@
         self.tell(self.requests[&id].daemon, PoolEvent::Ended { id, outcome }, now);
     }
 
-    /// All daemons hear what the others have at the engines, and what waits there.
+    /// Reports to each daemon the in-flight and waiting requests of its peers.
     fn speak(&mut self, now: u64) {
         let own = |scheduler: &PoolScheduler| -> BTreeMap<_, u32> {
             let rows = scheduler.upstreams().iter();
