--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -1,4 +1,4 @@
-//! A group of daemons that share engines' places, in virtual time.
+//! Simulates a group of daemons that share the places of a few engines, in virtual time.
 
 use crate::burst_pool::{arrived, urgency_plan};
 use crate::session::source;
@@ -12,19 +12,19 @@
     PoolAction, PoolEvent, PoolScheduler, RequestId, UpstreamIndex, WaitingLevels,
 };
 
-/// Daemons, engines, and places of each engine.
+/// Number of daemons, of engines, and of requests that each engine runs at a time.
 const DAEMONS: usize = 16;
 const ENGINES: u16 = 4;
 const PLACES: u32 = 6;
-/// A run, in milliseconds: the places work off 48 requests a second.
+/// Service time of a request; the 24 places together complete 48 requests per second.
 const RUN: u64 = 500;
-/// Time to an engine and back, and from the grant of a place to the first event, in milliseconds.
+/// Round trip to an engine, and time from the grant of a place to the first event.
 const WAY: u64 = 2;
 const FIRST_EVENT: u64 = 50;
-/// Time between two messages of a daemon, and the age of what comes back.
+/// Interval between load reports to peers, and their age on arrival.
 const PAUSE: u64 = 50;
 const WORD_AGE: u64 = 70;
-/// The objective of [`arrived`], in milliseconds.
+/// Must equal the objective that [`arrived`] sets.
 const OBJECTIVE: u64 = 500;
 
 enum DueEvent {
@@ -36,7 +36,7 @@
     End { daemon: usize, id: RequestId, upstream: UpstreamIndex },
 }
 
-/// What became of the requests that came in one second.
+/// Outcomes of the requests that arrived in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondShare {
     pub asked: u32,
@@ -62,8 +62,9 @@
     seconds: Vec<SecondShare>,
 }
 
-/// Plays `loads` (one a second, as a part of what the engines work off) without `off`; two ranks come equally often. Returns
-/// what became of those of each second that have `rank`.
+/// Simulates one second for each of `loads` (arrival rate relative to capacity) with the mechanisms
+/// `off` disabled. Requests of two ranks arrive equally often; returns, for each second, the
+/// outcomes of those with `rank`, or of all if it is `None`.
 pub fn play(loads: &[f64], off: &[Mechanism], rank: Option<u8>, seed: u64) -> Vec<SecondShare> {
     let mut places = SharedPlaces::new(off, seed);
     places.seconds = vec![SecondShare::default(); loads.len()];
@@ -158,7 +159,7 @@
         self.tell(daemon, PoolEvent::Arrived(arrived(id, own, 10, now)), now);
     }
 
-    /// The engine grants a place, or has none.
+    /// Grants the request a place, or reports that the engine has none free.
     fn ask(&mut self, sent: (usize, RequestId, UpstreamIndex), rank: Option<u8>, now: u64) {
         let (daemon, id, upstream) = sent;
         let running = &mut self.running[upstream.0 as usize];
@@ -175,7 +176,7 @@
         self.push(now + RUN, DueEvent::End { daemon, id, upstream });
     }
 
-    /// All daemons hear what the others have at the engines, and what waits there.
+    /// Reports to each daemon the in-flight and waiting requests of its peers.
     fn speak(&mut self, now: u64) {
         for daemon in 0..DAEMONS {
             let mut levels = WaitingLevels::default();
