--- a/tests/small_calls.rs
+++ b/tests/small_calls.rs
@@ -1,4 +1,5 @@
-//! Small calls of many daemons to a few upstreams that queue by themselves, in virtual time.
+//! Simulates short calls from many daemons to a few upstreams with queues of their own, in virtual
+//! time.
 
 use crate::burst_pool::urgency_plan;
 use crate::session::source;
@@ -15,13 +16,13 @@
 
 const UPSTREAMS: usize = 3;
 const PLACES: usize = 6;
-/// Requests that an upstream lets wait; it refuses more.
+/// Capacity of an upstream's queue; further requests are refused.
 const QUEUE: usize = 24;
 const WORK_MS: f64 = 60.0;
 const OBJECTIVE_MS: u64 = 300;
 const DEADLINE_MS: u64 = 1_500;
 
-/// What came of the calls that arrived in a span of time.
+/// Outcomes of the calls that arrived in a time span.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallEnds {
     pub asked: u32,
@@ -38,13 +39,14 @@
 
 struct Call {
     daemon: usize,
-    /// When its caller came first.
+    /// Time of the caller's first attempt, in milliseconds.
     arrived: u64,
     has_returned: bool,
     upstream: Option<UpstreamIndex>,
 }
 
-/// Plays `daemons` for 10 s in which calls come at `rates(second)` a second; ends of those that came in each second.
+/// Simulates `daemons` for 10 s with `rates(second)` calls per second; returns the outcomes of the
+/// calls that arrived in each second.
 pub fn play(
     daemons: usize,
     rates: impl Fn(u64) -> f64,
@@ -131,7 +133,7 @@
     scheduler
 }
 
-/// Refused callers come back once, after a part of the time that they have left.
+/// Schedules one retry for each refused caller, after 0.2 to 0.33 of its remaining time.
 fn end_refused(
     refused: Vec<Call>,
     returns: &mut BinaryHeap<Reverse<(u64, u64)>>,
