--- a/tests/engine_park.rs
+++ b/tests/engine_park.rs
@@ -1,31 +1,32 @@
-//! Engines of one pool that are replaced when they end, before several daemons.
+//! Several daemons with a shared pool of engines that are replaced when they crash.
 
 use crate::routed_fleet::{CallerAnswer, EngineMove, RoutedFleet, ScriptedEngine};
 use std::time::Duration;
 use tarragonknot::quarantine::{RequestContent, RequestFingerprint};
 use tarragonknot::upstream::VmState;
 
-/// The body of the request under which engines end.
+/// Body of the request that crashes engines.
 pub const POISON: &str = "poison";
-/// Daemons of the fleet.
+/// Number of daemons.
 const DAEMONS: usize = 3;
-/// Engines that live at any time.
+/// Number of engines that run at any time.
 const ENGINES: usize = 4;
-/// How long daemons may take to hear of an engine that ended; far more than they need on a busy machine.
+/// Time limit for the daemons to learn of a crashed engine; generous even for a busy machine.
 const PATIENCE: Duration = Duration::from_secs(10);
 const LOOK_PAUSE: Duration = Duration::from_millis(10);
 
-/// Daemons and engines.
+/// Daemons and the engines that they share.
 pub struct EnginePark {
     pub daemons: Vec<RoutedFleet>,
     engines: Vec<ScriptedEngine>,
-    /// Requests with the poison body at engines that have ended.
+    /// Number of poison requests received by each crashed engine.
     ended: Vec<usize>,
     poison_move: EngineMove,
 }
 
 impl EnginePark {
-    /// Engines that answer all but the poison request, to which they do `poison_move`.
+    /// Starts engines that answer every request except the poison request, which triggers
+    /// `poison_move`.
     pub async fn start(poison_move: EngineMove) -> Self {
         let mut engines = Vec::new();
         for number in 0..ENGINES {
@@ -36,7 +37,7 @@
         EnginePark { daemons, engines, ended: Vec::new(), poison_move }
     }
 
-    /// A caller's attempt at one of the daemons, under an id of its own; then engines that ended are replaced.
+    /// Sends a request with an id of its own to one of the daemons, then replaces crashed engines.
     pub async fn attempt(&mut self, number: usize, path: &str, body: &str) -> CallerAnswer {
         let daemon = &self.daemons[number % self.daemons.len()];
         let answer = daemon.call_body(path, &format!("id-{number}"), body).await;
@@ -45,7 +46,7 @@
         answer
     }
 
-    /// Waits until all daemons know of every engine that ended.
+    /// Waits until all daemons have recorded every engine crash, or the time limit is over.
     async fn settle(&self, path: &str) {
         let content = RequestContent {
             organisation: "agents",
@@ -80,12 +81,12 @@
         self.daemons.iter().for_each(|daemon| daemon.list(&listed, VmState::Live));
     }
 
-    /// Engines that have ended.
+    /// Number of crashed engines that have been replaced.
     pub fn ended(&self) -> usize {
         self.ended.len()
     }
 
-    /// How often engines were sent the poison request.
+    /// Number of poison requests that engines received.
     pub fn poison_sends(&self) -> usize {
         self.ended.iter().sum::<usize>() + self.engines.iter().map(poison_count).sum::<usize>()
     }
