--- a/tests/burst_pool.rs
+++ b/tests/burst_pool.rs
@@ -1,4 +1,4 @@
-//! A pool whose requests have objectives, in virtual time.
+//! A pool whose requests have first-event objectives, in virtual time.
 
 use crate::session::source;
 use rand::SeedableRng;
@@ -11,7 +11,7 @@
     LimitMode, PlacementMode, QueueDiscipline, ServiceKind, ServiceRow, tier_name_of_rank,
 };
 
-/// The plan of a model pool whose requests have objectives; one place for each upstream.
+/// Plan of a model pool with an urgency queue and one place per upstream.
 pub fn urgency_plan() -> PoolPlan {
     let mut row = ServiceRow::new("pool".into(), ServiceKind::Model, tier_name_of_rank(0));
     row.queue = QueueDiscipline::Urgency;
@@ -24,7 +24,8 @@
     plan
 }
 
-/// A request of `output` tokens that arrives at `millis`, whose caller waits 10 s, and 2.4 s for a first event.
+/// A request of `output` tokens that arrives at `millis`, with a deadline of 10 s and a patience of
+/// 2.4 s for the first event.
 pub fn arrived(id: u64, rank: u8, output: u32, millis: u64) -> ArrivedRequest {
     let at = |after: u64| Moment::from_millis(millis + after);
     ArrivedRequest {
@@ -54,12 +55,11 @@
 }
 
 impl BurstPool {
-    /// With the plan of [`urgency_plan`].
+    /// Creates a pool with [`urgency_plan`].
     pub fn new() -> Self {
         Self::with_plan(urgency_plan())
     }
 
-    /// With another plan.
     pub fn with_plan(plan: PoolPlan) -> Self {
         let mut pool = BurstPool {
             scheduler: PoolScheduler::new(plan),
@@ -70,25 +70,25 @@
         pool
     }
 
-    /// Tells it something.
+    /// Passes an event to the scheduler and returns its actions.
     pub fn tell(&mut self, event: PoolEvent, millis: u64) -> Vec<PoolAction> {
         self.scheduler.handle(event, Moment::from_millis(millis), &mut self.rng, &mut self.actions);
         std::mem::take(&mut self.actions)
     }
 
-    /// A request of 10 output tokens comes.
+    /// Adds a request of 10 output tokens.
     pub fn arrive(&mut self, id: u64, rank: u8, millis: u64) -> Vec<PoolAction> {
         self.tell(PoolEvent::Arrived(arrived(id, rank, 10, millis)), millis)
     }
 
-    /// A request ends well.
+    /// Completes a request.
     pub fn end(&mut self, id: u64, millis: u64) -> Vec<PoolAction> {
         let outcome = DispatchOutcome::Completed { prompt_tokens: None, output_tokens: 10 };
         self.tell(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
     }
 }
 
-/// The ids of the requests that are sent.
+/// Returns the ids of the dispatched requests.
 pub fn sent(actions: &[PoolAction]) -> Vec<u64> {
     let ids = actions.iter().filter_map(|action| match action {
         PoolAction::Dispatch { id, .. } => Some(id.0),
