--- a/tests/session.rs
+++ b/tests/session.rs
@@ -1,5 +1,5 @@
-//! A whole session over the pure core in virtual time: callers, the scheduler, exchanges, upstreams.
-//! Every step writes a line; the transcript is compared with a golden file.
+//! Runs sessions of callers, scheduler, exchanges and upstreams in virtual time, without I/O. Every
+//! step writes a line to a transcript, which is compared with a snapshot.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
 use tarragonknot::table::{LimitMode, PlacementMode, QueueDiscipline};
 use tarragonknot::traffic::{DrainAction, DrainEvent, DrainState, drain_chart};
 
-/// A plan with three tiers of weights 6, 3 and 1, for engines of which each takes `first_guess` requests.
+/// A plan with three tiers of weights 6, 3 and 1, for engines that each take `first_guess` requests.
 pub fn plan(first_guess: u32) -> PoolPlan {
     let share = |rank, weight| TierShare { rank: TierRank(rank), weight };
     PoolPlan {
@@ -47,7 +47,7 @@
     exchange: Exchange,
 }
 
-/// The session.
+/// A scheduler, its requests and upstreams, and the transcript so far.
 pub struct Session {
     now: Moment,
     scheduler: PoolScheduler,
@@ -57,7 +57,7 @@
     log: String,
     drain: ChartMachine<DrainState, DrainEvent, DrainAction>,
     next: u64,
-    /// Dispatches by request, to show that none happens twice.
+    /// Number of dispatches by request name; more than one is a fault.
     pub dispatches: BTreeMap<String, u32>,
 }
 
@@ -84,7 +84,8 @@
         session
     }
 
-    /// The transcript, checked: every request that ended did so once, and none was dispatched twice.
+    /// Returns the transcript after checking that no request was dispatched twice and that the shed
+    /// order was kept.
     pub fn transcript(self) -> String {
         assert!(self.dispatches.values().all(|count| *count == 1), "{:?}", self.dispatches);
         assert_eq!(self.scheduler.shed_order_violations(), 0, "{}", self.log);
@@ -96,7 +97,7 @@
         let _ = writeln!(self.log, "{:>3}.{:03}  {text}", millis / 1_000, millis % 1_000);
     }
 
-    /// Lets time pass to `millis`, with a scheduler tick each 10 ms.
+    /// Advances time to `millis`, with a scheduler tick every 10 ms.
     pub fn at(&mut self, millis: u64) -> &mut Self {
         while self.now + Duration::from_millis(10) <= Moment::from_millis(millis) {
             self.now = self.now + Duration::from_millis(10);
@@ -143,12 +144,12 @@
         }
     }
 
-    /// A caller's request comes: `tokens` of prompt, to be answered within `deadline` milliseconds.
+    /// Adds a request with `tokens` of prompt and a deadline in `deadline` milliseconds.
     pub fn arrive(&mut self, name: &str, tier: u8, tokens: usize, deadline: u64) -> &mut Self {
         self.arrive_as(name, tier, tokens, deadline, true)
     }
 
-    /// As [`Session::arrive`], to an upstream that can or cannot resume.
+    /// As [`Session::arrive`], for an upstream that may be unable to resume.
     pub fn arrive_as(
         &mut self,
         name: &str,
@@ -192,7 +193,7 @@
             .0
     }
 
-    /// Something happens to a request's exchange.
+    /// Passes an event to a request's exchange and carries out the resulting actions.
     pub fn happens(&mut self, name: &str, event: ExchangeEvent<'_>) -> &mut Self {
         let id = self.find(name);
         let now = self.now;
@@ -237,7 +238,7 @@
         self.note(&format!("{name}: failed: {} {}, ran {:?}", row.status, row.name, row.ran));
     }
 
-    /// A request is sent and its whole answer of `pieces` comes at once.
+    /// Sends a request and delivers its whole answer of `pieces` at once.
     pub fn answered(&mut self, name: &str, pieces: u64) -> &mut Self {
         self.opened(name);
         for sequence in 1..=pieces {
@@ -246,13 +247,13 @@
         self.happens(name, ExchangeEvent::Ended)
     }
 
-    /// A request is sent and its answer's head comes.
+    /// Sends a request and delivers the head of its answer.
     pub fn opened(&mut self, name: &str) -> &mut Self {
         self.happens(name, ExchangeEvent::Opened);
         self.happens(name, ExchangeEvent::Head { echo: Some(name) })
     }
 
-    /// An upstream reports its load.
+    /// Passes an upstream's load report to the scheduler.
     pub fn report(&mut self, upstream: u32, running: u32, is_leaving: bool) -> &mut Self {
         self.note(&format!(
             "engine {upstream} reports running {running}{}",
@@ -263,7 +264,7 @@
         self
     }
 
-    /// The platform's list and the table name these upstreams now.
+    /// Replaces the listed upstreams.
     pub fn listed(&mut self, sources: Vec<UpstreamSource>) -> &mut Self {
         let names: Vec<String> = sources
             .iter()
@@ -274,21 +275,21 @@
         self
     }
 
-    /// An operator's edit comes into force.
+    /// Applies an operator's edit of the plan.
     pub fn edited(&mut self, what: &str, plan: PoolPlan) -> &mut Self {
         self.note(&format!("edit in force: {what}"));
         self.tell(PoolEvent::Plan(plan));
         self
     }
 
-    /// The daemon's currency lease runs out.
+    /// Expires the daemon's currency lease.
     pub fn lease_lapsed(&mut self) -> &mut Self {
         self.note("currency lease ran out");
         self.tell(PoolEvent::LeaseExpired);
         self
     }
 
-    /// Something happens to the daemon's drain; `Idle` only counts when nothing is in progress.
+    /// Passes an event to the drain chart; `Idle` is valid only when no request is in progress.
     pub fn drain(&mut self, event: DrainEvent) -> &mut Self {
         let in_progress =
             self.requests.values().filter(|request| !request.exchange.is_final()).count();
@@ -301,7 +302,7 @@
         self
     }
 
-    /// Notes the pool's numbers.
+    /// Writes the pool's status to the transcript.
     pub fn status(&mut self) -> &mut Self {
         let status = self.scheduler.status();
         let floor = status.floor.map_or_else(|| "none".to_owned(), |rank| rank.0.to_string());
@@ -313,7 +314,7 @@
     }
 }
 
-/// An upstream source.
+/// An upstream at a local port.
 pub fn source(name: &str, port: u16) -> UpstreamSource {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
     UpstreamSource { name: name.into(), incarnation: 0, address, is_leaving: false, places: None }
