--- a/tests/test_sessions.rs
+++ b/tests/test_sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions.
+//! Snapshot tests of whole sessions.
 
 use crate::session::{Session, plan, source};
 use tarragonknot::policy::{ExchangeEvent, TierShare, UpstreamSource};
@@ -15,10 +15,10 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: under a burst a high tier is refused although low-tier requests still wait.
-/// Sequence: the engine is full, low tiers fill the queue, then high-tier requests come.
-/// Cause: a queue that refuses whoever comes last. Here the lowest waiting tier makes room, and once
-/// only the high tier waits, lower tiers are not admitted.
+/// Guards against refusing a high tier while low-tier requests wait: the engine is full and low
+/// tiers fill the queue before high-tier requests arrive, and a queue with tail drop refuses those.
+/// The lowest waiting tier is evicted instead, and once only the high tier waits, lower tiers are
+/// not admitted.
 #[test]
 fn overload_evicts_the_lowest_tier_first() {
     let mut session = Session::new(plan(1), &["e1"]);
@@ -53,9 +53,9 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: a caller receives another caller's words.
-/// Sequence: an answer's head, or a piece in mid-stream, carries another request's id.
-/// Cause: an upstream or a connection that mixed two exchanges. The id is checked on every piece.
+/// Guards against passing one caller's answer to another: an upstream or a connection mixes two
+/// exchanges, so that a head or a piece in mid-stream carries another request's id. The id is
+/// checked on every piece.
 #[test]
 fn crossed_and_late_answers_are_never_passed_on() {
     let mut session = Session::new(plan(4), &["e1"]);
@@ -74,9 +74,8 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: a caller takes half an answer for the whole.
-/// Sequence: the connection ends before the end mark; a resume is cut as well, again and again.
-/// Cause: a body's end taken for the answer's end. Only the end mark ends an answer well.
+/// Guards against passing on a truncated answer as complete: the connection closes before the end
+/// mark, and so does every resume. The end of a body does not end an answer; only the end mark does.
 #[test]
 fn truncation_is_resumed_and_at_last_refused() {
     let mut session = Session::new(plan(4), &["e1"]);
@@ -99,10 +98,9 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: a stream stops in the middle and the caller waits for ever.
-/// Sequence: pieces come, then the connection goes silent although the engine works on.
-/// Cause: something in between lost track of the connection. The stream is attached again on a new
-/// one, from the next piece, without a second dispatch; pieces that come twice are dropped.
+/// Guards against a stream that stalls for ever: after some pieces an intermediary loses track of
+/// the connection, which goes silent while the engine keeps working. The stream is resumed on a new
+/// connection from the next piece, without a second dispatch; duplicate pieces are dropped.
 #[test]
 fn a_silent_connection_is_resumed_without_a_new_dispatch() {
     let mut session = Session::new(plan(4), &["e1"]);
@@ -121,10 +119,10 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: work is sent to an upstream that is about to go, and is lost with it.
-/// Sequence: the engine's own report says leaving; the platform's list, lagging, still says live; then
-/// the address comes back as another engine.
-/// Cause: trusting the last word instead of the newest. Leaving has no way back for one incarnation.
+/// Guards against losing work sent to an upstream that is about to stop: the engine reports that it
+/// is leaving, the platform's list lags and still says live, and then the name returns as another
+/// incarnation. The message received last may not be the newest, so leaving is final for an
+/// incarnation.
 #[test]
 fn a_leaving_upstream_gets_no_new_work() {
     let mut session = Session::new(plan(4), &["e1", "e2"]);
@@ -145,9 +143,9 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: engines work for callers that have long gone.
-/// Sequence: callers leave while waiting, while connecting, and in mid-stream.
-/// Cause: nobody tells the upstream. Waiting work is withdrawn, running work cancelled, places freed.
+/// Guards against engines that keep working for callers that left while waiting, while connecting
+/// or in mid-stream, because the upstream is not told. Waiting requests are withdrawn, running ones
+/// cancelled, and their places freed.
 #[test]
 fn callers_that_leave_free_their_places() {
     let mut session = Session::new(plan(1), &["e1"]);
@@ -166,10 +164,10 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: a shutdown cuts answers short.
-/// Sequence: SIGTERM in mid-stream, a second SIGTERM, a caller the balancer still sends.
-/// Cause: ending with the signal. The daemon goes unready, still admits until the balancer has noticed,
-/// and ends only when nothing is in progress.
+/// Guards against a shutdown that cuts answers because the daemon exits on the signal: SIGTERM in
+/// mid-stream, a second SIGTERM, and a request that the balancer still sends. The daemon becomes
+/// unready, admits requests until the balancer has noticed, and exits only when nothing is in
+/// progress.
 #[test]
 fn a_drain_in_mid_stream_cuts_nothing() {
     let mut session = Session::new(plan(4), &["e1"]);
@@ -221,10 +219,10 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: a request is dispatched twice, or refused although another upstream works.
-/// Sequence: connections to an upstream are refused; the request goes back and to another upstream; at
-/// last no upstream is left, and one answers again.
-/// Cause: retrying what may have run. Only a connection that never opened proves that nothing was sent.
+/// Guards against a double dispatch and against a refusal while another upstream works: an upstream
+/// refuses connections, the request is requeued for another one, then no upstream is left until one
+/// reports again. A request that may have run is not retried; only a connection that never opened
+/// proves that nothing was sent.
 #[test]
 fn a_refused_connection_goes_to_another_upstream() {
     let mut session = Session::new(plan(4), &["e1", "e2"]);
@@ -237,9 +235,9 @@
     insta::assert_snapshot!(session.transcript());
 }
 
-/// Symptom: a daemon that was cut off goes on under an old table.
-/// Sequence: requests wait and run; the currency lease runs out.
-/// Cause: dispatching after the lease. What waits is refused, not run; what runs is finished.
+/// Guards against a partitioned daemon that keeps dispatching under a stale table: the currency
+/// lease expires while requests wait and run. Waiting requests are refused as not run; running ones
+/// are finished.
 #[test]
 fn a_lapsed_lease_refuses_what_waits_and_finishes_what_runs() {
     let mut session = Session::new(plan(1), &["e1"]);
