--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -1,4 +1,5 @@
-//! A roll-out in virtual time: daemons that send and count, engines of two versions, and a leader that decides.
+//! Simulates a roll-out in virtual time: daemons that send requests and count outcomes, engines of
+//! two versions, and a leader that decides.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,56 +15,57 @@
 };
 use tarragonknot::table::{DaemonName, ServiceName, UpstreamName};
 
-/// The largest share that operators allow a version that proves bad, and the requests beside it.
+/// Exposure limit of a bad version: a share of all requests, plus a fixed number of requests.
 pub const BOUND: f64 = 0.1;
 pub const SLACK: f64 = 50.0;
 const DURATION_MS: u64 = 12_000;
 const ROUTES: usize = 5;
 const OLD_ENGINES: u64 = 40;
-/// New engines come this long after the order.
+/// Time from the order until engines of the new version are available.
 const ENGINES_COME_MS: u64 = 1_500;
 const REPORT_MS: u64 = 400;
-/// A daemon that has not heard the leader for this long sends nothing to a version on trial.
+/// A daemon without contact to the leader for this long sends nothing to a version on trial.
 const HEARD_FOR_MS: u64 = 1_500;
-/// Old work that is under way when the old version is left ends within this time.
+/// Upper bound on the duration of a request, and so on how long the old version drains.
 const LONGEST_MS: u64 = 3_000;
 
-/// What is wrong with the new version.
+/// Fault of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Badness {
     Nothing,
-    /// A part of its answers fail.
+    /// This fraction of its answers fails.
     Fails(f64),
-    /// It is so many times slower.
+    /// It is slower by this factor.
     Slow(f64),
-    /// Half of its answers fail after this part of the time ordered.
+    /// Half of its answers fail after this fraction of the ordered duration.
     Later(f64),
     /// Half of its answers fail on one route.
     OneRoute,
-    /// Half of its answers fail while an engine has more than half of its places taken.
+    /// Half of its answers fail while an engine runs more than two requests.
     UnderLoad,
-    /// Its engines never come.
+    /// Its engines never become available.
     Absent,
 }
 
-/// What is wrong beside it.
+/// Fault that is unrelated to the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     Nothing,
-    /// A sixth of the engines of both versions fail four in ten.
+    /// A sixth of the engines of both versions fail four in ten requests.
     GreyEngines,
-    /// A sixth of the engines of both versions crash in the middle, and fail all for 2 s.
+    /// A sixth of the engines of both versions crash during the roll-out and fail every request
+    /// for 2 s.
     Crashes,
-    /// The leader stands still for 3 s and another one goes on.
+    /// The leader stalls for 3 s, then another one takes over.
     LeaderLost,
 }
 
-/// How it went.
+/// Result of a simulated roll-out.
 #[derive(Clone, Copy, Debug)]
 pub struct PlayOutcome {
     pub stage: RolloutStage,
     pub ended_ms: u64,
-    /// Requests that reached the new version and the service until the deadline.
+    /// Requests to the new version and to the whole service within the ordered duration.
     pub on_new: f64,
     pub on_all: f64,
     /// Requests sent to the new version after it was rolled back.
@@ -71,7 +73,7 @@
 }
 
 impl PlayOutcome {
-    /// True if a bad version got more than it may.
+    /// True if a bad version received more than its exposure limit.
     pub fn is_overexposed(&self) -> bool {
         self.on_new > self.on_all * BOUND + SLACK
     }
@@ -95,7 +97,7 @@
     count: VersionOutcome,
 }
 
-/// Plays one roll-out of a service that gets `rate` requests a second.
+/// Simulates one roll-out of a service that receives `rate` requests per second.
 pub struct RolloutPlay {
     pub daemons: usize,
     pub rate: f64,
@@ -110,7 +112,7 @@
 }
 
 impl RolloutPlay {
-    /// Plays until the roll-out has ended, or twice its time is over.
+    /// Runs until the roll-out has ended or twice its duration has passed.
     pub fn play(&self) -> PlayOutcome {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let service: ServiceName = "pool".into();
@@ -236,7 +238,8 @@
             }
             let stage = log.get(&service).expect("the roll-out").stage;
             if stage != record.stage {
-                // A change of stage reaches daemons at once: the leader answers the reports that it holds.
+                // Daemons learn of a stage change at once, since the leader holds their reports open
+                // and answers them.
                 let record = log.get(&service).expect("the roll-out");
                 daemons.iter_mut().for_each(|daemon| {
                     daemon.row = Some(RolloutRow::new(record, BOUND));
@@ -309,11 +312,11 @@
     all.iter().position(|known| *known == chosen).expect("one of all") as u64
 }
 
-/// The event that a stage's name stands for in assertions.
+/// True if the roll-out was rolled back.
 pub fn is_rolled_back(outcome: &PlayOutcome) -> bool {
     outcome.stage == RolloutStage::RolledBack
 }
 
-/// All events, for walks through the chart.
+/// All roll-out events, for exhaustive walks through the chart.
 pub const EVENTS: [RolloutEvent; 3] =
     [RolloutEvent::Approved, RolloutEvent::Condemned, RolloutEvent::Drained];
