--- a/tests/test_rollout.rs
+++ b/tests/test_rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of upstreams' software: orders, ends, shares and verdicts.
+//! Roll-outs of upstream software: orders, final stages, traffic shares and verdicts.
 
 use crate::rollout_play::{Badness, EVENTS, RolloutPlay, Trouble, is_rolled_back};
 use rstest::rstest;
@@ -29,7 +29,7 @@
     assert_eq!(rollout_chart().faults(), Vec::<String>::new());
 }
 
-/// Guards against an order whose answer was lost and whose resend is refused.
+/// Guards against refusing an order that is resent because its reply was lost.
 #[test]
 fn a_resent_order_is_answered_as_before() {
     let mut log = RolloutLog::default();
@@ -42,7 +42,7 @@
     assert!(matches!(other, RolloutReply::Busy(_)), "{other:?}");
 }
 
-/// Guards against an end that is undone by a late step, and against a new roll-out moved by one of the last.
+/// Guards against a late step that reverts a final stage, or that advances the next roll-out.
 #[test]
 fn no_step_undoes_an_end_or_moves_a_later_roll_out() {
     let mut log = RolloutLog::default();
@@ -59,7 +59,7 @@
     assert_eq!((current.number, current.stage), (second, RolloutStage::Trial));
 }
 
-/// Guards against a wall clock that is stepped, which would end a trial at once or keep it for ever.
+/// Guards against a stepped wall clock, which would end a trial at once or never.
 #[rstest]
 #[case::forward(3_600_000, 6_000)]
 #[case::backward(0, 1_000)]
@@ -74,8 +74,9 @@
     assert_eq!(elapsed, expected);
 }
 
-/// Guards against both ends for one roll-out, an end that reverts, and an acknowledged order that is gone: every order of
-/// two operators' orders, steps of two leaders and restarts from a snapshot, seven deep.
+/// Guards against two different final stages of one roll-out, a final stage that reverts, and the
+/// loss of an acknowledged order. Covers all interleavings, seven deep, of orders by two operators,
+/// steps by two leaders and restarts from a snapshot.
 #[test]
 fn no_interleaving_reverts_an_end_or_loses_an_order() {
     let service: ServiceName = "pool".into();
@@ -124,7 +125,8 @@
     }
 }
 
-/// Guards against a share of arrivals: where most are refused, the new version would get more than its share of the rest.
+/// Guards against a share counted over arrivals: where most are refused, the new version would get
+/// more than its share of the requests that are sent.
 #[test]
 fn the_share_is_of_what_is_sent() {
     let mut sent = [0u32; 2];
@@ -135,7 +137,7 @@
         let pace = &mut paces[request % 80];
         match pace.try_take() {
             true => sent[1] += 1,
-            // Only every third request is sent; the others are refused.
+            // One in three requests is sent; the others are refused.
             false if request / 80 % 3 == 0 => {
                 pace.record_old_send(0.06);
                 sent[0] += 1;
@@ -148,7 +150,7 @@
     assert!((0.05..=0.07).contains(&share), "{share:.3} of {sent:?}");
 }
 
-/// Guards against bad versions that are let in, or get more than their share.
+/// Guards against approving a bad version, or giving it more than its share.
 #[rstest]
 #[case::all_fail(Badness::Fails(1.0))]
 #[case::three_in_ten_fail(Badness::Fails(0.3))]
@@ -175,7 +177,7 @@
     }
 }
 
-/// Guards against good versions that are rolled back for what engines in trouble do, or are late.
+/// Guards against rolling back a good version because of faulty engines, or completing it late.
 #[rstest]
 fn a_good_version_is_finished(
     #[values(7, 80, 291)] daemons: usize,
