--- a/tests/test_rollout_traffic.rs
+++ b/tests/test_rollout_traffic.rs
@@ -1,4 +1,4 @@
-//! A daemon's requests while a service's upstreams have two versions.
+//! Traffic of a daemon while the upstreams of a service run two versions.
 
 use crate::routed_fleet::{EngineMove, RoutedFleet, ScriptedEngine};
 use http::StatusCode;
@@ -9,10 +9,10 @@
 };
 use tarragonknot::upstream::VmState;
 
-/// The largest share of a version on trial.
+/// Largest share of requests for a version on trial.
 const BOUND: f64 = 0.5;
 
-/// The leader's side: the log, without voters.
+/// The leader's roll-out log, without voters.
 struct OrderedRollout(RolloutLog);
 
 impl OrderedRollout {
@@ -50,7 +50,8 @@
     fleet.state.rollout_reports().pop().expect("a roll-out under way")
 }
 
-/// Guards against a new version that gets more than its share, or none, and against answers that nobody counts.
+/// Guards against a new version that gets more than its share or nothing, and against answers that
+/// are not counted.
 #[tokio::test]
 async fn a_version_on_trial_gets_its_share_and_its_answers_are_counted() {
     let (old, new) = (engine("i-old").await, engine("i-new").await);
@@ -69,7 +70,7 @@
     assert!((10..=14).contains(&new.count()), "{} of 40", new.count());
 }
 
-/// Guards against a version on trial that is used by a daemon which has not heard of its roll-back.
+/// Guards against a daemon that keeps using a version on trial because it missed the roll-back.
 #[tokio::test]
 async fn a_daemon_that_hears_nothing_sends_nothing_to_a_version_on_trial() {
     let (old, new) = (engine("i-old").await, engine("i-new").await);
@@ -87,7 +88,8 @@
     assert_eq!((old.count(), new.count()), (10, 0));
 }
 
-/// Guards against callers that are told of a failure of a version on trial though the old one would have served them.
+/// Guards against returning a failure of a version on trial to a caller whom the old version would
+/// have served.
 #[tokio::test]
 async fn what_fails_on_trial_is_sent_again_to_the_old_version() {
     let old = engine("i-old").await;
@@ -107,8 +109,8 @@
     assert_eq!(counts.failures(VersionArm::New), new.count() as u64);
 }
 
-/// Guards against requests that wait for the old version and are cut when it stops: all have gone to the new one, and the
-/// daemon says so, before the roll-out may be completed.
+/// Guards against cutting requests that wait for the old version when it stops: all of them move to
+/// the new one, and the daemon reports so, before the roll-out may be completed.
 #[tokio::test]
 async fn what_waits_for_the_old_version_goes_to_the_new_one() {
     let old = ScriptedEngine::start("i-old", |_| EngineMove::Silent).await;
@@ -140,7 +142,7 @@
     calls.iter().for_each(|call| call.abort());
 }
 
-/// Guards against a version that is used after its roll-back, and one that is not used after its completion.
+/// Guards against using a version after its roll-back, and against not using it after completion.
 #[tokio::test]
 async fn each_end_leaves_one_version_in_use() {
     let (old, new) = (engine("i-old").await, engine("i-new").await);
