--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -1,4 +1,5 @@
-//! The policy under load, in virtual time: what each mechanism prevents, and that a run repeats itself.
+//! The policy under load, in virtual time: the failure that each mechanism prevents, and that runs
+//! are reproducible.
 
 use crate::session;
 use crate::workdir::{WorkDir, stderr, stdout};
@@ -18,7 +19,7 @@
 };
 use tarragonknot::table::LimitMode;
 
-/// A short run of a small Lodgeframe.
+/// A short run of a small Lodgeframe profile.
 fn plan(load_factor: f64) -> ExperimentPlan {
     let mut profile = LoadProfile::new(ProfileKind::Lodgeframe);
     profile.engines = 4;
@@ -49,9 +50,8 @@
     assert!(first.weighted_goodput() > 0.0);
 }
 
-/// Symptom: prompts are computed again although an engine holds their beginning.
-/// Sequence: many prompts of a few templates, with little load. Cause: a placement that follows the load
-/// alone spreads every template over all engines.
+/// Guards against repeated prefill of prefixes that an engine already holds: with many prompts of a
+/// few templates and little load, placement by load alone spreads every template over all engines.
 #[test]
 fn affinity_halves_the_wasted_prefill() {
     let with = run_experiment(&plan(0.5));
@@ -64,9 +64,9 @@
     assert_eq!(with.refusals(), 0);
 }
 
-/// Symptom: higher tiers are refused, or answered late, while lower ones are served.
-/// Sequence: twice the load that the engines carry, on two daemons, also while an engine becomes slow, dies or
-/// leaves, or arrivals come in bursts. Cause: shedding without an order.
+/// Guards against unordered shedding, which refuses or delays higher tiers while lower ones are
+/// served: two daemons at twice the capacity of the engines, also while an engine slows down, crashes
+/// or leaves, or arrivals come in bursts.
 #[rstest]
 #[case::no_fault(FaultKind::None)]
 #[case::straggler(FaultKind::Straggler)]
@@ -83,9 +83,9 @@
     assert!(run.refusals() > 0);
 }
 
-/// Symptom: a refused request would have been answered in time, or an admitted one waits in vain.
-/// Sequence: of two organisations with equal weights one wants most of the pool. Cause: a wait reckoned for
-/// the tier as a whole, which is too long for the one and too short for the other.
+/// Guards against refusing requests that would be answered in time and admitting ones that would
+/// not: of two organisations with equal weights one demands most of the pool, and a wait estimated
+/// for the tier as a whole is too long for one and too short for the other.
 #[test]
 fn the_wait_follows_the_tiers_virtual_time() {
     let mut meter = DrainMeter::default();
@@ -101,7 +101,7 @@
     assert_eq!(meter.wait_seconds(TierRank(1), 4_000), None);
 }
 
-/// A time without a backlog measures the demand, not the pool.
+/// Without a backlog, progress reflects the demand and not the capacity of the pool.
 #[test]
 fn an_idle_tier_teaches_nothing() {
     let mut meter = DrainMeter::default();
@@ -113,7 +113,7 @@
     assert_eq!(meter.wait_seconds(TierRank(0), 1), None);
 }
 
-/// A scheduler before engines that take ten requests each.
+/// A scheduler with engines that take 10 requests each.
 struct SmallPool {
     scheduler: PoolScheduler,
     rng: ChaCha8Rng,
@@ -144,7 +144,7 @@
         actions
     }
 
-    /// The engine to which a request with this prompt goes, or none if it waits.
+    /// Returns the engine to which a request with this prompt is dispatched, or `None` if it waits.
     fn send(&mut self, tier: u8, prompt: &str) -> Option<UpstreamIndex> {
         let id = RequestId(self.next);
         self.next += 1;
@@ -172,9 +172,9 @@
     }
 }
 
-/// Symptom: the highest tier's prompts are computed anew under load.
-/// Sequence: lower tiers fill the engines; a prompt of the highest tier comes whose prefix one of them holds.
-/// Cause: without room kept for it, it goes to the one engine that has just ended something.
+/// Guards against repeated prefill for the highest tier under load: lower tiers fill the engines,
+/// and without reserved headroom a prompt goes to whichever engine has just completed a request
+/// instead of the one that holds its prefix.
 #[test]
 fn the_highest_tier_finds_room_where_its_prefix_is() {
     let mut pool = SmallPool::new(3, session::plan(10));
@@ -190,8 +190,8 @@
     assert_eq!(highest, Some(holder));
 }
 
-/// Symptom: one engine drowns in one popular prefix.
-/// Sequence: all prompts begin alike. Cause: affinity without a bound on the load.
+/// Guards against overloading one engine when all prompts share a prefix and affinity has no bound
+/// on the load.
 #[test]
 fn a_popular_prefix_spreads_once_its_holder_is_loaded() {
     let mut pool = SmallPool::new(3, session::plan(10));
@@ -201,13 +201,13 @@
 
     let on = |index| engines.iter().filter(|engine| **engine == UpstreamIndex(index)).count();
     assert_eq!(engines.len(), 15);
-    // 1.25 times the mean of 5, a tenth of the limit of 10, and the one that passes the bound.
+    // 1.25 times the mean of 5, plus a tenth of the limit of 10, plus the request that exceeds it.
     assert!((0..3).all(|index| (1..=8).contains(&on(index))), "{engines:?}");
 }
 
-/// Symptom: engines are never given more than the first guess, however well they do.
-/// Sequence: requests on their way into the next step are reported as waiting. Cause: taking one such report
-/// for an engine that holds requests back; two in a row show that.
+/// Guards against a limit that never grows past the first guess: requests about to enter the next
+/// step are reported as queued, and one such report is taken for a saturated engine. Only two in a
+/// row show that.
 #[rstest]
 #[case::one_report(1, 10.0)]
 #[case::two_reports(2, 8.5)]
@@ -238,9 +238,9 @@
     assert!(stderr(&bad).contains("--times: found 0; expected 0.01 to 20"), "{}", stderr(&bad));
 }
 
-/// Symptom: engines end in rows as long as one caller goes on, and everybody's answers break off. Sequence: a request ends
-/// the engine that begins to run it, goes on at a second one, and comes again at another daemon 200 ms later. Cause: each
-/// daemon and each attempt takes it for new.
+/// Guards against one caller crashing engine after engine and cutting everybody's answers: a request
+/// crashes the engine that starts it, is retried at a second one, and returns at another daemon
+/// 200 ms later, where each daemon and each attempt treats it as new.
 #[test]
 fn a_request_that_ends_engines_costs_few_of_them_and_few_answers() {
     let fault = FaultKind::PoisonRequest;
