--- a/tests/test_charts.rs
+++ b/tests/test_charts.rs
@@ -1,4 +1,4 @@
-//! Every chart loads: all states reachable, all events answered in every state.
+//! Every chart is complete: all states are reachable and every state handles every event.
 
 use tarragonknot::policy::{request_chart, upstream_chart};
 use tarragonknot::traffic::drain_chart;
