--- a/tests/test_demo.rs
+++ b/tests/test_demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: the README's first command.
+//! The `demo` command, the first that the README shows.
 
 use crate::workdir::{WorkDir, stderr, stdout};
 
