--- a/tests/rollout_play.rs
+++ b/tests/rollout_play.rs
@@ -238,8 +238,8 @@
             }
             let stage = log.get(&service).expect("the roll-out").stage;
             if stage != record.stage {
-                // Daemons learn of a stage change at once, since the leader holds their reports open
-                // and answers them.
+                // Daemons learn of a stage change at once, since the leader holds their reports
+                // open and answers them.
                 let record = log.get(&service).expect("the roll-out");
                 daemons.iter_mut().for_each(|daemon| {
                     daemon.row = Some(RolloutRow::new(record, BOUND));
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -17,7 +17,8 @@
 use tarragonknot::table::{LimitMode, PlacementMode, QueueDiscipline};
 use tarragonknot::traffic::{DrainAction, DrainEvent, DrainState, drain_chart};
 
-/// A plan with three tiers of weights 6, 3 and 1, for engines that each take `first_guess` requests.
+/// A plan with three tiers of weights 6, 3 and 1, for engines that take `first_guess` requests
+/// each.
 pub fn plan(first_guess: u32) -> PoolPlan {
     let share = |rank, weight| TierShare { rank: TierRank(rank), weight };
     PoolPlan {
--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -65,8 +65,8 @@
 }
 
 /// Guards against unordered shedding, which refuses or delays higher tiers while lower ones are
-/// served: two daemons at twice the capacity of the engines, also while an engine slows down, crashes
-/// or leaves, or arrivals come in bursts.
+/// served: two daemons at twice the capacity of the engines, also while an engine slows down,
+/// crashes or leaves, or arrivals come in bursts.
 #[rstest]
 #[case::no_fault(FaultKind::None)]
 #[case::straggler(FaultKind::Straggler)]
@@ -238,8 +238,8 @@
     assert!(stderr(&bad).contains("--times: found 0; expected 0.01 to 20"), "{}", stderr(&bad));
 }
 
-/// Guards against one caller crashing engine after engine and cutting everybody's answers: a request
-/// crashes the engine that starts it, is retried at a second one, and returns at another daemon
+/// Guards against one caller crashing engine after engine and cutting other callers' answers: a
+/// request crashes the engine that starts it, is retried at a second one, and returns at another daemon
 /// 200 ms later, where each daemon and each attempt treats it as new.
 #[test]
 fn a_request_that_ends_engines_costs_few_of_them_and_few_answers() {
--- a/tests/test_sessions.rs
+++ b/tests/test_sessions.rs
@@ -75,7 +75,7 @@
 }
 
 /// Guards against passing on a truncated answer as complete: the connection closes before the end
-/// mark, and so does every resume. The end of a body does not end an answer; only the end mark does.
+/// mark, and so does every resume. Only the end mark ends an answer, not the end of its body.
 #[test]
 fn truncation_is_resumed_and_at_last_refused() {
     let mut session = Session::new(plan(4), &["e1"]);
