--- a/benches/size_share.rs
+++ b/benches/size_share.rs
@@ -15,26 +15,29 @@
 mod sized_load;
 
 use comfy_table::Table;
-use sized_load::{SizedEnd, SizedLoad, by_size, in_time_part, play, play_with, served_part};
+use sized_load::{
+    SizedLoad, SizedOutcome, in_time_fraction, served_fraction, simulate, simulate_with,
+    sorted_by_size,
+};
 
 const SIZE_SHARES: [f64; 5] = [0.0, 0.25, 0.5, 0.75, 1.0];
 const DAEMON_COUNTS: [usize; 4] = [1, 7, 56, 291];
 
-fn lost_part(ends: &[SizedEnd]) -> f64 {
+fn lost_part(ends: &[SizedOutcome]) -> f64 {
     ends.iter().filter(|end| end.is_lost).count() as f64 / ends.len().max(1) as f64
 }
 
 /// Fractions of all requests of a kind, and of its largest tenth, that are served.
-fn kind_parts(ends: &[SizedEnd], kind: usize) -> String {
-    let requests = by_size(ends, kind);
+fn kind_parts(ends: &[SizedOutcome], kind: usize) -> String {
+    let requests = sorted_by_size(ends, kind);
     let largest = &requests[requests.len() * 9 / 10..];
-    format!("{:.3}, {:.3}", served_part(requests.iter()), served_part(largest.iter()))
+    format!("{:.3}, {:.3}", served_fraction(requests.iter()), served_fraction(largest.iter()))
 }
 
-fn row(name: &str, ends: &[SizedEnd]) -> Vec<String> {
+fn row(name: &str, ends: &[SizedOutcome]) -> Vec<String> {
     let mut row = vec![name.to_owned()];
     row.extend(
-        [served_part(ends.iter()), in_time_part(ends), lost_part(ends)]
+        [served_fraction(ends.iter()), in_time_fraction(ends), lost_part(ends)]
             .map(|part| format!("{part:.3}")),
     );
     row.extend((0..3).map(|kind| kind_parts(ends, kind)));
@@ -47,11 +50,11 @@
     for daemons in DAEMON_COUNTS {
         for size_share in SIZE_SHARES {
             let ends =
-                play_with(&SizedLoad::overload(daemons), |plan| plan.size_share = size_share);
+                simulate_with(&SizedLoad::overload(daemons), |plan| plan.size_share = size_share);
             table.add_row(row(&format!("{daemons} daemons, size share {size_share}"), &ends));
         }
     }
-    let half_load = play(&SizedLoad { times: 0.5, ..SizedLoad::overload(7) });
+    let half_load = simulate(&SizedLoad { load_factor: 0.5, ..SizedLoad::overload(7) });
     table.add_row(row("7 daemons, half of the load", &half_load));
     println!("{table}");
 }
--- a/tests/test_size_share.rs
+++ b/tests/test_size_share.rs
@@ -1,19 +1,21 @@
 //! What large requests get of what their kind gets, under lasting overload.
 
-use crate::sized_load::{SizedLoad, by_size, in_time_part, play, play_with, served_part};
+use crate::sized_load::{
+    SizedLoad, in_time_fraction, served_fraction, simulate, simulate_with, sorted_by_size,
+};
 use rstest::rstest;
 
 /// The part of a kind's service that its largest tenth, and the fifth below it, get at least.
 const LEAST_PART: f64 = 0.5;
 
 fn check_sizes(load: &SizedLoad) {
-    let ends = play(load);
+    let ends = simulate(load);
     let lost = ends.iter().filter(|end| end.is_lost).count();
     assert!(lost * 20 <= ends.len(), "{lost} of {} were begun in vain by {load:?}", ends.len());
-    let all = served_part(ends.iter());
+    let all = served_fraction(ends.iter());
     for kind in 0..load.kinds.len() {
-        let own = by_size(&ends, kind);
-        let whole = served_part(own.iter());
+        let own = sorted_by_size(&ends, kind);
+        let whole = served_fraction(own.iter());
         assert!(
             whole >= all / 4.0,
             "kind {kind} of {load:?}: {whole:.3} were served, of all {all:.3}"
@@ -21,7 +23,7 @@
         let (large, largest) = (own.len() * 7 / 10, own.len() * 9 / 10);
         let parts = [("largest tenth", &own[largest..]), ("fifth below", &own[large..largest])];
         for (name, part) in parts {
-            let served = served_part(part.iter());
+            let served = served_fraction(part.iter());
             assert!(
                 served >= whole * LEAST_PART,
                 "kind {kind} of {load:?}: of the {name} {served:.3} were served, of all {whole:.3}"
@@ -41,11 +43,11 @@
 
 /// Guards against a promise that holds only where guesses are good, engines are alike and loads are steady.
 #[rstest]
-#[case::engines_alike(SizedLoad { engines: vec![1.0; 12], ..SizedLoad::overload(7) })]
-#[case::engines_far_apart(SizedLoad { engines: [0.4, 2.0].repeat(6), ..SizedLoad::overload(7) })]
+#[case::engines_alike(SizedLoad { engine_slowness: vec![1.0; 12], ..SizedLoad::overload(7) })]
+#[case::engines_far_apart(SizedLoad { engine_slowness: [0.4, 2.0].repeat(6), ..SizedLoad::overload(7) })]
 #[case::guesses_off_by_two(SizedLoad { guess_error: 0.7, ..SizedLoad::overload(7) })]
-#[case::far_beyond_capacity(SizedLoad { times: 3.0, ..SizedLoad::overload(7) })]
-#[case::half_of_the_engines_gone(SizedLoad { times: 1.2, loses_half: true, ..SizedLoad::overload(7) })]
+#[case::far_beyond_capacity(SizedLoad { load_factor: 3.0, ..SizedLoad::overload(7) })]
+#[case::half_of_the_engines_gone(SizedLoad { load_factor: 1.2, has_engine_loss: true, ..SizedLoad::overload(7) })]
 #[case::one_kind_bursts(burst_of(1))]
 #[case::the_lowest_kind_bursts(burst_of(2))]
 #[case::another_seed(SizedLoad { seed: 7, ..SizedLoad::overload(7) })]
@@ -55,19 +57,19 @@
 
 /// Five times as many requests of one kind, at what the engines do without them.
 fn burst_of(kind: usize) -> SizedLoad {
-    let mut load = SizedLoad { times: 1.0, ..SizedLoad::overload(7) };
-    load.kinds[kind].burst = 5.0;
+    let mut load = SizedLoad { load_factor: 1.0, ..SizedLoad::overload(7) };
+    load.kinds[kind].burst_factor = 5.0;
     load
 }
 
 /// Guards against a promise that is paid for while there is room for all.
 #[test]
 fn a_load_that_the_engines_carry_is_served_whole() {
-    let load = SizedLoad { times: 0.5, ..SizedLoad::overload(7) };
+    let load = SizedLoad { load_factor: 0.5, ..SizedLoad::overload(7) };
 
-    let ends = play(&load);
+    let ends = simulate(&load);
 
-    let (served, in_time) = (served_part(ends.iter()), in_time_part(&ends));
+    let (served, in_time) = (served_fraction(ends.iter()), in_time_fraction(&ends));
     assert!(served >= 0.98 && in_time >= 0.95, "{served} served, {in_time} in time");
 }
 
@@ -79,8 +81,8 @@
 fn the_promise_costs_little_of_what_is_served(#[case] daemons: usize) {
     let load = SizedLoad::overload(daemons);
 
-    let without = served_part(play_with(&load, |plan| plan.size_share = 0.0).iter());
-    let with = served_part(play(&load).iter());
+    let without = served_fraction(simulate_with(&load, |plan| plan.size_share = 0.0).iter());
+    let with = served_fraction(simulate(&load).iter());
 
     assert!(with >= without * 5.0 / 6.0, "{with:.3} with, {without:.3} without");
 }
