--- a/tests/shared_places.rs
+++ b/tests/shared_places.rs
@@ -15,108 +15,114 @@
 /// Number of daemons, of engines, and of requests that each engine runs at a time.
 const DAEMONS: usize = 16;
 const ENGINES: u16 = 4;
-const PLACES: u32 = 6;
+const PLACES_PER_ENGINE: u32 = 6;
 /// Service time of a request; the 24 places together complete 48 requests per second.
-const RUN: u64 = 500;
+const SERVICE_MS: u64 = 500;
 /// Round trip to an engine, and time from the grant of a place to the first event.
-const WAY: u64 = 2;
-const FIRST_EVENT: u64 = 50;
+const ROUND_TRIP_MS: u64 = 2;
+const FIRST_EVENT_MS: u64 = 50;
 /// Interval between load reports to peers, and their age on arrival.
-const PAUSE: u64 = 50;
-const WORD_AGE: u64 = 70;
+const PEER_LOAD_INTERVAL_MS: u64 = 50;
+const PEER_LOAD_AGE_MS: u64 = 70;
 /// Must equal the objective that [`arrived`] sets.
-const OBJECTIVE: u64 = 500;
+const OBJECTIVE_MS: u64 = 500;
 
 enum DueEvent {
     Arrive,
     Tick(usize),
-    Speak,
-    Hear { daemon: usize, event: PoolEvent },
-    Ask { daemon: usize, id: RequestId, upstream: UpstreamIndex },
+    SharePeerLoad,
+    Deliver { daemon: usize, event: PoolEvent },
+    ReachEngine { daemon: usize, id: RequestId, upstream: UpstreamIndex },
     End { daemon: usize, id: RequestId, upstream: UpstreamIndex },
 }
 
 /// Outcomes of the requests that arrived in one second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SecondShare {
-    pub asked: u32,
+pub struct SecondOutcomes {
+    pub total: u32,
     pub in_time: u32,
 }
 
-impl SecondShare {
-    pub fn of(seconds: &[SecondShare]) -> f64 {
-        let asked: u32 = seconds.iter().map(|second| second.asked).sum();
+impl SecondOutcomes {
+    pub fn in_time_fraction(seconds: &[SecondOutcomes]) -> f64 {
+        let total: u32 = seconds.iter().map(|second| second.total).sum();
         let in_time: u32 = seconds.iter().map(|second| second.in_time).sum();
-        f64::from(in_time) / f64::from(asked.max(1))
+        f64::from(in_time) / f64::from(total.max(1))
     }
 }
 
-struct SharedPlaces {
+struct SharedPlacesSimulation {
     daemons: Vec<PoolScheduler>,
     running: Vec<u32>,
     arrivals: HashMap<RequestId, (u64, u8)>,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, DueEvent>,
-    next: u64,
+    next_id: u64,
     rng: ChaCha8Rng,
-    seconds: Vec<SecondShare>,
+    seconds: Vec<SecondOutcomes>,
 }
 
 /// Simulates one second for each of `loads` (arrival rate relative to capacity) with the mechanisms
-/// `off` disabled. Requests of two ranks arrive equally often; returns, for each second, the
+/// `disabled` turned off. Requests of two ranks arrive equally often; returns, for each second, the
 /// outcomes of those with `rank`, or of all if it is `None`.
-pub fn play(loads: &[f64], off: &[Mechanism], rank: Option<u8>, seed: u64) -> Vec<SecondShare> {
-    let mut places = SharedPlaces::new(off, seed);
-    places.seconds = vec![SecondShare::default(); loads.len()];
-    let capacity = f64::from(u32::from(ENGINES) * PLACES) * 1_000.0 / RUN as f64;
+pub fn simulate(
+    loads: &[f64],
+    disabled: &[Mechanism],
+    rank: Option<u8>,
+    seed: u64,
+) -> Vec<SecondOutcomes> {
+    let mut simulation = SharedPlacesSimulation::new(disabled, seed);
+    simulation.seconds = vec![SecondOutcomes::default(); loads.len()];
+    let capacity = f64::from(u32::from(ENGINES) * PLACES_PER_ENGINE) * 1_000.0 / SERVICE_MS as f64;
     let mut at = 0.0;
     while (at as usize) < loads.len() * 1_000 {
-        places.push(at as u64, DueEvent::Arrive);
+        simulation.push(at as u64, DueEvent::Arrive);
         let gap = 1_000.0 / (capacity * loads[at as usize / 1_000]);
-        at += gap * places.rng.random_range(0.2..1.8);
+        at += gap * simulation.rng.random_range(0.2..1.8);
     }
-    (0..DAEMONS).for_each(|daemon| places.push(daemon as u64 % 10, DueEvent::Tick(daemon)));
-    places.push(0, DueEvent::Speak);
-    places.run(loads.len() as u64 * 1_000, rank);
-    places.seconds
+    (0..DAEMONS).for_each(|daemon| simulation.push(daemon as u64 % 10, DueEvent::Tick(daemon)));
+    simulation.push(0, DueEvent::SharePeerLoad);
+    simulation.run(loads.len() as u64 * 1_000, rank);
+    simulation.seconds
 }
 
-impl SharedPlaces {
-    fn new(off: &[Mechanism], seed: u64) -> Self {
+impl SharedPlacesSimulation {
+    fn new(disabled: &[Mechanism], seed: u64) -> Self {
         let mut plan = urgency_plan();
         plan.has_reservations = true;
-        plan.first_guess = PLACES;
-        plan.mechanisms = MechanismSet::without(off);
+        plan.first_guess = PLACES_PER_ENGINE;
+        plan.mechanisms = MechanismSet::without(disabled);
         let daemons = (0..DAEMONS).map(|_| PoolScheduler::new(plan.clone())).collect();
-        let mut places = SharedPlaces {
+        let mut simulation = SharedPlacesSimulation {
             daemons,
             running: vec![0; usize::from(ENGINES)],
             arrivals: HashMap::new(),
             due: BinaryHeap::new(),
             events: HashMap::new(),
-            next: 0,
+            next_id: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             seconds: Vec::new(),
         };
         let sources: Vec<_> =
             (1..=ENGINES).map(|number| source(&format!("e{number}"), number)).collect();
-        (0..DAEMONS).for_each(|daemon| places.tell(daemon, PoolEvent::Sources(sources.clone()), 0));
-        places
+        (0..DAEMONS)
+            .for_each(|daemon| simulation.deliver(daemon, PoolEvent::Sources(sources.clone()), 0));
+        simulation
     }
 
     fn push(&mut self, at: u64, event: DueEvent) {
-        self.next += 1;
-        self.due.push(Reverse((at, self.next)));
-        self.events.insert(self.next, event);
+        self.next_id += 1;
+        self.due.push(Reverse((at, self.next_id)));
+        self.events.insert(self.next_id, event);
     }
 
-    fn tell(&mut self, daemon: usize, event: PoolEvent, now: u64) {
+    fn deliver(&mut self, daemon: usize, event: PoolEvent, now: u64) {
         let mut actions = Vec::new();
         let scheduler = &mut self.daemons[daemon];
         scheduler.handle(event, Moment::from_millis(now), &mut self.rng, &mut actions);
         for action in actions {
             if let PoolAction::Dispatch { id, upstream } = action {
-                self.push(now + WAY, DueEvent::Ask { daemon, id, upstream });
+                self.push(now + ROUND_TRIP_MS, DueEvent::ReachEngine { daemon, id, upstream });
             }
         }
     }
@@ -129,19 +135,19 @@
             match self.events.remove(&id) {
                 Some(DueEvent::Arrive) => self.arrive(now, rank),
                 Some(DueEvent::Tick(daemon)) => {
-                    self.tell(daemon, PoolEvent::Tick, now);
+                    self.deliver(daemon, PoolEvent::Tick, now);
                     self.push(now + 10, DueEvent::Tick(daemon));
                 }
-                Some(DueEvent::Speak) => self.speak(now),
-                Some(DueEvent::Hear { daemon, event }) => self.tell(daemon, event, now),
-                Some(DueEvent::Ask { daemon, id, upstream }) => {
-                    self.ask((daemon, id, upstream), rank, now)
+                Some(DueEvent::SharePeerLoad) => self.share_peer_load(now),
+                Some(DueEvent::Deliver { daemon, event }) => self.deliver(daemon, event, now),
+                Some(DueEvent::ReachEngine { daemon, id, upstream }) => {
+                    self.reach_engine((daemon, id, upstream), rank, now)
                 }
                 Some(DueEvent::End { daemon, id, upstream }) => {
                     self.running[upstream.0 as usize] -= 1;
                     let outcome =
                         DispatchOutcome::Completed { prompt_tokens: None, output_tokens: 10 };
-                    self.tell(daemon, PoolEvent::Ended { id, outcome }, now);
+                    self.deliver(daemon, PoolEvent::Ended { id, outcome }, now);
                 }
                 None => {}
             }
@@ -149,35 +155,40 @@
     }
 
     fn arrive(&mut self, now: u64, rank: Option<u8>) {
-        self.next += 1;
-        let id = self.next;
+        self.next_id += 1;
+        let id = self.next_id;
         let own = self.rng.random_range(0..2);
         self.arrivals.insert(RequestId(id), (now, own));
         let counts = rank.is_none_or(|rank| rank == own);
-        self.seconds[now as usize / 1_000].asked += u32::from(counts);
+        self.seconds[now as usize / 1_000].total += u32::from(counts);
         let daemon = self.rng.random_range(0..DAEMONS);
-        self.tell(daemon, PoolEvent::Arrived(arrived(id, own, 10, now)), now);
+        self.deliver(daemon, PoolEvent::Arrived(arrived(id, own, 10, now)), now);
     }
 
     /// Grants the request a place, or reports that the engine has none free.
-    fn ask(&mut self, sent: (usize, RequestId, UpstreamIndex), rank: Option<u8>, now: u64) {
+    fn reach_engine(
+        &mut self,
+        sent: (usize, RequestId, UpstreamIndex),
+        rank: Option<u8>,
+        now: u64,
+    ) {
         let (daemon, id, upstream) = sent;
         let running = &mut self.running[upstream.0 as usize];
-        if *running >= PLACES {
+        if *running >= PLACES_PER_ENGINE {
             let event = PoolEvent::Ended { id, outcome: DispatchOutcome::NoSlot };
-            return self.tell(daemon, event, now);
+            return self.deliver(daemon, event, now);
         }
         *running += 1;
         let (at, own) = self.arrivals[&id];
-        let is_in_time = now + FIRST_EVENT <= at + OBJECTIVE;
+        let is_in_time = now + FIRST_EVENT_MS <= at + OBJECTIVE_MS;
         let counts = is_in_time && rank.is_none_or(|rank| rank == own);
         self.seconds[at as usize / 1_000].in_time += u32::from(counts);
-        self.tell(daemon, PoolEvent::Granted(id), now);
-        self.push(now + RUN, DueEvent::End { daemon, id, upstream });
+        self.deliver(daemon, PoolEvent::Granted(id), now);
+        self.push(now + SERVICE_MS, DueEvent::End { daemon, id, upstream });
     }
 
     /// Reports to each daemon the in-flight and waiting requests of its peers.
-    fn speak(&mut self, now: u64) {
+    fn share_peer_load(&mut self, now: u64) {
         for daemon in 0..DAEMONS {
             let mut levels = WaitingLevels::default();
             let mut work: BTreeMap<_, PeerWork> = BTreeMap::new();
@@ -189,12 +200,12 @@
                         status.in_flight;
                 }
             }
-            let age = Duration::from_millis(WORD_AGE + PAUSE);
+            let age = Duration::from_millis(PEER_LOAD_AGE_MS + PEER_LOAD_INTERVAL_MS);
             let waiting = PeerWaiting { levels, age };
             let rows = work.into_iter().collect();
             let event = PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting };
-            self.push(now + WORD_AGE, DueEvent::Hear { daemon, event });
+            self.push(now + PEER_LOAD_AGE_MS, DueEvent::Deliver { daemon, event });
         }
-        self.push(now + PAUSE, DueEvent::Speak);
+        self.push(now + PEER_LOAD_INTERVAL_MS, DueEvent::SharePeerLoad);
     }
 }
--- a/tests/test_group_order.rs
+++ b/tests/test_group_order.rs
@@ -1,6 +1,6 @@
 //! What callers get where daemons share places: the order of the group, not of each daemon.
 
-use crate::shared_places::{SecondShare, play};
+use crate::shared_places::{SecondOutcomes, simulate};
 use rstest::rstest;
 use tarragonknot::policy::{DensityLevel, Mechanism, WaitingLevels};
 
@@ -8,8 +8,9 @@
 const BURST: [f64; 13] = [0.9, 0.9, 0.9, 2.0, 2.0, 2.0, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9, 0.9];
 
 fn in_time(off: &[Mechanism], seconds: std::ops::Range<usize>, rank: Option<u8>) -> f64 {
-    let plays = (1..=4).flat_map(|seed| play(&BURST, off, rank, seed)[seconds.clone()].to_vec());
-    SecondShare::of(&plays.collect::<Vec<SecondShare>>())
+    let plays =
+        (1..=4).flat_map(|seed| simulate(&BURST, off, rank, seed)[seconds.clone()].to_vec());
+    SecondOutcomes::in_time_fraction(&plays.collect::<Vec<SecondOutcomes>>())
 }
 
 /// Symptom: after a burst a third of all requests is late for 14 s, at a load that was served in time before it (291
