--- a/tests/test_small_calls.rs
+++ b/tests/test_small_calls.rs
@@ -1,6 +1,6 @@
 //! What callers of a plain service get while it is asked for more than its upstreams can do.
 
-use crate::small_calls::{CallEnds, play};
+use crate::small_calls::{CallOutcomes, simulate};
 use rstest::rstest;
 use tarragonknot::policy::Mechanism;
 
@@ -13,10 +13,11 @@
     rates: impl Fn(u64) -> f64 + Copy,
     off: &[Mechanism],
     seconds: std::ops::Range<usize>,
-) -> CallEnds {
-    let plays = (0..6).flat_map(|seed| play(daemons, rates, off, seed)[seconds.clone()].to_vec());
-    plays.fold(CallEnds::default(), |sum, second| CallEnds {
-        asked: sum.asked + second.asked,
+) -> CallOutcomes {
+    let plays =
+        (0..6).flat_map(|seed| simulate(daemons, rates, off, seed)[seconds.clone()].to_vec());
+    plays.fold(CallOutcomes::default(), |sum, second| CallOutcomes {
+        total: sum.total + second.total,
         in_time: sum.in_time + second.in_time,
         late: sum.late + second.late,
         refused: sum.refused + second.refused,
@@ -35,7 +36,7 @@
     let with = calls(daemons, rates, &[], 3..7);
 
     assert!(with.in_time * 10 >= without.in_time * 11, "{with:?}, without {without:?}");
-    let worth = |ends: &CallEnds| f64::from(ends.in_time) + 0.3 * f64::from(ends.late);
+    let worth = |ends: &CallOutcomes| f64::from(ends.in_time) + 0.3 * f64::from(ends.late);
     assert!(worth(&with) >= worth(&without) * 0.99, "{with:?}, without {without:?}");
 }
 
@@ -44,5 +45,5 @@
 fn below_the_capacity_next_to_nothing_is_refused(#[values(1, 7, 71)] daemons: usize) {
     let ends = calls(daemons, |_| CAPACITY * 0.75, &[], 0..10);
 
-    assert!(ends.refused * 100 <= ends.asked, "{ends:?}");
+    assert!(ends.refused * 100 <= ends.total, "{ends:?}");
 }
