--- a/tests/burst_pool.rs
+++ b/tests/burst_pool.rs
@@ -66,30 +66,30 @@
             rng: ChaCha8Rng::seed_from_u64(1),
             actions: Vec::new(),
         };
-        pool.tell(PoolEvent::Sources(vec![source("e1", 1)]), 0);
+        pool.handle_event(PoolEvent::Sources(vec![source("e1", 1)]), 0);
         pool
     }
 
     /// Passes an event to the scheduler and returns its actions.
-    pub fn tell(&mut self, event: PoolEvent, millis: u64) -> Vec<PoolAction> {
+    pub fn handle_event(&mut self, event: PoolEvent, millis: u64) -> Vec<PoolAction> {
         self.scheduler.handle(event, Moment::from_millis(millis), &mut self.rng, &mut self.actions);
         std::mem::take(&mut self.actions)
     }
 
     /// Adds a request of 10 output tokens.
     pub fn arrive(&mut self, id: u64, rank: u8, millis: u64) -> Vec<PoolAction> {
-        self.tell(PoolEvent::Arrived(arrived(id, rank, 10, millis)), millis)
+        self.handle_event(PoolEvent::Arrived(arrived(id, rank, 10, millis)), millis)
     }
 
     /// Completes a request.
-    pub fn end(&mut self, id: u64, millis: u64) -> Vec<PoolAction> {
+    pub fn complete(&mut self, id: u64, millis: u64) -> Vec<PoolAction> {
         let outcome = DispatchOutcome::Completed { prompt_tokens: None, output_tokens: 10 };
-        self.tell(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
+        self.handle_event(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
     }
 }
 
 /// Returns the ids of the dispatched requests.
-pub fn sent(actions: &[PoolAction]) -> Vec<u64> {
+pub fn dispatched_ids(actions: &[PoolAction]) -> Vec<u64> {
     let ids = actions.iter().filter_map(|action| match action {
         PoolAction::Dispatch { id, .. } => Some(id.0),
         PoolAction::Refuse { .. } => None,
--- a/tests/test_births.rs
+++ b/tests/test_births.rs
@@ -1,6 +1,6 @@
 //! Upstreams that start again under the name that they had.
 
-use crate::burst_pool::{BurstPool, sent, urgency_plan};
+use crate::burst_pool::{BurstPool, dispatched_ids, urgency_plan};
 use crate::session::source;
 use rstest::rstest;
 use std::time::Duration;
@@ -19,10 +19,10 @@
     let mut plan = urgency_plan();
     plan.first_guess = 2;
     let mut pool = BurstPool::with_plan(plan);
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 0);
-    assert_eq!(sent(&pool.arrive(1, 0, 0)), [1]);
+    pool.handle_event(PoolEvent::Sources(vec![born(5)]), 0);
+    assert_eq!(dispatched_ids(&pool.arrive(1, 0, 0)), [1]);
     let gap = Duration::from_millis(80);
-    pool.tell(PoolEvent::TokenGap { id: RequestId(1), gap }, 10);
+    pool.handle_event(PoolEvent::TokenGap { id: RequestId(1), gap }, 10);
     pool
 }
 
@@ -40,7 +40,7 @@
     let mut pool = pool();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 100);
+    pool.handle_event(PoolEvent::Sources(vec![born(9)]), 100);
 
     let after = current(&pool);
     assert_ne!(after.index, before);
@@ -58,8 +58,8 @@
     let mut pool = pool();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![born(birth)]), 100);
-    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: birth }, 110);
+    pool.handle_event(PoolEvent::Sources(vec![born(birth)]), 100);
+    pool.handle_event(PoolEvent::IncarnationReported { upstream: before, incarnation: birth }, 110);
 
     let after = current(&pool);
     assert_eq!((after.index, after.source.incarnation, after.in_flight), (before, 5, 1));
@@ -72,10 +72,10 @@
     let mut pool = pool();
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: 9 }, 100);
+    pool.handle_event(PoolEvent::IncarnationReported { upstream: before, incarnation: 9 }, 100);
     let after = current(&pool).index;
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 200);
-    pool.tell(PoolEvent::IncarnationReported { upstream: before, incarnation: 7 }, 210);
+    pool.handle_event(PoolEvent::Sources(vec![born(5)]), 200);
+    pool.handle_event(PoolEvent::IncarnationReported { upstream: before, incarnation: 7 }, 210);
 
     assert_ne!(after, before);
     assert_eq!((current(&pool).index, current(&pool).source.incarnation), (after, 9));
@@ -87,7 +87,7 @@
     pool.arrive(1, 0, 0);
     let before = current(&pool).index;
 
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 100);
+    pool.handle_event(PoolEvent::Sources(vec![born(9)]), 100);
 
     assert_eq!((current(&pool).index, current(&pool).source.incarnation), (before, 9));
     assert_eq!(current(&pool).in_flight, 1);
@@ -98,25 +98,25 @@
 #[test]
 fn one_that_left_is_used_again_once_it_is_born_again() {
     let mut pool = BurstPool::new();
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 0);
+    pool.handle_event(PoolEvent::Sources(vec![born(5)]), 0);
     let index = current(&pool).index;
-    pool.tell(PoolEvent::Lifecycle { upstream: index, event: UpstreamEvent::Leaving }, 10);
-    pool.tell(PoolEvent::Sources(vec![born(5)]), 20);
+    pool.handle_event(PoolEvent::Lifecycle { upstream: index, event: UpstreamEvent::Leaving }, 10);
+    pool.handle_event(PoolEvent::Sources(vec![born(5)]), 20);
     let refused = pool.arrive(1, 0, 30);
 
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 40);
+    pool.handle_event(PoolEvent::Sources(vec![born(9)]), 40);
 
-    assert!(sent(&refused).is_empty());
-    assert_eq!(sent(&pool.arrive(2, 0, 50)), [2]);
+    assert!(dispatched_ids(&refused).is_empty());
+    assert_eq!(dispatched_ids(&pool.arrive(2, 0, 50)), [2]);
 }
 
 #[test]
 fn the_end_of_a_request_counts_for_the_one_that_ran_it() {
     let mut pool = pool();
-    pool.tell(PoolEvent::Sources(vec![born(9)]), 100);
-    assert_eq!(sent(&pool.arrive(2, 0, 110)), [2]);
+    pool.handle_event(PoolEvent::Sources(vec![born(9)]), 100);
+    assert_eq!(dispatched_ids(&pool.arrive(2, 0, 110)), [2]);
 
-    pool.end(1, 120);
+    pool.complete(1, 120);
 
     assert_eq!(current(&pool).in_flight, 1);
 }
@@ -134,7 +134,10 @@
 fn an_upstream_that_is_not_known_is_not_born() {
     let mut pool = pool();
 
-    pool.tell(PoolEvent::IncarnationReported { upstream: UpstreamIndex(99), incarnation: 9 }, 100);
+    pool.handle_event(
+        PoolEvent::IncarnationReported { upstream: UpstreamIndex(99), incarnation: 9 },
+        100,
+    );
 
     assert_eq!(pool.scheduler.upstreams().iter().count(), 1);
 }
--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -10,7 +10,7 @@
     RequestId, UpstreamIndex,
 };
 
-use crate::burst_pool::{BurstPool, arrived, sent};
+use crate::burst_pool::{BurstPool, arrived, dispatched_ids};
 use crate::fleet_play::{AskedTokens, FleetPlay, HOT, RATE, Weather, hot_limits};
 use crate::session::source;
 
@@ -220,10 +220,10 @@
     pool.arrive(2, 0, 10);
     pool.arrive(3, 0, 700);
 
-    let next = pool.end(1, 800);
-    let last = pool.end(3, 900);
+    let next = pool.complete(1, 800);
+    let last = pool.complete(3, 900);
 
-    assert_eq!((sent(&next), sent(&last)), (vec![3], vec![2]));
+    assert_eq!((dispatched_ids(&next), dispatched_ids(&last)), (vec![3], vec![2]));
 }
 
 #[test]
@@ -235,8 +235,8 @@
     let mut running = 1;
     for id in 3..40 {
         pool.arrive(id, 0, id);
-        let actions = pool.end(running, id);
-        running = sent(&actions)[0];
+        let actions = pool.complete(running, id);
+        running = dispatched_ids(&actions)[0];
         order.push(running);
     }
 
@@ -253,8 +253,8 @@
     pool.arrive(1, 0, 0);
     pool.arrive(2, 0, 10);
 
-    let early = pool.tell(PoolEvent::Tick, 1_500);
-    let refused = pool.tell(PoolEvent::Tick, 2_405);
+    let early = pool.handle_event(PoolEvent::Tick, 1_500);
+    let refused = pool.handle_event(PoolEvent::Tick, 2_405);
 
     assert_eq!(early, Vec::new());
     assert!(matches!(refused[..], [PoolAction::Refuse { id: RequestId(2), .. }]), "{refused:?}");
@@ -264,7 +264,7 @@
 fn come_back(pool: &mut BurstPool, id: u64, millis: u64) {
     let mut request = arrived(id, 0, 1_000, millis);
     request.objective = Some(Moment::from_millis(millis));
-    pool.tell(PoolEvent::Arrived(request), millis);
+    pool.handle_event(PoolEvent::Arrived(request), millis);
 }
 
 /// Guards against callers that wait for the whole of their time, a second time, for a refusal that was to be expected.
@@ -274,10 +274,10 @@
     pool.arrive(1, 0, 10);
     come_back(&mut pool, 1_000, 11);
     for id in 2..=400 {
-        pool.tell(PoolEvent::Arrived(arrived(id, 0, 1_000, 12)), 12);
+        pool.handle_event(PoolEvent::Arrived(arrived(id, 0, 1_000, 12)), 12);
     }
 
-    let refused = pool.tell(PoolEvent::Tick, 70);
+    let refused = pool.handle_event(PoolEvent::Tick, 70);
 
     let ids = refused.iter().filter_map(|action| match action {
         PoolAction::Refuse { id, .. } => Some(id.0),
@@ -294,8 +294,8 @@
     come_back(&mut pool, 2, 20);
 
     let waited: Vec<PoolAction> =
-        (1..=20).flat_map(|step| pool.tell(PoolEvent::Tick, step * 100)).collect();
-    let served = sent(&pool.end(1, 2_010));
+        (1..=20).flat_map(|step| pool.handle_event(PoolEvent::Tick, step * 100)).collect();
+    let served = dispatched_ids(&pool.complete(1, 2_010));
 
     assert_eq!((waited, served), (Vec::new(), vec![2]));
 }
@@ -305,7 +305,7 @@
 #[test]
 fn an_engine_that_fails_rests() {
     let mut pool = BurstPool::new();
-    pool.tell(PoolEvent::Sources(vec![source("e1", 1), source("e2", 2)]), 1);
+    pool.handle_event(PoolEvent::Sources(vec![source("e1", 1), source("e2", 2)]), 1);
     let failing = UpstreamIndex(0);
     let mut to_failing = 0;
     for id in 1..=20 {
@@ -316,9 +316,9 @@
         match is_failing {
             true => {
                 let outcome = DispatchOutcome::Failed;
-                pool.tell(PoolEvent::Ended { id: RequestId(id), outcome }, 10 + id);
+                pool.handle_event(PoolEvent::Ended { id: RequestId(id), outcome }, 10 + id);
             }
-            false => drop(pool.end(id, 10 + id)),
+            false => drop(pool.complete(id, 10 + id)),
         }
     }
 
@@ -328,13 +328,13 @@
 /// A pool of two engines, the first four times slower, as its events tell.
 fn pool_with_a_slow_engine() -> BurstPool {
     let mut pool = BurstPool::new();
-    pool.tell(PoolEvent::Sources(vec![source("e1", 1), source("e2", 2)]), 1);
+    pool.handle_event(PoolEvent::Sources(vec![source("e1", 1), source("e2", 2)]), 1);
     for id in 1..=60 {
         let actions = pool.arrive(id, 0, 10 * id);
         let Some(PoolAction::Dispatch { upstream, .. }) = actions.first() else { continue };
         let gap = Duration::from_millis(if *upstream == UpstreamIndex(0) { 24 } else { 6 });
-        pool.tell(PoolEvent::TokenGap { id: RequestId(id), gap }, 10 * id + 1);
-        pool.end(id, 10 * id + 5);
+        pool.handle_event(PoolEvent::TokenGap { id: RequestId(id), gap }, 10 * id + 1);
+        pool.complete(id, 10 * id + 5);
     }
     pool
 }
@@ -346,11 +346,11 @@
     let mut pool = pool_with_a_slow_engine();
     let mut slow = 0;
     for id in 100..140 {
-        let actions = pool.tell(PoolEvent::Arrived(arrived(id, 0, 600, 10 * id)), 10 * id);
+        let actions = pool.handle_event(PoolEvent::Arrived(arrived(id, 0, 600, 10 * id)), 10 * id);
         let is_slow =
             matches!(actions[..], [PoolAction::Dispatch { upstream: UpstreamIndex(0), .. }]);
         slow += usize::from(is_slow);
-        pool.end(id, 10 * id + 5);
+        pool.complete(id, 10 * id + 5);
     }
 
     assert_eq!(slow, 0);
@@ -362,13 +362,13 @@
 fn engines_that_look_alike_are_chosen_in_turn() {
     let mut pool = BurstPool::new();
     let sources = (1..=10).map(|number| source(&format!("e{number}"), number)).collect();
-    pool.tell(PoolEvent::Sources(sources), 1);
+    pool.handle_event(PoolEvent::Sources(sources), 1);
     let mut chosen = HashMap::new();
     for id in 1..=100 {
         let actions = pool.arrive(id, 0, 10 * id);
         let Some(PoolAction::Dispatch { upstream, .. }) = actions.first() else { continue };
         *chosen.entry(*upstream).or_insert(0) += 1;
-        pool.end(id, 10 * id + 5);
+        pool.complete(id, 10 * id + 5);
     }
 
     assert!(chosen.len() >= 8, "{chosen:?}");
--- a/tests/test_placing.rs
+++ b/tests/test_placing.rs
@@ -21,9 +21,12 @@
     plan.event_tokens = 3;
     let mut pool = BurstPool::with_plan(plan);
     let sources = (1..=count).map(|number| source(&format!("e{number:03}"), number)).collect();
-    pool.tell(PoolEvent::Sources(sources), 0);
+    pool.handle_event(PoolEvent::Sources(sources), 0);
     let group = FleetGroup { index: 0, count: groups };
-    pool.tell(PoolEvent::PeerLoad { rows: Vec::new(), group, waiting: PeerWaiting::default() }, 0);
+    pool.handle_event(
+        PoolEvent::PeerLoad { rows: Vec::new(), group, waiting: PeerWaiting::default() },
+        0,
+    );
     pool
 }
 
@@ -59,7 +62,7 @@
 fn an_engine_that_another_daemon_knows_to_be_slow_is_used_last() {
     let mut pool = pool_of(2, 1);
     let rows = vec![("e001".into(), work(0, 24_000)), ("e002".into(), work(0, 6_000))];
-    pool.tell(
+    pool.handle_event(
         PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
@@ -80,7 +83,7 @@
         ("e001".into(), PeerWork { unread_tokens: 30_000, gap_micros: 6_000, ..work(0, 0) }),
         ("e002".into(), work(2, 18_000)),
     ];
-    pool.tell(
+    pool.handle_event(
         PoolEvent::PeerLoad { rows, group: FleetGroup::default(), waiting: PeerWaiting::default() },
         1,
     );
@@ -90,9 +93,9 @@
     long.pause = Some(Duration::from_millis(300));
     without_bound.id = RequestId(2);
 
-    let bound = chosen(&pool.tell(PoolEvent::Arrived(long), 10));
-    pool.end(1, 11);
-    let unbound = chosen(&pool.tell(PoolEvent::Arrived(without_bound), 12));
+    let bound = chosen(&pool.handle_event(PoolEvent::Arrived(long), 10));
+    pool.complete(1, 11);
+    let unbound = chosen(&pool.handle_event(PoolEvent::Arrived(without_bound), 12));
 
     assert_eq!((bound, unbound), (Some(UpstreamIndex(1)), Some(UpstreamIndex(2))));
 }
--- a/tests/test_reservations.rs
+++ b/tests/test_reservations.rs
@@ -1,6 +1,6 @@
 //! Places that engines reserve before a request is sent.
 
-use crate::burst_pool::{BurstPool, sent, urgency_plan};
+use crate::burst_pool::{BurstPool, dispatched_ids, urgency_plan};
 use crate::routed_fleet::{EngineMove, RoutedFleet, ScriptedEngine, document_with_places};
 use crate::session::source;
 use http::StatusCode;
@@ -112,13 +112,13 @@
     plan.has_reservations = true;
     let mut pool = BurstPool::with_plan(plan);
     let sources = (1..=count).map(|number| source(&format!("e{number}"), number)).collect();
-    pool.tell(PoolEvent::Sources(sources), 0);
+    pool.handle_event(PoolEvent::Sources(sources), 0);
     pool
 }
 
 fn crowded(pool: &mut BurstPool, id: u64, millis: u64) -> Vec<PoolAction> {
     let outcome = DispatchOutcome::NoSlot;
-    pool.tell(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
+    pool.handle_event(PoolEvent::Ended { id: RequestId(id), outcome }, millis)
 }
 
 fn upstreams(actions: &[PoolAction]) -> Vec<UpstreamIndex> {
@@ -144,9 +144,9 @@
 fn an_engine_without_a_place_is_asked_again_after_a_while() {
     let mut pool = reserving_pool(1);
     pool.arrive(1, 0, 10);
-    let at_once = sent(&crowded(&mut pool, 1, 11));
-    let soon = sent(&pool.tell(PoolEvent::Tick, 21));
-    let later = sent(&pool.tell(PoolEvent::Tick, 42));
+    let at_once = dispatched_ids(&crowded(&mut pool, 1, 11));
+    let soon = dispatched_ids(&pool.handle_event(PoolEvent::Tick, 21));
+    let later = dispatched_ids(&pool.handle_event(PoolEvent::Tick, 42));
 
     assert_eq!((at_once, soon, later), (vec![], vec![], vec![1]));
 }
@@ -160,7 +160,7 @@
     for millis in 11..111 {
         let running = asked;
         asked += crowded(&mut pool, 1, millis).len();
-        asked += pool.tell(PoolEvent::Tick, millis).len();
+        asked += pool.handle_event(PoolEvent::Tick, millis).len();
         assert!(asked <= running + 1, "one request is at one engine");
     }
 
@@ -176,11 +176,11 @@
     pool.arrive(1, 2, 10);
     crowded(&mut pool, 1, 11);
     (2..=9).for_each(|id| drop(pool.arrive(id, 2, 12)));
-    let urgent = sent(&pool.arrive(10, 0, 13));
+    let urgent = dispatched_ids(&pool.arrive(10, 0, 13));
     let others = crowded(&mut pool, 1, 14);
 
     assert_eq!(urgent, Vec::<u64>::new(), "two requests are asking already");
-    assert_eq!(sent(&others), [10]);
+    assert_eq!(dispatched_ids(&others), [10]);
 }
 
 #[test]
@@ -189,7 +189,7 @@
     pool.arrive(1, 0, 10);
     pool.arrive(2, 0, 11);
 
-    let next = sent(&pool.end(1, 12));
+    let next = dispatched_ids(&pool.complete(1, 12));
 
     assert_eq!(next, [2]);
 }
--- a/tests/test_worth.rs
+++ b/tests/test_worth.rs
@@ -1,6 +1,6 @@
 //! Which requests earn most for the engines' time, which callers have been here before, and which places fit.
 
-use crate::burst_pool::{BurstPool, arrived, sent, urgency_plan};
+use crate::burst_pool::{BurstPool, arrived, dispatched_ids, urgency_plan};
 use crate::session::source;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,7 +16,7 @@
 }
 
 fn arrive(pool: &mut BurstPool, request: ArrivedRequest, at: u64) -> Vec<u64> {
-    sent(&pool.tell(PoolEvent::Arrived(request), at))
+    dispatched_ids(&pool.handle_event(PoolEvent::Arrived(request), at))
 }
 
 /// A pool whose only place is taken by request 0 until it is ended.
@@ -34,7 +34,7 @@
     arrive(&mut pool, arrived(1, 0, 400, 0), 0);
     arrive(&mut pool, arrived(2, 0, 20, 1), 1);
 
-    assert_eq!(sent(&pool.end(0, 10)), [2]);
+    assert_eq!(dispatched_ids(&pool.complete(0, 10)), [2]);
 }
 
 #[test]
@@ -43,7 +43,7 @@
     arrive(&mut pool, arrived(1, 0, 400, 0), 0);
     arrive(&mut pool, arrived(2, 0, 20, 1), 1);
 
-    assert_eq!(sent(&pool.end(0, 10)), [1]);
+    assert_eq!(dispatched_ids(&pool.complete(0, 10)), [1]);
 }
 
 /// Which of two ranks earns more follows from what their requests cost, not from a figure for each rank.
@@ -56,8 +56,8 @@
     arrive(&mut alike, arrived(1, 0, 10, 0), 0);
     arrive(&mut alike, arrived(2, 1, 10, 0), 0);
 
-    assert_eq!(sent(&dear.end(0, 10)), [2]);
-    assert_eq!(sent(&alike.end(0, 10)), [1]);
+    assert_eq!(dispatched_ids(&dear.complete(0, 10)), [2]);
+    assert_eq!(dispatched_ids(&alike.complete(0, 10)), [1]);
 }
 
 /// Symptom: in a burst that lasts, long requests are never served. Sequence: there is always a short one that earns more.
@@ -70,7 +70,7 @@
     let mut served = Vec::new();
     for step in 0..20 {
         arrive(&mut pool, arrived(10 + step, 0, 10, step * 20), step * 20);
-        let next = sent(&pool.end(running, step * 20 + 10));
+        let next = dispatched_ids(&pool.complete(running, step * 20 + 10));
         served.extend(next.iter().copied());
         running = next.first().copied().unwrap_or(running);
     }
@@ -181,7 +181,7 @@
     let mut plan = urgency_plan();
     plan.first_guess = 2;
     let mut pool = BurstPool::with_plan(plan);
-    pool.tell(PoolEvent::Sources(vec![source("fast", 1), source("slow", 2)]), 0);
+    pool.handle_event(PoolEvent::Sources(vec![source("fast", 1), source("slow", 2)]), 0);
     let mut running = BTreeMap::new();
     for id in 1..=4 {
         arrive(&mut pool, arrived(id, 0, 10, 0), 0);
@@ -197,7 +197,7 @@
         let gaps = [("fast", 2), ("slow", 40)];
         for (name, gap) in gaps {
             let id = RequestId(running[name]);
-            pool.tell(PoolEvent::TokenGap { id, gap: millis(gap) }, step);
+            pool.handle_event(PoolEvent::TokenGap { id, gap: millis(gap) }, step);
         }
     }
     (pool, running)
@@ -210,9 +210,9 @@
 fn a_long_answer_waits_for_an_engine_that_ends_it_in_time() {
     let (mut pool, running) = unlike_engines();
     let long = arrive(&mut pool, arrived(5, 0, 200, 50), 50);
-    let on_slow = sent(&pool.end(running["slow"], 60));
+    let on_slow = dispatched_ids(&pool.complete(running["slow"], 60));
 
-    let on_fast = sent(&pool.end(running["fast"], 70));
+    let on_fast = dispatched_ids(&pool.complete(running["fast"], 70));
 
     assert_eq!((long, on_slow), (vec![], vec![]));
     assert_eq!(on_fast, [5]);
@@ -224,7 +224,7 @@
     arrive(&mut pool, arrived(5, 0, 200, 50), 50);
     arrive(&mut pool, arrived(6, 1, 10, 50), 50);
 
-    assert_eq!(sent(&pool.end(running["slow"], 60)), [6]);
+    assert_eq!(dispatched_ids(&pool.complete(running["slow"], 60)), [6]);
 }
 
 #[test]
@@ -258,9 +258,9 @@
             && until <= now
         {
             running = None;
-            started.extend(sent(&pool.end(id, now)));
+            started.extend(dispatched_ids(&pool.complete(id, now)));
         }
-        started.extend(sent(&pool.tell(PoolEvent::Tick, now)));
+        started.extend(dispatched_ids(&pool.handle_event(PoolEvent::Tick, now)));
         for id in started {
             in_time += usize::from(now - id <= 450);
             running = Some((id, now + 1 + u64::from(sizes[&id]) / 2));
