--- a/tests/session.rs
+++ b/tests/session.rs
@@ -57,7 +57,7 @@
     rng: ChaCha8Rng,
     log: String,
     drain: ChartMachine<DrainState, DrainEvent, DrainAction>,
-    next: u64,
+    next_id: u64,
     /// Number of dispatches by request name; more than one is a fault.
     pub dispatches: BTreeMap<String, u32>,
 }
@@ -77,11 +77,11 @@
             rng: ChaCha8Rng::seed_from_u64(1),
             log: String::new(),
             drain: drain_chart().start(),
-            next: 1,
+            next_id: 1,
             dispatches: BTreeMap::new(),
         };
-        session.note(&format!("upstreams: {}", engines.join(" ")));
-        session.tell(PoolEvent::Sources(session.upstreams.clone()));
+        session.write_line(&format!("upstreams: {}", engines.join(" ")));
+        session.deliver(PoolEvent::Sources(session.upstreams.clone()));
         session
     }
 
@@ -93,22 +93,22 @@
         self.log
     }
 
-    fn note(&mut self, text: &str) {
+    fn write_line(&mut self, text: &str) {
         let millis = self.now.0 / 1_000;
         let _ = writeln!(self.log, "{:>3}.{:03}  {text}", millis / 1_000, millis % 1_000);
     }
 
     /// Advances time to `millis`, with a scheduler tick every 10 ms.
-    pub fn at(&mut self, millis: u64) -> &mut Self {
+    pub fn advance_to(&mut self, millis: u64) -> &mut Self {
         while self.now + Duration::from_millis(10) <= Moment::from_millis(millis) {
             self.now = self.now + Duration::from_millis(10);
-            self.tell(PoolEvent::Tick);
+            self.deliver(PoolEvent::Tick);
         }
         self.now = Moment::from_millis(millis);
         self
     }
 
-    fn tell(&mut self, event: PoolEvent) {
+    fn deliver(&mut self, event: PoolEvent) {
         let mut actions = Vec::new();
         self.scheduler.handle(event, self.now, &mut self.rng, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(action));
@@ -128,9 +128,9 @@
                     "{} -> {}  {}",
                     request.name,
                     target.unwrap_or_default(),
-                    words(actions)
+                    action_names(actions)
                 );
-                self.note(&text);
+                self.write_line(&text);
             }
             PoolAction::Refuse { id, kind } => {
                 let Some(request) = self.requests.get_mut(&id) else { return };
@@ -140,7 +140,7 @@
                     "{} (tier {}) refused: {} {}, ran {:?}",
                     request.name, request.tier, row.status, row.name, row.ran
                 );
-                self.note(&text);
+                self.write_line(&text);
             }
         }
     }
@@ -159,13 +159,15 @@
         deadline: u64,
         can_resume: bool,
     ) -> &mut Self {
-        let id = RequestId(self.next);
-        self.next += 1;
-        self.note(&format!("caller {name}: tier {tier}, {tokens} tokens, deadline {deadline} ms"));
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        self.write_line(&format!(
+            "caller {name}: tier {tier}, {tokens} tokens, deadline {deadline} ms"
+        ));
         let exchange = Exchange::new(name, can_resume);
         self.requests.insert(id, SessionRequest { name: name.to_owned(), tier, exchange });
         let prompt = name.repeat(tokens);
-        self.tell(PoolEvent::Arrived(ArrivedRequest {
+        self.deliver(PoolEvent::Arrived(ArrivedRequest {
             id,
             organisation: OrganisationIndex(u32::from(tier)),
             weight: 1,
@@ -190,12 +192,12 @@
             .requests
             .iter()
             .find(|(_, request)| request.name == name)
-            .expect("the session names a known request")
+            .expect("a request with this name")
             .0
     }
 
     /// Passes an event to a request's exchange and carries out the resulting actions.
-    pub fn happens(&mut self, name: &str, event: ExchangeEvent<'_>) -> &mut Self {
+    pub fn handle_event(&mut self, name: &str, event: ExchangeEvent<'_>) -> &mut Self {
         let id = self.find(name);
         let now = self.now;
         let request = self.requests.get_mut(&id).expect("found above");
@@ -206,13 +208,13 @@
         if event == ExchangeEvent::Opened && state == RequestState::Sent {
             *self.dispatches.entry(name.to_owned()).or_default() += 1;
         }
-        self.note(&format!("{name}: {event:?}  => {state:?}  {}", words(actions)));
+        self.write_line(&format!("{name}: {event:?}  => {state:?}  {}", action_names(actions)));
         for action in actions {
             match action {
                 ExchangeAction::Requeue => {
-                    self.tell(PoolEvent::Ended { id, outcome: DispatchOutcome::NotSent })
+                    self.deliver(PoolEvent::Ended { id, outcome: DispatchOutcome::NotSent })
                 }
-                ExchangeAction::Withdraw => self.tell(PoolEvent::CallerLeft(id)),
+                ExchangeAction::Withdraw => self.deliver(PoolEvent::CallerLeft(id)),
                 ExchangeAction::Release => {
                     let outcome = match state {
                         RequestState::Answered => DispatchOutcome::Completed {
@@ -222,11 +224,11 @@
                         RequestState::Abandoned => DispatchOutcome::Cancelled,
                         _ => DispatchOutcome::Failed,
                     };
-                    self.tell(PoolEvent::Ended { id, outcome });
+                    self.deliver(PoolEvent::Ended { id, outcome });
                 }
                 ExchangeAction::Fail => self.answer_failure(name, failure),
                 ExchangeAction::Finish => {
-                    self.note(&format!("{name}: whole answer, {pieces} pieces"))
+                    self.write_line(&format!("{name}: whole answer, {pieces} pieces"))
                 }
                 _ => {}
             }
@@ -236,57 +238,57 @@
 
     fn answer_failure(&mut self, name: &str, kind: AnswerKind) {
         let row = kind.row();
-        self.note(&format!("{name}: failed: {} {}, ran {:?}", row.status, row.name, row.ran));
+        self.write_line(&format!("{name}: failed: {} {}, ran {:?}", row.status, row.name, row.ran));
     }
 
     /// Sends a request and delivers its whole answer of `pieces` at once.
-    pub fn answered(&mut self, name: &str, pieces: u64) -> &mut Self {
-        self.opened(name);
+    pub fn answer(&mut self, name: &str, pieces: u64) -> &mut Self {
+        self.open(name);
         for sequence in 1..=pieces {
-            self.happens(name, ExchangeEvent::Piece { sequence, echo: Some(name) });
+            self.handle_event(name, ExchangeEvent::Piece { sequence, echo: Some(name) });
         }
-        self.happens(name, ExchangeEvent::Ended)
+        self.handle_event(name, ExchangeEvent::Ended)
     }
 
     /// Sends a request and delivers the head of its answer.
-    pub fn opened(&mut self, name: &str) -> &mut Self {
-        self.happens(name, ExchangeEvent::Opened);
-        self.happens(name, ExchangeEvent::Head { echo: Some(name) })
+    pub fn open(&mut self, name: &str) -> &mut Self {
+        self.handle_event(name, ExchangeEvent::Opened);
+        self.handle_event(name, ExchangeEvent::Head { echo: Some(name) })
     }
 
     /// Passes an upstream's load report to the scheduler.
-    pub fn report(&mut self, upstream: u32, running: u32, is_leaving: bool) -> &mut Self {
-        self.note(&format!(
+    pub fn report_load(&mut self, upstream: u32, running: u32, is_leaving: bool) -> &mut Self {
+        self.write_line(&format!(
             "engine {upstream} reports running {running}{}",
             if is_leaving { ", leaving" } else { "" }
         ));
         let report = LoadReport { running, is_leaving, ..LoadReport::default() };
-        self.tell(PoolEvent::LoadReported { upstream: UpstreamIndex(upstream), report });
+        self.deliver(PoolEvent::LoadReported { upstream: UpstreamIndex(upstream), report });
         self
     }
 
     /// Replaces the listed upstreams.
-    pub fn listed(&mut self, sources: Vec<UpstreamSource>) -> &mut Self {
+    pub fn replace_upstreams(&mut self, sources: Vec<UpstreamSource>) -> &mut Self {
         let names: Vec<String> = sources
             .iter()
             .map(|source| format!("{}#{}", source.name, source.incarnation))
             .collect();
-        self.note(&format!("listed: {}", names.join(" ")));
-        self.tell(PoolEvent::Sources(sources));
+        self.write_line(&format!("listed: {}", names.join(" ")));
+        self.deliver(PoolEvent::Sources(sources));
         self
     }
 
     /// Applies an operator's edit of the plan.
-    pub fn edited(&mut self, what: &str, plan: PoolPlan) -> &mut Self {
-        self.note(&format!("edit in force: {what}"));
-        self.tell(PoolEvent::Plan(plan));
+    pub fn apply_plan(&mut self, what: &str, plan: PoolPlan) -> &mut Self {
+        self.write_line(&format!("edit in force: {what}"));
+        self.deliver(PoolEvent::Plan(plan));
         self
     }
 
     /// Expires the daemon's currency lease.
-    pub fn lease_lapsed(&mut self) -> &mut Self {
-        self.note("currency lease ran out");
-        self.tell(PoolEvent::LeaseExpired);
+    pub fn expire_lease(&mut self) -> &mut Self {
+        self.write_line("currency lease ran out");
+        self.deliver(PoolEvent::LeaseExpired);
         self
     }
 
@@ -297,7 +299,7 @@
         assert!(event != DrainEvent::Idle || in_progress == 0, "{in_progress} in progress");
         let actions = self.drain.step(event);
         let state = self.drain.state();
-        self.note(&format!(
+        self.write_line(&format!(
             "drain: {event:?}  => {state:?}  {actions:?}  in progress {in_progress}"
         ));
         self
@@ -307,7 +309,7 @@
     pub fn status(&mut self) -> &mut Self {
         let status = self.scheduler.status();
         let floor = status.floor.map_or_else(|| "none".to_owned(), |rank| rank.0.to_string());
-        self.note(&format!(
+        self.write_line(&format!(
             "waiting {} running {} live {} floor {floor}",
             status.waiting, status.running, status.live
         ));
@@ -321,7 +323,7 @@
     UpstreamSource { name: name.into(), incarnation: 0, address, is_leaving: false, places: None }
 }
 
-fn words(actions: &[ExchangeAction]) -> String {
+fn action_names(actions: &[ExchangeAction]) -> String {
     actions
         .iter()
         .map(|action| format!("{action:?}").to_lowercase())
--- a/tests/test_sessions.rs
+++ b/tests/test_sessions.rs
@@ -8,9 +8,9 @@
 fn an_ordinary_session() {
     let mut session = Session::new(plan(2), &["e1", "e2"]);
 
-    session.at(10).arrive("a", 0, 50, 5_000).arrive("b", 1, 20, 5_000);
-    session.at(20).answered("a", 3);
-    session.at(40).answered("b", 2).status();
+    session.advance_to(10).arrive("a", 0, 50, 5_000).arrive("b", 1, 20, 5_000);
+    session.advance_to(20).answer("a", 3);
+    session.advance_to(40).answer("b", 2).status();
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -23,32 +23,32 @@
 fn overload_evicts_the_lowest_tier_first() {
     let mut session = Session::new(plan(1), &["e1"]);
 
-    session.at(10).arrive("busy", 0, 400, 60_000);
+    session.advance_to(10).arrive("busy", 0, 400, 60_000);
     session
-        .at(11)
+        .advance_to(11)
         .arrive("low-1", 2, 100, 60_000)
         .arrive("low-2", 2, 100, 60_000)
         .arrive("mid-1", 1, 100, 60_000);
     session
-        .at(12)
+        .advance_to(12)
         .arrive("mid-2", 1, 100, 60_000)
         .arrive("low-3", 2, 100, 60_000)
         .arrive("mid-3", 1, 100, 60_000);
     session
-        .at(13)
+        .advance_to(13)
         .arrive("top-1", 0, 100, 60_000)
         .arrive("top-2", 0, 100, 60_000)
         .arrive("top-3", 0, 100, 60_000);
     session.status().arrive("low-4", 2, 100, 60_000);
     session
-        .at(14)
+        .advance_to(14)
         .arrive("top-4", 0, 100, 60_000)
         .arrive("top-5", 0, 100, 60_000)
         .arrive("top-6", 0, 100, 60_000)
         .status();
     session.arrive("top-7", 0, 100, 60_000).arrive("mid-4", 1, 100, 60_000);
-    session.at(50).answered("busy", 2).status();
-    session.at(3_000).status().arrive("low-5", 2, 100, 60_000);
+    session.advance_to(50).answer("busy", 2).status();
+    session.advance_to(3_000).status().arrive("low-5", 2, 100, 60_000);
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -60,16 +60,26 @@
 fn crossed_and_late_answers_are_never_passed_on() {
     let mut session = Session::new(plan(4), &["e1"]);
 
-    session.at(10).arrive("a", 0, 10, 5_000).arrive("b", 0, 10, 5_000).arrive("c", 0, 10, 100);
     session
-        .at(20)
-        .happens("a", ExchangeEvent::Opened)
-        .happens("a", ExchangeEvent::Head { echo: Some("z") });
-    session.at(30).opened("b").happens("b", ExchangeEvent::Piece { sequence: 1, echo: Some("b") });
-    session.happens("b", ExchangeEvent::Piece { sequence: 2, echo: Some("z") });
-    session.at(110).happens("c", ExchangeEvent::Opened).happens("c", ExchangeEvent::Deadline);
-    session.at(120).happens("c", ExchangeEvent::Head { echo: Some("c") });
-    session.happens("c", ExchangeEvent::Piece { sequence: 1, echo: Some("c") }).status();
+        .advance_to(10)
+        .arrive("a", 0, 10, 5_000)
+        .arrive("b", 0, 10, 5_000)
+        .arrive("c", 0, 10, 100);
+    session
+        .advance_to(20)
+        .handle_event("a", ExchangeEvent::Opened)
+        .handle_event("a", ExchangeEvent::Head { echo: Some("z") });
+    session
+        .advance_to(30)
+        .open("b")
+        .handle_event("b", ExchangeEvent::Piece { sequence: 1, echo: Some("b") });
+    session.handle_event("b", ExchangeEvent::Piece { sequence: 2, echo: Some("z") });
+    session
+        .advance_to(110)
+        .handle_event("c", ExchangeEvent::Opened)
+        .handle_event("c", ExchangeEvent::Deadline);
+    session.advance_to(120).handle_event("c", ExchangeEvent::Head { echo: Some("c") });
+    session.handle_event("c", ExchangeEvent::Piece { sequence: 1, echo: Some("c") }).status();
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -80,20 +90,20 @@
 fn truncation_is_resumed_and_at_last_refused() {
     let mut session = Session::new(plan(4), &["e1"]);
 
-    session.at(10).arrive("a", 0, 10, 5_000).opened("a");
-    session.happens("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
+    session.advance_to(10).arrive("a", 0, 10, 5_000).open("a");
+    session.handle_event("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
     for at in [20, 30, 40] {
         session
-            .at(at)
-            .happens("a", ExchangeEvent::Cut)
-            .happens("a", ExchangeEvent::Head { echo: Some("a") });
+            .advance_to(at)
+            .handle_event("a", ExchangeEvent::Cut)
+            .handle_event("a", ExchangeEvent::Head { echo: Some("a") });
     }
-    session.at(50).happens("a", ExchangeEvent::Cut);
+    session.advance_to(50).handle_event("a", ExchangeEvent::Cut);
     session
-        .at(60)
+        .advance_to(60)
         .arrive_as("plain", 0, 10, 5_000, false)
-        .opened("plain")
-        .happens("plain", ExchangeEvent::Cut);
+        .open("plain")
+        .handle_event("plain", ExchangeEvent::Cut);
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -105,16 +115,16 @@
 fn a_silent_connection_is_resumed_without_a_new_dispatch() {
     let mut session = Session::new(plan(4), &["e1"]);
 
-    session.at(10).arrive("a", 0, 10, 5_000).opened("a");
-    session.happens("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
-    session.happens("a", ExchangeEvent::Piece { sequence: 2, echo: Some("a") });
+    session.advance_to(10).arrive("a", 0, 10, 5_000).open("a");
+    session.handle_event("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
+    session.handle_event("a", ExchangeEvent::Piece { sequence: 2, echo: Some("a") });
     session
-        .at(2_010)
-        .happens("a", ExchangeEvent::Silent)
-        .happens("a", ExchangeEvent::Head { echo: Some("a") });
-    session.happens("a", ExchangeEvent::Piece { sequence: 2, echo: Some("a") });
-    session.happens("a", ExchangeEvent::Piece { sequence: 3, echo: Some("a") });
-    session.happens("a", ExchangeEvent::Ended).status();
+        .advance_to(2_010)
+        .handle_event("a", ExchangeEvent::Silent)
+        .handle_event("a", ExchangeEvent::Head { echo: Some("a") });
+    session.handle_event("a", ExchangeEvent::Piece { sequence: 2, echo: Some("a") });
+    session.handle_event("a", ExchangeEvent::Piece { sequence: 3, echo: Some("a") });
+    session.handle_event("a", ExchangeEvent::Ended).status();
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -128,14 +138,18 @@
     let mut session = Session::new(plan(4), &["e1", "e2"]);
     let live = || vec![source("e1", 1), source("e2", 2)];
 
-    session.at(10).arrive("a", 0, 10, 5_000).arrive("b", 0, 10, 5_000);
-    session.at(20).report(0, 1, true).listed(live()).status();
-    session.at(30).arrive("c", 0, 10, 5_000).arrive("d", 0, 10, 5_000).arrive("e", 0, 10, 5_000);
-    session.at(40).answered("a", 1).answered("b", 1).status();
-    let again = UpstreamSource { incarnation: 1, ..source("e1", 9) };
+    session.advance_to(10).arrive("a", 0, 10, 5_000).arrive("b", 0, 10, 5_000);
+    session.advance_to(20).report_load(0, 1, true).replace_upstreams(live()).status();
+    session
+        .advance_to(30)
+        .arrive("c", 0, 10, 5_000)
+        .arrive("d", 0, 10, 5_000)
+        .arrive("e", 0, 10, 5_000);
+    session.advance_to(40).answer("a", 1).answer("b", 1).status();
+    let next_incarnation = UpstreamSource { incarnation: 1, ..source("e1", 9) };
     session
-        .at(50)
-        .listed(vec![again, source("e2", 2)])
+        .advance_to(50)
+        .replace_upstreams(vec![next_incarnation, source("e2", 2)])
         .status()
         .arrive("f", 0, 10, 5_000)
         .arrive("g", 0, 10, 5_000);
@@ -151,15 +165,22 @@
     let mut session = Session::new(plan(1), &["e1"]);
 
     session
-        .at(10)
+        .advance_to(10)
         .arrive("a", 0, 400, 60_000)
         .arrive("b", 0, 400, 60_000)
         .arrive("c", 0, 400, 60_000);
-    session.arrive("d", 0, 400, 60_000).status().happens("d", ExchangeEvent::CallerLeft).status();
-    session.at(20).happens("b", ExchangeEvent::CallerLeft).status();
-    session.at(30).opened("a").happens("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
-    session.happens("a", ExchangeEvent::CallerLeft).status();
-    session.at(40).happens("c", ExchangeEvent::CallerLeft).status();
+    session
+        .arrive("d", 0, 400, 60_000)
+        .status()
+        .handle_event("d", ExchangeEvent::CallerLeft)
+        .status();
+    session.advance_to(20).handle_event("b", ExchangeEvent::CallerLeft).status();
+    session
+        .advance_to(30)
+        .open("a")
+        .handle_event("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
+    session.handle_event("a", ExchangeEvent::CallerLeft).status();
+    session.advance_to(40).handle_event("c", ExchangeEvent::CallerLeft).status();
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -172,18 +193,20 @@
 fn a_drain_in_mid_stream_cuts_nothing() {
     let mut session = Session::new(plan(4), &["e1"]);
 
-    session.at(10).arrive("a", 0, 10, 5_000).opened("a");
-    session.happens("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
+    session.advance_to(10).arrive("a", 0, 10, 5_000).open("a");
+    session.handle_event("a", ExchangeEvent::Piece { sequence: 1, echo: Some("a") });
     session
-        .at(20)
+        .advance_to(20)
         .drain(DrainEvent::Signal)
-        .at(30)
+        .advance_to(30)
         .arrive("late", 0, 10, 5_000)
         .drain(DrainEvent::Signal);
-    session.at(3_020).drain(DrainEvent::BalancerNoticed).drain(DrainEvent::Signal);
-    session.at(3_030).answered("late", 1).drain(DrainEvent::Signal);
-    session.at(3_040).happens("a", ExchangeEvent::Piece { sequence: 2, echo: Some("a") });
-    session.happens("a", ExchangeEvent::Ended).drain(DrainEvent::Idle);
+    session.advance_to(3_020).drain(DrainEvent::BalancerNoticed).drain(DrainEvent::Signal);
+    session.advance_to(3_030).answer("late", 1).drain(DrainEvent::Signal);
+    session
+        .advance_to(3_040)
+        .handle_event("a", ExchangeEvent::Piece { sequence: 2, echo: Some("a") });
+    session.handle_event("a", ExchangeEvent::Ended).drain(DrainEvent::Idle);
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -198,22 +221,22 @@
         .map(|share| TierShare { weight: 10 - share.weight, ..*share })
         .collect();
 
-    session.at(10).arrive("busy", 0, 400, 60_000);
+    session.advance_to(10).arrive("busy", 0, 400, 60_000);
     session
-        .at(11)
+        .advance_to(11)
         .arrive("top-1", 0, 100, 60_000)
         .arrive("low-1", 2, 100, 60_000)
         .arrive("top-2", 0, 100, 60_000);
     session.arrive("low-2", 2, 100, 60_000).status();
-    session.at(12).edited("weights reversed", reversed).status();
-    session.at(20).answered("busy", 1).at(30).answered("top-1", 1);
+    session.advance_to(12).apply_plan("weights reversed", reversed).status();
+    session.advance_to(20).answer("busy", 1).advance_to(30).answer("top-1", 1);
     session
-        .at(40)
-        .answered("low-1", 1)
-        .at(50)
-        .answered("low-2", 1)
-        .at(60)
-        .answered("top-2", 1)
+        .advance_to(40)
+        .answer("low-1", 1)
+        .advance_to(50)
+        .answer("low-2", 1)
+        .advance_to(60)
+        .answer("top-2", 1)
         .status();
 
     insta::assert_snapshot!(session.transcript());
@@ -227,10 +250,19 @@
 fn a_refused_connection_goes_to_another_upstream() {
     let mut session = Session::new(plan(4), &["e1", "e2"]);
 
-    session.at(10).arrive("a", 0, 10, 5_000).happens("a", ExchangeEvent::NotSent).status();
-    session.at(20).happens("a", ExchangeEvent::NotSent).status();
-    session.at(30).arrive("b", 0, 10, 5_000);
-    session.at(40).report(0, 0, false).status().arrive("c", 0, 10, 5_000).answered("c", 1);
+    session
+        .advance_to(10)
+        .arrive("a", 0, 10, 5_000)
+        .handle_event("a", ExchangeEvent::NotSent)
+        .status();
+    session.advance_to(20).handle_event("a", ExchangeEvent::NotSent).status();
+    session.advance_to(30).arrive("b", 0, 10, 5_000);
+    session
+        .advance_to(40)
+        .report_load(0, 0, false)
+        .status()
+        .arrive("c", 0, 10, 5_000)
+        .answer("c", 1);
 
     insta::assert_snapshot!(session.transcript());
 }
@@ -242,16 +274,17 @@
 fn a_lapsed_lease_refuses_what_waits_and_finishes_what_runs() {
     let mut session = Session::new(plan(1), &["e1"]);
 
-    session.at(10).arrive("running", 0, 400, 60_000).arrive("waiting-1", 0, 100, 60_000).arrive(
-        "waiting-2",
-        2,
-        100,
-        60_000,
-    );
-    session.at(20).opened("running");
-    session.at(30).lease_lapsed().status();
-    session.at(40).happens("running", ExchangeEvent::Piece { sequence: 1, echo: Some("running") });
-    session.happens("running", ExchangeEvent::Ended).status();
+    session
+        .advance_to(10)
+        .arrive("running", 0, 400, 60_000)
+        .arrive("waiting-1", 0, 100, 60_000)
+        .arrive("waiting-2", 2, 100, 60_000);
+    session.advance_to(20).open("running");
+    session.advance_to(30).expire_lease().status();
+    session
+        .advance_to(40)
+        .handle_event("running", ExchangeEvent::Piece { sequence: 1, echo: Some("running") });
+    session.handle_event("running", ExchangeEvent::Ended).status();
 
     insta::assert_snapshot!(session.transcript());
 }
