--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn numbers(run: &RunSummary) -> (f64, u64, u64) {
+fn key_metrics(run: &RunSummary) -> (f64, u64, u64) {
     (run.weighted_goodput(), run.refusals(), run.wasted_tokens)
 }
 
@@ -46,7 +46,7 @@
     let first = run_experiment(&plan);
     let second = run_experiment(&plan);
 
-    assert_eq!(numbers(&first), numbers(&second));
+    assert_eq!(key_metrics(&first), key_metrics(&second));
     assert!(first.weighted_goodput() > 0.0);
 }
 
@@ -117,7 +117,7 @@
 struct SmallPool {
     scheduler: PoolScheduler,
     rng: ChaCha8Rng,
-    next: u64,
+    next_id: u64,
 }
 
 impl SmallPool {
@@ -132,13 +132,13 @@
         let mut pool = SmallPool {
             scheduler: PoolScheduler::new(plan),
             rng: ChaCha8Rng::seed_from_u64(1),
-            next: 1,
+            next_id: 1,
         };
-        pool.tell(PoolEvent::Sources((0..engines).map(source).collect()));
+        pool.deliver(PoolEvent::Sources((0..engines).map(source).collect()));
         pool
     }
 
-    fn tell(&mut self, event: PoolEvent) -> Vec<PoolAction> {
+    fn deliver(&mut self, event: PoolEvent) -> Vec<PoolAction> {
         let mut actions = Vec::new();
         self.scheduler.handle(event, Moment::from_millis(1), &mut self.rng, &mut actions);
         actions
@@ -146,9 +146,9 @@
 
     /// Returns the engine to which a request with this prompt is dispatched, or `None` if it waits.
     fn send(&mut self, tier: u8, prompt: &str) -> Option<UpstreamIndex> {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let actions = self.tell(PoolEvent::Arrived(ArrivedRequest {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let actions = self.deliver(PoolEvent::Arrived(ArrivedRequest {
             id,
             organisation: OrganisationIndex(0),
             weight: 1,
@@ -180,12 +180,12 @@
     let mut pool = SmallPool::new(3, session::plan(10));
     let prompt = "an inventory of a furnished flat ".repeat(100);
     let holder = pool.send(0, &prompt).expect("an idle pool");
-    let filler = (0..60).filter_map(|_| pool.send(2, "note")).count();
+    let filler_count = (0..60).filter_map(|_| pool.send(2, "note")).count();
 
     let lower = pool.send(1, &prompt);
     let highest = pool.send(0, &prompt);
 
-    assert!(filler >= 24, "{filler}");
+    assert!(filler_count >= 24, "{filler_count}");
     assert_eq!(lower, None);
     assert_eq!(highest, Some(holder));
 }
@@ -199,10 +199,10 @@
 
     let engines: Vec<_> = (0..15).filter_map(|_| pool.send(0, &prompt)).collect();
 
-    let on = |index| engines.iter().filter(|engine| **engine == UpstreamIndex(index)).count();
+    let count_on = |index| engines.iter().filter(|engine| **engine == UpstreamIndex(index)).count();
     assert_eq!(engines.len(), 15);
     // 1.25 times the mean of 5, plus a tenth of the limit of 10, plus the request that exceeds it.
-    assert!((0..3).all(|index| (1..=8).contains(&on(index))), "{engines:?}");
+    assert!((0..3).all(|index| (1..=8).contains(&count_on(index))), "{engines:?}");
 }
 
 /// Guards against a limit that never grows past the first guess: requests about to enter the next
@@ -217,7 +217,7 @@
 
     for stamp in 1..=reports {
         let report = LoadReport { stamp, running: 8, queued: 4, ..LoadReport::default() };
-        pool.tell(PoolEvent::LoadReported { upstream: UpstreamIndex(0), report });
+        pool.deliver(PoolEvent::LoadReported { upstream: UpstreamIndex(0), report });
     }
 
     let status = pool.scheduler.upstreams().get(UpstreamIndex(0)).expect("the engine");
@@ -230,12 +230,16 @@
     let args = ["experiment", "--profile", "lodgeframe", "--seeds", "1", "--seconds", "1"];
 
     let table = work.run(&[&args[..], &["--times", "0.2"]].concat());
-    let bad = work.run(&[&args[..], &["--times", "0"]].concat());
+    let rejected = work.run(&[&args[..], &["--times", "0"]].concat());
 
     assert!(table.status.success(), "{}", stderr(&table));
     assert!(stdout(&table).contains("| round-robin"), "{}", stdout(&table));
-    assert_eq!(bad.status.code(), Some(2));
-    assert!(stderr(&bad).contains("--times: found 0; expected 0.01 to 20"), "{}", stderr(&bad));
+    assert_eq!(rejected.status.code(), Some(2));
+    assert!(
+        stderr(&rejected).contains("--times: found 0; expected 0.01 to 20"),
+        "{}",
+        stderr(&rejected)
+    );
 }
 
 /// Guards against one caller crashing engine after engine and cutting other callers' answers: a
--- a/tests/test_rollout_traffic.rs
+++ b/tests/test_rollout_traffic.rs
@@ -10,7 +10,7 @@
 use tarragonknot::upstream::VmState;
 
 /// Largest share of requests for a version on trial.
-const BOUND: f64 = 0.5;
+const SHARE_LIMIT: f64 = 0.5;
 
 /// The leader's roll-out log, without voters.
 struct OrderedRollout(RolloutLog);
@@ -36,9 +36,9 @@
         self.0.step(&step);
     }
 
-    fn tell(&self, fleet: &RoutedFleet) {
+    fn publish_to(&self, fleet: &RoutedFleet) {
         fleet.state.rollouts.confirm_leader(fleet.state.clock.now());
-        fleet.state.apply_rollouts(RolloutRows::new(&self.0, BOUND));
+        fleet.state.apply_rollouts(RolloutRows::new(&self.0, SHARE_LIMIT));
     }
 }
 
@@ -57,7 +57,7 @@
     let (old, new) = (engine("i-old").await, engine("i-new").await);
     let fleet = RoutedFleet::start(&[&old]).await;
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
-    OrderedRollout::begin().tell(&fleet);
+    OrderedRollout::begin().publish_to(&fleet);
 
     for number in 0..40 {
         let answer = fleet.call("/safe/a", &format!("r{number}")).await;
@@ -76,7 +76,7 @@
     let (old, new) = (engine("i-old").await, engine("i-new").await);
     let fleet = RoutedFleet::start(&[&old]).await;
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
-    fleet.state.apply_rollouts(RolloutRows::new(&OrderedRollout::begin().0, BOUND));
+    fleet.state.apply_rollouts(RolloutRows::new(&OrderedRollout::begin().0, SHARE_LIMIT));
     while fleet.state.clock.now().0 < 1_600_000 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -97,7 +97,7 @@
     let fleet = RoutedFleet::start(&[&old]).await;
     fleet.state.set_retry_bound(RetryBound { ratio: 1.0, slack: 100 });
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
-    OrderedRollout::begin().tell(&fleet);
+    OrderedRollout::begin().publish_to(&fleet);
 
     for number in 0..20 {
         let answer = fleet.call("/safe/a", &format!("r{number}")).await;
@@ -130,7 +130,7 @@
     }
     rollout.step(RolloutEvent::Approved);
     rollout.step(RolloutEvent::Approved);
-    rollout.tell(&fleet);
+    rollout.publish_to(&fleet);
 
     while new.count() + old.count() < 8 {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -148,19 +148,19 @@
     let (old, new) = (engine("i-old").await, engine("i-new").await);
     let fleet = RoutedFleet::start(&[&old]).await;
     fleet.list_versions(&[(&old, "v1"), (&new, "v2")], VmState::Live);
-    let mut back = OrderedRollout::begin();
-    back.step(RolloutEvent::Condemned);
-    back.tell(&fleet);
+    let mut rolled_back = OrderedRollout::begin();
+    rolled_back.step(RolloutEvent::Condemned);
+    rolled_back.publish_to(&fleet);
     for number in 0..10 {
         fleet.call("/safe/a", &format!("r{number}")).await;
     }
     let on_new = new.count();
 
-    let mut done = OrderedRollout::begin();
+    let mut completed = OrderedRollout::begin();
     [RolloutEvent::Approved, RolloutEvent::Approved, RolloutEvent::Drained]
         .into_iter()
-        .for_each(|event| done.step(event));
-    done.tell(&fleet);
+        .for_each(|event| completed.step(event));
+    completed.publish_to(&fleet);
     for number in 10..20 {
         fleet.call("/safe/a", &format!("r{number}")).await;
     }
