--- a/tests/engine_park.rs
+++ b/tests/crashing_engines.rs
@@ -6,100 +6,102 @@
 use tarragonknot::upstream::VmState;
 
 /// Body of the request that crashes engines.
-pub const POISON: &str = "poison";
+pub const POISON_BODY: &str = "poison";
 /// Number of daemons.
-const DAEMONS: usize = 3;
+const DAEMON_COUNT: usize = 3;
 /// Number of engines that run at any time.
-const ENGINES: usize = 4;
+const ENGINE_COUNT: usize = 4;
 /// Time limit for the daemons to learn of a crashed engine; generous even for a busy machine.
-const PATIENCE: Duration = Duration::from_secs(10);
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const CRASH_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Daemons and the engines that they share.
-pub struct EnginePark {
+pub struct CrashingEngines {
     pub daemons: Vec<RoutedFleet>,
     engines: Vec<ScriptedEngine>,
     /// Number of poison requests received by each crashed engine.
-    ended: Vec<usize>,
+    crashed: Vec<usize>,
     poison_move: EngineMove,
 }
 
-impl EnginePark {
+impl CrashingEngines {
     /// Starts engines that answer every request except the poison request, which triggers
     /// `poison_move`.
     pub async fn start(poison_move: EngineMove) -> Self {
         let mut engines = Vec::new();
-        for number in 0..ENGINES {
+        for number in 0..ENGINE_COUNT {
             engines.push(engine(number, poison_move.clone()).await);
         }
         let listed: Vec<&ScriptedEngine> = engines.iter().collect();
-        let daemons = RoutedFleet::start_several(DAEMONS, &listed).await;
-        EnginePark { daemons, engines, ended: Vec::new(), poison_move }
+        let daemons = RoutedFleet::start_several(DAEMON_COUNT, &listed).await;
+        CrashingEngines { daemons, engines, crashed: Vec::new(), poison_move }
     }
 
     /// Sends a request with an id of its own to one of the daemons, then replaces crashed engines.
     pub async fn attempt(&mut self, number: usize, path: &str, body: &str) -> CallerAnswer {
         let daemon = &self.daemons[number % self.daemons.len()];
         let answer = daemon.call_body(path, &format!("id-{number}"), body).await;
-        self.settle(path).await;
-        self.replace_ended().await;
+        self.wait_for_crash_reports(path).await;
+        self.replace_crashed().await;
         answer
     }
 
     /// Waits until all daemons have recorded every engine crash, or the time limit is over.
-    async fn settle(&self, path: &str) {
+    async fn wait_for_crash_reports(&self, path: &str) {
         let content = RequestContent {
             organisation: "agents",
             method: "POST",
             host: "shop.example",
             path,
-            body: POISON.as_bytes(),
+            body: POISON_BODY.as_bytes(),
         };
         let request = RequestFingerprint::of(&content);
-        let ended = self.ended.len() + self.engines.iter().filter(|one| one.has_ended()).count();
-        let knows = |daemon: &RoutedFleet| daemon.state.quarantine.crashes(request) >= ended;
-        let until = tokio::time::Instant::now() + PATIENCE;
-        while !self.daemons.iter().all(knows) && tokio::time::Instant::now() < until {
-            tokio::time::sleep(LOOK_PAUSE).await;
+        let crashed =
+            self.crashed.len() + self.engines.iter().filter(|one| one.has_ended()).count();
+        let knows = |daemon: &RoutedFleet| daemon.state.quarantine.crashes(request) >= crashed;
+        let time_limit = tokio::time::Instant::now() + CRASH_REPORT_TIMEOUT;
+        while !self.daemons.iter().all(knows) && tokio::time::Instant::now() < time_limit {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn replace_ended(&mut self) {
-        let (ended, mut living): (Vec<_>, Vec<_>) =
+    async fn replace_crashed(&mut self) {
+        let (crashed, mut running): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.engines).into_iter().partition(ScriptedEngine::has_ended);
-        self.ended.extend(ended.iter().map(poison_count));
-        while living.len() < ENGINES {
-            let number = ENGINES + self.ended.len() + living.len();
-            living.push(engine(number, self.poison_move.clone()).await);
+        self.crashed.extend(crashed.iter().map(poison_requests_at));
+        while running.len() < ENGINE_COUNT {
+            let number = ENGINE_COUNT + self.crashed.len() + running.len();
+            running.push(engine(number, self.poison_move.clone()).await);
         }
-        self.engines = living;
-        self.list();
+        self.engines = running;
+        self.list_engines();
     }
 
-    fn list(&self) {
+    fn list_engines(&self) {
         let listed: Vec<&ScriptedEngine> = self.engines.iter().collect();
         self.daemons.iter().for_each(|daemon| daemon.list(&listed, VmState::Live));
     }
 
     /// Number of crashed engines that have been replaced.
-    pub fn ended(&self) -> usize {
-        self.ended.len()
+    pub fn crashed_count(&self) -> usize {
+        self.crashed.len()
     }
 
     /// Number of poison requests that engines received.
-    pub fn poison_sends(&self) -> usize {
-        self.ended.iter().sum::<usize>() + self.engines.iter().map(poison_count).sum::<usize>()
+    pub fn poison_request_count(&self) -> usize {
+        self.crashed.iter().sum::<usize>()
+            + self.engines.iter().map(poison_requests_at).sum::<usize>()
     }
 }
 
-fn poison_count(engine: &ScriptedEngine) -> usize {
-    engine.seen().iter().filter(|request| request.body == POISON.as_bytes()).count()
+fn poison_requests_at(engine: &ScriptedEngine) -> usize {
+    engine.seen().iter().filter(|request| request.body == POISON_BODY.as_bytes()).count()
 }
 
 async fn engine(number: usize, poison_move: EngineMove) -> ScriptedEngine {
     ScriptedEngine::reading(&format!("i-{number}"), move |_, request| {
         let is_stream = request.path.starts_with("/stream") || request.path.starts_with("/resum");
-        match request.body == POISON.as_bytes() {
+        match request.body == POISON_BODY.as_bytes() {
             true => poison_move.clone(),
             false if is_stream => EngineMove::Events(1, 3),
             false => EngineMove::Answer(200, "fine"),
--- a/tests/sized_load.rs
+++ b/tests/sized_load.rs
@@ -17,14 +17,14 @@
 
 /// Requests that each engine runs at a time.
 const PLACES_PER_ENGINE: u32 = 8;
-/// Decode time per output token and prefill time per prompt token at an engine with slowness 1.0.
-const TOKEN_GAP_MICROS: f64 = 4_000.0;
-const PREFILL_MICROS_PER_TOKEN: f64 = 10.0;
+/// Decode time per output token and prefill time per prompt token, at an engine of slowness 1.0.
+const DECODE_US: f64 = 4_000.0;
+const PREFILL_US: f64 = 10.0;
 /// Round trip to an engine.
-const ROUND_TRIP_MICROS: u64 = 1_000;
+const ROUND_TRIP_US: u64 = 1_000;
 /// Interval between load reports to peers, and their age on arrival.
-const PEER_LOAD_INTERVAL_MICROS: u64 = 200_000;
-const PEER_LOAD_AGE_MICROS: u64 = 100_000;
+const PEER_LOAD_INTERVAL_US: u64 = 200_000;
+const PEER_LOAD_AGE_US: u64 = 100_000;
 /// A caller leaves without a first event after its patience, and in any case at its deadline.
 const PATIENCE_MS: u64 = 1_800;
 const DEADLINE_MS: u64 = 12_000;
@@ -38,8 +38,8 @@
     pub rank: u8,
     pub prompt: f64,
     pub output: f64,
-    /// Fraction of all arrivals.
-    pub arrival_fraction: f64,
+    /// Share of all arrivals.
+    pub share: f64,
     /// Multiplies the arrival rate of this kind.
     pub burst_factor: f64,
 }
@@ -64,11 +64,11 @@
 impl SizedLoad {
     /// Three kinds of requests on engines of three speeds, at twice their capacity.
     pub fn overload(daemons: usize) -> Self {
-        let kind = |rank, prompt, output, arrival_fraction| SizedKind {
+        let kind = |rank, prompt, output, share| SizedKind {
             rank,
             prompt,
             output,
-            arrival_fraction,
+            share,
             burst_factor: 1.0,
         };
         SizedLoad {
@@ -223,14 +223,11 @@
 
     /// Arrival rate of a kind per second.
     fn rate(&self, kind: usize) -> f64 {
-        let mean = |kind: &SizedKind| {
-            (kind.prompt * PREFILL_MICROS_PER_TOKEN + kind.output * TOKEN_GAP_MICROS)
-                * kind.arrival_fraction
-        };
+        let mean = |own: &SizedKind| (own.prompt * PREFILL_US + own.output * DECODE_US) * own.share;
         let work: f64 = self.load.kinds.iter().map(mean).sum();
         let speed: f64 = self.load.engine_slowness.iter().map(|slowness| 1.0 / slowness).sum();
         let all = speed * f64::from(PLACES_PER_ENGINE) * 1e6 / work * self.load.load_factor;
-        all * self.load.kinds[kind].arrival_fraction * self.load.kinds[kind].burst_factor
+        all * self.load.kinds[kind].share * self.load.kinds[kind].burst_factor
     }
 
     fn run(&mut self) {
@@ -260,7 +257,7 @@
         self.daemons[daemon].0.handle(event, Moment(now), &mut self.rng, &mut actions);
         for action in actions {
             if let PoolAction::Dispatch { id, upstream } = action {
-                self.push(now + ROUND_TRIP_MICROS, DueEvent::ReachEngine { id, upstream });
+                self.push(now + ROUND_TRIP_US, DueEvent::ReachEngine { id, upstream });
             }
         }
     }
@@ -322,14 +319,14 @@
         self.running[engine] += 1;
         request.is_begun = true;
         let slowness = self.load.engine_slowness[engine];
-        let first = (request.prompt * PREFILL_MICROS_PER_TOKEN * slowness) as u64
-            + 2 * (TOKEN_GAP_MICROS * slowness) as u64;
+        let first =
+            (request.prompt * PREFILL_US * slowness) as u64 + 2 * (DECODE_US * slowness) as u64;
         let due = request.deadline - (DEADLINE_MS - OBJECTIVE_MS) * 1_000;
         request.is_in_time = now + first <= due;
-        let whole = now + first + (request.output * TOKEN_GAP_MICROS * slowness) as u64;
+        let whole = now + first + (request.output * DECODE_US * slowness) as u64;
         let (until, is_whole) = (whole.min(request.deadline), whole <= request.deadline);
         let after = Duration::from_micros(first);
-        let gap = Duration::from_micros((TOKEN_GAP_MICROS * slowness) as u64);
+        let gap = Duration::from_micros((DECODE_US * slowness) as u64);
         self.deliver(daemon, PoolEvent::Granted(id), now);
         let first_token = PoolEvent::FirstToken { id, after };
         self.push(now + first, DueEvent::Deliver { daemon, event: first_token });
@@ -373,12 +370,12 @@
                 let requests = count - rows[daemon].get(name).copied().unwrap_or(0);
                 (name.clone(), PeerWork { requests, ..PeerWork::default() })
             });
-            let age = Duration::from_micros(PEER_LOAD_AGE_MICROS + PEER_LOAD_INTERVAL_MICROS);
+            let age = Duration::from_micros(PEER_LOAD_AGE_US + PEER_LOAD_INTERVAL_US);
             let waiting = PeerWaiting { levels: others, age };
             let group = FleetGroup::default();
             let event = PoolEvent::PeerLoad { rows: work.collect(), group, waiting };
-            self.push(now + PEER_LOAD_AGE_MICROS, DueEvent::Deliver { daemon, event });
+            self.push(now + PEER_LOAD_AGE_US, DueEvent::Deliver { daemon, event });
         }
-        self.push(now + PEER_LOAD_INTERVAL_MICROS, DueEvent::SharePeerLoad);
+        self.push(now + PEER_LOAD_INTERVAL_US, DueEvent::SharePeerLoad);
     }
 }
--- a/tests/test_experiment.rs
+++ b/tests/test_experiment.rs
@@ -243,8 +243,8 @@
 }
 
 /// Guards against one caller crashing engine after engine and cutting other callers' answers: a
-/// request crashes the engine that starts it, is retried at a second one, and returns at another daemon
-/// 200 ms later, where each daemon and each attempt treats it as new.
+/// request crashes the engine that starts it, is retried at a second one, and returns at another
+/// daemon 200 ms later, where each daemon and each attempt treats it as new.
 #[test]
 fn a_request_that_ends_engines_costs_few_of_them_and_few_answers() {
     let fault = FaultKind::PoisonRequest;
--- a/tests/test_quarantine.rs
+++ b/tests/test_quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests under which engines end, and those that only were there.
 
-use crate::engine_park::{EnginePark, POISON};
+use crate::crashing_engines::{CrashingEngines, POISON_BODY};
 use crate::fixtures::{AGENTS_KEY, small_fleet, upstream};
 use crate::routed_fleet::{EngineMove, ScriptedEngine};
 use bytes::Bytes;
@@ -37,13 +37,13 @@
     #[case] path: &str,
     #[case] poison_move: EngineMove,
 ) {
-    let mut park = EnginePark::start(poison_move).await;
+    let mut park = CrashingEngines::start(poison_move).await;
 
     for number in 0..ATTEMPTS {
-        park.attempt(number, path, POISON).await;
+        park.attempt(number, path, POISON_BODY).await;
     }
 
-    let (sends, ended) = (park.poison_sends(), park.ended());
+    let (sends, ended) = (park.poison_request_count(), park.crashed_count());
     assert!(sends <= MOST_SENDS, "{sends} sends, {ended} engines ended");
     for number in 0..3 {
         let answer = park.attempt(number, path, "sound").await;
@@ -54,12 +54,12 @@
 /// What callers of content that is held back are told: that it has not run, why, and for how long.
 #[tokio::test]
 async fn a_request_that_is_held_back_is_refused_truthfully() {
-    let mut park = EnginePark::start(EngineMove::Crash).await;
+    let mut park = CrashingEngines::start(EngineMove::Crash).await;
     for number in 0..3 {
-        park.attempt(number, "/unsafe/x", POISON).await;
+        park.attempt(number, "/unsafe/x", POISON_BODY).await;
     }
 
-    let answer = park.attempt(3, "/unsafe/x", POISON).await;
+    let answer = park.attempt(3, "/unsafe/x", POISON_BODY).await;
 
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     let body = answer.body.expect("a whole body");
@@ -67,7 +67,7 @@
     assert_eq!((problem.kind, problem.ran), (AnswerKind::Quarantined, ExecutionStatus::No));
     let returns = answer.headers["retry-after"].to_str().expect("text").parse::<f64>();
     assert!(returns.expect("seconds") > 500.0, "what is left of ten minutes");
-    assert_eq!(park.poison_sends(), 3);
+    assert_eq!(park.poison_request_count(), 3);
 }
 
 fn request_of(body: &str) -> RequestFingerprint {
@@ -100,7 +100,7 @@
         let request = Request::post(format!("http://{}/pack-api/x", fleet.front.address))
             .header("authorization", format!("Bearer {AGENTS_KEY}"))
             .header("x-note", number.to_string())
-            .body(Full::new(Bytes::from_static(POISON.as_bytes())))
+            .body(Full::new(Bytes::from_static(POISON_BODY.as_bytes())))
             .expect("a request");
         let response = client.request(request).await.expect("an answer");
         let body = response.into_body().collect().await.expect("a body").to_bytes();
@@ -109,7 +109,7 @@
         // The look at the engine's address comes a moment after the caller's answer.
         let ended = engines.iter().filter(|engine| engine.has_ended()).count();
         for _ in 0..500 {
-            if fleet.state.quarantine.crashes(request_of(POISON)) >= ended {
+            if fleet.state.quarantine.crashes(request_of(POISON_BODY)) >= ended {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/tests/test_rollout.rs
+++ b/tests/test_rollout.rs
@@ -1,6 +1,6 @@
 //! Roll-outs of upstream software: orders, final stages, traffic shares and verdicts.
 
-use crate::rollout_play::{Badness, EVENTS, RolloutPlay, Trouble, is_rolled_back};
+use crate::rollout_simulation::{EVENTS, RolloutSimulation, Trouble, VersionFault, is_rolled_back};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use tarragonknot::control::{ControlCommand, ControlLedger, ControlReply};
@@ -103,7 +103,7 @@
                 && before.number == after.number
                 && before.stage.is_final()
             {
-                assert_eq!(before.stage, after.stage, "an end reverted");
+                assert_eq!(before.stage, after.stage, "a final stage reverted");
             }
             let newest = after.as_ref().map_or(0, |record| record.number);
             assert!(known.iter().all(|number| *number <= newest), "{known:?} of {newest}");
@@ -130,16 +130,16 @@
 #[test]
 fn the_share_is_of_what_is_sent() {
     let mut sent = [0u32; 2];
-    let mut paces: Vec<SharePacer> =
+    let mut pacers: Vec<SharePacer> =
         (0..80).map(|daemon| SharePacer::new(f64::from(daemon) / 80.0)).collect();
 
     for request in 0..80 * 200 {
-        let pace = &mut paces[request % 80];
-        match pace.try_take() {
+        let pacer = &mut pacers[request % 80];
+        match pacer.try_take() {
             true => sent[1] += 1,
             // One in three requests is sent; the others are refused.
             false if request / 80 % 3 == 0 => {
-                pace.record_old_send(0.06);
+                pacer.record_old_send(0.06);
                 sent[0] += 1;
             }
             false => {}
@@ -152,24 +152,24 @@
 
 /// Guards against approving a bad version, or giving it more than its share.
 #[rstest]
-#[case::all_fail(Badness::Fails(1.0))]
-#[case::three_in_ten_fail(Badness::Fails(0.3))]
-#[case::one_in_ten_fails(Badness::Fails(0.1))]
-#[case::three_times_slower(Badness::Slow(3.0))]
-#[case::eight_times_slower(Badness::Slow(8.0))]
-#[case::later(Badness::Later(0.5))]
-#[case::one_route(Badness::OneRoute)]
-#[case::under_load(Badness::UnderLoad)]
-#[case::absent(Badness::Absent)]
+#[case::all_fail(VersionFault::Fails(1.0))]
+#[case::three_in_ten_fail(VersionFault::Fails(0.3))]
+#[case::one_in_ten_fails(VersionFault::Fails(0.1))]
+#[case::three_times_slower(VersionFault::Slow(3.0))]
+#[case::eight_times_slower(VersionFault::Slow(8.0))]
+#[case::later(VersionFault::Later(0.5))]
+#[case::one_route(VersionFault::OneRoute)]
+#[case::under_load(VersionFault::UnderLoad)]
+#[case::absent(VersionFault::Absent)]
 fn a_bad_version_is_rolled_back(
-    #[case] badness: Badness,
+    #[case] version_fault: VersionFault,
     #[values(7, 80, 291)] daemons: usize,
     #[values(Trouble::Nothing, Trouble::GreyEngines, Trouble::LeaderLost)] trouble: Trouble,
 ) {
     for seed in 0..4 {
-        let play = RolloutPlay { daemons, rate: 400.0, badness, trouble, seed };
+        let simulation = RolloutSimulation { daemons, rate: 400.0, version_fault, trouble, seed };
 
-        let outcome = play.play();
+        let outcome = simulation.run();
 
         assert!(is_rolled_back(&outcome), "seed {seed}: {outcome:?}");
         assert!(!outcome.is_overexposed(), "seed {seed}: {outcome:?}");
@@ -185,7 +185,14 @@
 ) {
     let seeds = 0..6;
     let ends = seeds.map(|seed| {
-        RolloutPlay { daemons, rate: 400.0, badness: Badness::Nothing, trouble, seed }.play()
+        RolloutSimulation {
+            daemons,
+            rate: 400.0,
+            version_fault: VersionFault::Nothing,
+            trouble,
+            seed,
+        }
+        .run()
     });
     let in_time =
         ends.filter(|end| end.stage == RolloutStage::Completed && end.ended_ms <= 12_000).count();
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of the whole program: a file per subcommand, and focused files for the promises.
 
 mod burst_pool;
-mod engine_park;
+mod crashing_engines;
 mod fixtures;
 mod fleet_play;
 mod fleet_schedule;
-mod rollout_play;
+mod rollout_simulation;
 mod routed_fleet;
 mod schedule;
 mod session;
