--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: daemons with their limits, messages that take a while, are lost, or come twice.
+//! A simulation of a fleet in virtual time: daemons with their limits, and messages that are
+//! delayed, lost or duplicated.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,14 +13,15 @@
 use tarragonknot::policy::{LimitTable, Moment, OrganisationIndex, OrganisationLimit};
 use tarragonknot::quarantine::CrashTable;
 
-/// The organisation of these tests.
+/// The organisation whose limit is under test.
 pub const HOT: OrganisationIndex = OrganisationIndex(0);
-/// Tokens a second and burst of its limit.
+/// Rate in tokens per second and burst size in tokens of the limit of `HOT`.
 pub const RATE: u64 = 100_000;
-/// Time on the way of a message, in microseconds: between two data centres, with a slow timer.
+/// Least network delay of a message in microseconds: that between two data centres, with a slow
+/// timer.
 const WAY: u64 = 2_000;
 
-/// One daemon's limits, with empty buckets since `began`.
+/// A daemon's limits, with buckets that are empty at `began`.
 pub fn hot_limits(began: Moment) -> LimitTable {
     let mut limits = LimitTable::default();
     let limit = OrganisationLimit {
@@ -44,7 +46,7 @@
     format!("entry-{number}")
 }
 
-/// One daemon.
+/// A simulated daemon.
 pub struct PlayedDaemon {
     pub fleet: FleetState,
     pub limits: LimitTable,
@@ -52,7 +54,7 @@
     pub work: Vec<WorkRow>,
     pub is_running: bool,
     pub has_left: bool,
-    /// Messages sent and heard, and bytes of both.
+    /// Messages sent, messages received, and the bytes of both.
     pub sent: u64,
     pub heard: u64,
     pub bytes: u64,
@@ -104,17 +106,18 @@
     }
 }
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 enum DueEvent {
     Tick { daemon: usize, boot: u64 },
     Message { to: SocketAddr, message: Box<FleetMessage> },
 }
 
-/// What becomes of a message from one daemon to another at a time: how many copies arrive.
+/// Decides how many copies of a message arrive, from the sender, the receiver, the time and a
+/// uniform random draw in 0.0..1.0.
 pub type Weather = Box<dyn Fn(usize, usize, Moment, f64) -> usize>;
 
-/// The fleet.
+/// The simulated fleet and its event queue.
 pub struct FleetPlay {
     pub daemons: Vec<PlayedDaemon>,
     pub now: Moment,
@@ -127,7 +130,8 @@
 }
 
 impl FleetPlay {
-    /// `count` daemons that start within 300 ms of each other and are told of each other a second later.
+    /// Starts `count` daemons within 300 ms of each other; a second later each receives the serving
+    /// list.
     pub fn new(count: usize, seed: u64, weather: Weather) -> Self {
         let mut play = FleetPlay {
             daemons: Vec::new(),
@@ -150,7 +154,7 @@
         play
     }
 
-    /// The same where no message is lost.
+    /// Like `new`, with every message delivered exactly once.
     pub fn calm(count: usize, seed: u64) -> Self {
         Self::new(count, seed, Box::new(|_, _, _, _| 1))
     }
@@ -161,7 +165,8 @@
         self.events.insert(self.next, event);
     }
 
-    /// The leader names those who run to those who run.
+    /// Sends the leader's serving list, which holds the running daemons that have not left, to all
+    /// running daemons.
     pub fn name_all(&mut self) {
         let running = |daemon: &PlayedDaemon| daemon.is_running && !daemon.has_left;
         let numbered = self.daemons.iter().enumerate();
@@ -174,12 +179,12 @@
         daemons.for_each(|daemon| daemon.fleet.set_serving_list(named.clone(), now));
     }
 
-    /// A daemon stops without a word.
+    /// Stops a daemon without a departure message.
     pub fn kill(&mut self, number: usize) {
         self.daemons[number].is_running = false;
     }
 
-    /// A daemon starts again, or for the first time, and knows of nobody.
+    /// Starts a daemon, for the first time or again, with no knowledge of its peers.
     pub fn start(&mut self, number: usize) {
         self.boots += 1;
         let draw = self.rng.random();
@@ -191,7 +196,7 @@
         self.push(self.now, DueEvent::Tick { daemon: number, boot: self.boots });
     }
 
-    /// Lets time pass; the leader names all each 400 ms while `has_leader`.
+    /// Advances time; while `has_leader`, the serving list is sent every 400 ms.
     pub fn run(&mut self, millis: u64, has_leader: bool) {
         for _ in 0..millis.div_ceil(400) {
             self.run_for(400.min(millis));
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Lets time pass without a word of the leader.
+    /// Advances time without a serving list from the leader.
     pub fn run_for(&mut self, millis: u64) {
         let until = self.now.0 + millis * 1_000;
         while let Some(Reverse((at, id))) =
@@ -258,7 +263,7 @@
         };
         let copies = (self.weather)(from, number, self.now, self.rng.random());
         for _ in 0..copies {
-            // One in fifty takes far longer and is overtaken.
+            // One message in fifty takes 60 ms longer and is overtaken by later ones.
             let slow = if self.rng.random_bool(0.02) { 60_000 } else { 0 };
             let way = WAY + self.rng.random_range(0..1_000) + slow;
             let message = Box::new(message.clone());
@@ -287,9 +292,9 @@
         }
     }
 
-    /// Callers ask for `times` the limit for some seconds, in requests of `cost` tokens at daemons drawn by `whom` (from
-    /// 0.0..1.0 to a daemon's number). Returns tokens let through in each second, and how many requests of all were
-    /// refused.
+    /// Offers `times` the limit for some seconds, in requests of `cost` tokens at daemons chosen by
+    /// `whom` (from a draw in 0.0..1.0 to a daemon's number). Returns the tokens admitted in each
+    /// second, and the counts of all and of refused requests.
     pub fn ask(
         &mut self,
         (times, cost): (f64, u32),
@@ -329,22 +334,22 @@
     }
 }
 
-/// What came of asking.
+/// The outcome of an offered load.
 #[derive(Clone, Debug, Default)]
 pub struct AskedTokens {
-    /// Tokens let through, by second.
+    /// Tokens admitted, by second.
     pub let_through: Vec<u64>,
     pub requests: u64,
     pub refused: u64,
 }
 
 impl AskedTokens {
-    /// The most that was let through in `seconds` in a row.
+    /// The most tokens admitted in any `seconds` consecutive seconds.
     pub fn worst(&self, seconds: usize) -> u64 {
         self.let_through.windows(seconds).map(|window| window.iter().sum()).max().unwrap_or(0)
     }
 
-    /// Tokens let through from a second on, each second in the mean.
+    /// Mean tokens admitted per second, from the given second on.
     pub fn mean_from(&self, second: usize) -> f64 {
         let rest = &self.let_through[second..];
         rest.iter().sum::<u64>() as f64 / rest.len() as f64
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -1,4 +1,5 @@
-//! Messages between daemons that are damaged, of another version, of a stranger, or absurd.
+//! Messages between daemons that are damaged, of another version, from an unknown sender, or
+//! implausible.
 
 use crate::fleet_play::{FleetPlay, address, hot};
 use proptest::prelude::*;
@@ -50,7 +51,7 @@
 }
 
 proptest! {
-    /// Whatever is cut off or changed, the tag shows it; nothing is read in part.
+    /// The authentication tag detects any truncation or bit flip; no message is decoded in part.
     #[test]
     fn a_damaged_message_is_dropped(length in 0_usize..200, at in 0_usize..200, bit in 0_u8..8) {
         let whole = bytes();
@@ -63,7 +64,8 @@
         prop_assert_eq!(decode_message(&changed, KEY).err(), Some(DropCause::BadTag));
     }
 
-    /// What is made with the key by a program that is not ours is refused or read, and never ends the process.
+    /// A body with a valid tag from a foreign program is refused or decoded, and never ends the
+    /// process.
     #[test]
     fn any_body_is_refused_or_read(body in proptest::collection::vec(any::<u8>(), 0..300)) {
         use sha2::{Digest, Sha256};
@@ -104,8 +106,9 @@
     assert_eq!(daemon.fleet.drain_charges(), []);
 }
 
-/// Symptom: a bucket is charged with tokens that nobody let through, or given some back. Sequence: a counter falls and
-/// rises again within one start of its source. Cause: a difference taken of whatever comes.
+/// Guards against a bucket that is charged with tokens that nobody admitted, or is given some back.
+/// A counter falls and rises again within one start of its source, so its differences must not be
+/// taken unchecked.
 #[test]
 fn a_counter_that_falls_changes_nothing() {
     let mut play = FleetPlay::calm(3, 1);
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -1,4 +1,5 @@
-//! The fleet's sums: who is counted, how old they are, what they cost, and what becomes of them under faults.
+//! Fleet-wide sums: which daemons they cover, their age, their cost, and their behaviour under
+//! faults.
 
 use crate::fleet_play::{FleetPlay, RATE, address, hot, name};
 use proptest::prelude::*;
@@ -35,7 +36,7 @@
     assert!((0..groups).all(|group| at(group).all(|index| index == group)));
 }
 
-/// Where all rows of a source come with each message.
+/// A flow row of a source that sends all of its rows with each message.
 fn row(taken: i64) -> FlowRow {
     FlowRow { organisation: hot(), taken, asked: taken as u64, refill_ms: 0 }
 }
@@ -45,7 +46,8 @@
 }
 
 proptest! {
-    /// Any order, repetition and loss of messages ends in the same sum, once the last message has come.
+    /// Messages may be reordered, duplicated and lost: once the last one has arrived, the sum is
+    /// the same.
     #[test]
     fn a_sum_does_not_depend_on_the_way_of_messages(
         steps in proptest::collection::vec(0_i64..5_000, 2..40),
@@ -68,8 +70,8 @@
     }
 }
 
-/// Symptom: a burst is charged twice, or not at all. Sequence: a daemon is killed and starts again; its counters begin at
-/// nought. Cause: a difference between the counters of two starts.
+/// Guards against a burst that is charged twice or not at all. A daemon that is killed and
+/// restarted counts from 0 again, so a difference between the counters of two starts is wrong.
 #[test]
 fn a_daemon_that_starts_again_counts_from_nought() {
     let daemon = DaemonName::from("entry-1");
@@ -84,9 +86,9 @@
     assert_eq!(late, Err(MessageRefusal::Overtaken));
 }
 
-/// Symptom: after an aggregator is replaced every bucket of the fleet is empty for seconds. Sequence: the new aggregator
-/// hears counters that began long ago, one organisation after the other. Cause: taking counters heard for the first
-/// time for tokens let through just now.
+/// Guards against buckets that are empty across the fleet for seconds after an aggregator is
+/// replaced. The new aggregator receives counters that began long ago, one organisation after the
+/// other, and must not take the first value of each for tokens admitted just now.
 #[test]
 fn what_a_new_source_let_through_before_is_not_counted() {
     let daemon = DaemonName::from("entry-1");
@@ -100,9 +102,10 @@
     assert_eq!(third.map(|deltas| deltas[0].taken), Ok(500));
 }
 
-/// Symptom: an organisation exceeds its limit while a daemon is cut off, or is refused for long after the cut has healed.
-/// Sequence: a daemon with half of an organisation's callers falls silent for five seconds, and had let nothing through.
-/// Cause: a silent daemon taken for idle; and nothing given back when it is heard again.
+/// Guards against an organisation that exceeds its limit while a daemon is partitioned, or is
+/// refused for long after the partition heals. A daemon with half of an organisation's callers is
+/// silent for five seconds and has admitted nothing. It must not be taken for idle, and part of the
+/// estimate must be given back when it is heard again.
 #[test]
 fn a_silent_source_is_taken_to_use_its_part_and_some_is_given_back() {
     let daemon = DaemonName::from("entry-1");
@@ -173,7 +176,8 @@
     assert_eq!((third, back), (address(2), address(0)));
 }
 
-/// Tokens that all daemons know the others to have let through, after each of them let some through.
+/// Admits `tokens` at every daemon and returns, for each daemon, the tokens it then counts as
+/// admitted by the whole fleet.
 fn spread_tokens(play: &mut FleetPlay, tokens: u32) -> Vec<f64> {
     let now = play.now;
     for daemon in &mut play.daemons {
@@ -209,7 +213,7 @@
     assert!(most - least <= RATE as f64 * 0.05, "{least}..{most}");
 }
 
-/// A daemon's messages and bytes in a second, in the mean and at most.
+/// Messages per second of a daemon, as mean and maximum, and mean bytes per second.
 fn cost(count: usize) -> (f64, f64, f64) {
     let mut play = FleetPlay::calm(count, 2);
     play.run(2_000, true);
@@ -229,13 +233,13 @@
     (messages, most, bytes)
 }
 
-/// Symptom: the larger the fleet, the older what its daemons know, and the more processor time they spend on it. Cause:
-/// each daemon tells all others.
+/// Guards against state that grows older, and costs more processor time, the larger the fleet is,
+/// as when each daemon reports to all others.
 #[test]
 fn the_cost_of_a_daemon_grows_no_faster_than_the_square_root_of_the_fleet() {
     let costs: Vec<(f64, f64, f64)> = [60, 300, 1_000].into_iter().map(cost).collect();
 
-    // From 60 to 1,000 the square root grows 4.1 times.
+    // From 60 to 1,000 daemons the square root grows by a factor of 4.1.
     assert!(costs[2].0 <= costs[0].0 * 4.1, "{costs:?}");
     assert!(costs[2].1 <= costs[0].1 * 4.1, "{costs:?}");
     assert!(costs.iter().all(|(mean, most, _)| *mean <= 120.0 && *most <= 1_200.0), "{costs:?}");
@@ -251,7 +255,7 @@
     let mut ages = Vec::new();
     for _ in 0..20 {
         play.run_for(37);
-        // Parts are of any age up to the oldest one's.
+        // The ages of the parts range from 0 to that of the oldest one; half of it is the mean.
         ages.extend(play.daemons.iter().map(|daemon| daemon.fleet.sums_age(play.now) / 2));
     }
     ages.sort_unstable();
@@ -261,8 +265,9 @@
     assert!(age <= Duration::from_millis(bound), "{age:?}");
 }
 
-/// Symptom: limits are exceeded, or refuse everything, for as long as an aggregator is gone. Sequence: the aggregators of all
-/// groups but two are killed at once. Cause: nobody takes their place, or both are counted.
+/// Guards against limits that are exceeded, or refuse everything, while aggregators are gone. The
+/// aggregators of all groups but two are killed at once; others must replace them, and a group must
+/// not be counted twice.
 #[rstest]
 #[case(60)]
 #[case(291)]
@@ -282,8 +287,9 @@
     assert!(covered.iter().all(|covers| *covers == alive), "{alive}: {covered:?}");
 }
 
-/// Symptom: a daemon that was started again while the voters are away lets a whole limit through by itself. Sequence: it
-/// knows of nobody and nobody names it. Cause: sums that are sent to those only who report.
+/// Guards against a daemon that admits a whole limit by itself after a restart while the voters are
+/// away. It knows no peers and no serving list names it, so it would receive no sums if they went
+/// only to daemons that report.
 #[test]
 fn a_daemon_that_starts_while_there_is_no_leader_finds_its_group() {
     let mut play = FleetPlay::calm(100, 5);
@@ -301,8 +307,9 @@
     assert!(fleet.limit_share() >= 1.0);
 }
 
-/// Symptom: after a rolling restart sums lack daemons or hold some twice. Sequence: daemons drain and stop, start again under
-/// their addresses, others are added; a message in ten is lost and one in ten comes twice.
+/// Guards against sums that miss daemons or count some twice after a rolling restart. Daemons
+/// drain, stop and restart under the same addresses while others are added; one message in ten is
+/// lost and one in ten is duplicated.
 #[test]
 fn everybody_is_counted_once_after_restarts_and_growth_under_loss() {
     let weather = |_, _, _, draw: f64| match draw {
@@ -328,7 +335,8 @@
     assert!(covered.iter().all(|covers| (100..=118).contains(covers)), "{covered:?}");
 }
 
-/// Symptom: nobody reads the platform's list, or many do. Sequence: the reader is killed; then the two that follow it.
+/// Guards against no reader of the platform's list, or several. The reader is killed, then its two
+/// successors.
 #[test]
 fn one_daemon_reads_the_list_and_another_takes_over() {
     for count in [7, 60, 291] {
@@ -355,8 +363,8 @@
     UpstreamHash::of(&"pool".into(), &format!("e{number}").as_str().into(), 1)
 }
 
-/// Symptom: a daemon takes its own requests for another one's, and leaves places free. Sequence: the sums of its aggregator
-/// come back with its own part.
+/// Guards against a daemon that counts its own requests as those of others, because its
+/// aggregator's sums include its own part, and so leaves places free.
 #[test]
 fn the_work_of_others_holds_nothing_of_ones_own() {
     let mut play = FleetPlay::calm(64, 8);
@@ -374,8 +382,9 @@
     assert_eq!(seen(63)[&engine(1)].gap_micros, 24_000);
 }
 
-/// Symptom: at 3,000 engines the messages of 300 daemons fill a quarter of their links. Sequence: each sum holds a row for
-/// each engine that a group uses. Cause: rows that have not changed, sent each time, to those for whom they are hints.
+/// Guards against messages that grow with the number of engines: at 3,000 engines those of 300
+/// daemons filled a quarter of their links. Each sum held a row for every engine that a group uses,
+/// and unchanged rows were sent each time to daemons that use them only as hints.
 #[test]
 fn the_size_of_sums_does_not_grow_with_the_engines() {
     let bytes = |engines: usize| {
@@ -398,7 +407,8 @@
     assert!(many <= 4 * few, "{few} bytes of an aggregator, then {many}");
 }
 
-/// Symptom: engines are taken for full whose requests have long ended. Sequence: a daemon is killed with requests running.
+/// Guards against engines that count as full because of requests that ended when their daemon was
+/// killed.
 #[test]
 fn the_work_of_a_daemon_that_is_gone_is_forgotten() {
     for count in [7, 64] {
--- a/tests/test_list_freshness.rs
+++ b/tests/test_list_freshness.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform's list when nobody has told of it, and how soon.
+//! Which daemons read the platform's list when no daemon has announced a reading, and how soon.
 
 use std::time::Duration;
 use tarragonknot::fleet_state::ListFreshness;
@@ -8,7 +8,8 @@
     Moment::from_millis(10_000 + millis)
 }
 
-/// When each of `count` daemons reads the list, in milliseconds, if nobody else does; looked at each 10 ms.
+/// When each of `count` daemons reads the list, in milliseconds, if no other one does; polled every
+/// 10 ms.
 fn readings(count: usize, has_table_at: u64, confirmed: Option<u64>) -> Vec<u64> {
     let reading = |number: usize| {
         let mut freshness = ListFreshness::new((number as f64 + 0.5) / count as f64);
@@ -19,9 +20,10 @@
     (0..count).map(reading).collect()
 }
 
-/// Symptom: after a loss of the whole fleet callers are refused for three seconds, since no upstream is known. Sequence:
-/// all start again; tables come from any voter at once, the leader who names the others two seconds later. Cause: a
-/// daemon that waits for others of whom it knows none.
+/// Guards against callers that are refused for three seconds after the whole fleet was lost, since
+/// no upstream is known. All daemons restart at once; any voter serves tables immediately, but the
+/// leader's serving list comes two seconds later. A daemon that knows no peers must not wait for
+/// them.
 #[test]
 fn daemons_that_know_of_nobody_read_the_list_soon_once_they_have_a_table() {
     let readings = readings(6, 1_000, None);
@@ -29,15 +31,16 @@
     assert!(readings.iter().all(|millis| (1_200..=1_800).contains(millis)), "{readings:?}");
 }
 
-/// Symptom: at the start of a fleet of 291 each daemon reads the list, four calls each. Cause: reading it before there is a
-/// table, without which nobody is served.
+/// Guards against 291 daemons that each read the list at the start of a fleet, at four calls each.
+/// A reading before there is a table is useless, since no request is served without one.
 #[test]
 fn nobody_reads_the_list_before_there_is_a_table() {
     assert!(readings(291, u64::MAX, None).iter().all(|millis| *millis == u64::MAX));
 }
 
-/// Symptom: after the reader's death the platform gets 33,000 calls in 42 s. Sequence: 290 daemons find at the same
-/// moment that nobody has read the list. Cause: a fixed time after which each reads for itself.
+/// Guards against 33,000 calls to the platform in 42 s after the reader's death. With a fixed
+/// timeout, 290 daemons would find at the same moment that the list is overdue, and each would read
+/// it.
 #[test]
 fn overdue_lists_are_read_one_after_the_other() {
     let mut readings = readings(291, 0, Some(0));
--- a/tests/test_shared_list.rs
+++ b/tests/test_shared_list.rs
@@ -1,8 +1,8 @@
-//! The platform's list as daemons tell it to each other.
+//! The platform's list as it is exchanged between daemons.
 
 use tarragonknot::policy::{ChangeVerdict, ListChange, ListedUpstream, SharedList};
 
-/// Upstreams of the given grown deployment.
+/// Number of upstreams in the reference deployment after its growth.
 const UPSTREAMS: u16 = 143;
 
 fn upstream(number: u16, is_leaving: bool) -> ListedUpstream {
@@ -21,7 +21,7 @@
     (0..UPSTREAMS).map(move |number| upstream(number, Some(number) == leaving))
 }
 
-/// A reader, and a daemon that knows the same list.
+/// A reader, and a daemon that holds the same list.
 fn pair() -> (SharedList, SharedList) {
     let (mut reader, mut other) = (SharedList::default(), SharedList::default());
     reader.replace(reading(None));
@@ -33,9 +33,10 @@
     postcard::to_stdvec(change).expect("a change is written").len()
 }
 
-/// Symptom: on a calm day 64 daemons make 9,413 calls to the platform in 48 s, and a third of the streams' events are
-/// late. Sequence: one daemon reads the list and tells it whole; the datagrams fill its link; the others hear nothing
-/// and read for themselves. Cause: 8 KB for each of 63 daemons each second on a link of 10 Mbit/s.
+/// Guards against an unchanged list that is sent whole. Without faults, 64 daemons made 9,413 calls
+/// to the platform in 48 s, and a third of the streams' events were late: 8 KB per second for each
+/// of 63 daemons filled the reader's 10 Mbit/s link, so that the others received nothing and read
+/// the list themselves.
 #[test]
 fn a_reading_that_changed_nothing_is_told_in_a_few_bytes() {
     let (mut reader, mut other) = pair();
@@ -63,9 +64,9 @@
     assert_eq!(other.rows().count(), usize::from(UPSTREAMS) - 1);
 }
 
-/// Symptom: an upstream that leaves gets new work from one daemon for as long as it is there. Sequence: the datagram
-/// with the change is lost; the next reading changes nothing. Cause: a change taken for a list that it was not made
-/// from.
+/// Guards against an upstream that is leaving but still gets new requests from one daemon. The
+/// datagram with the change is lost and the next reading changes nothing; a change must not be
+/// applied to a list other than the one it was made from.
 #[test]
 fn a_daemon_that_missed_a_change_asks_for_the_whole() {
     let (mut reader, mut other) = pair();
