--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -115,10 +115,10 @@
 
 /// Decides how many copies of a message arrive, from the sender, the receiver, the time and a
 /// uniform random draw in 0.0..1.0.
-pub type Weather = Box<dyn Fn(usize, usize, Moment, f64) -> usize>;
+pub type DeliveryRule = Box<dyn Fn(usize, usize, Moment, f64) -> usize>;
 
 /// The simulated fleet and its event queue.
-pub struct FleetPlay {
+pub struct FleetSimulation {
     pub daemons: Vec<PlayedDaemon>,
     pub now: Moment,
     due: BinaryHeap<Reverse<(u64, u64)>>,
@@ -126,14 +126,14 @@
     next: u64,
     boots: u64,
     rng: ChaCha8Rng,
-    weather: Weather,
+    weather: DeliveryRule,
 }
 
-impl FleetPlay {
+impl FleetSimulation {
     /// Starts `count` daemons within 300 ms of each other; a second later each receives the serving
     /// list.
-    pub fn new(count: usize, seed: u64, weather: Weather) -> Self {
-        let mut play = FleetPlay {
+    pub fn new(count: usize, seed: u64, weather: DeliveryRule) -> Self {
+        let mut play = FleetSimulation {
             daemons: Vec::new(),
             now: Moment::from_millis(1_000),
             due: BinaryHeap::new(),
@@ -155,7 +155,7 @@
     }
 
     /// Like `new`, with every message delivered exactly once.
-    pub fn calm(count: usize, seed: u64) -> Self {
+    pub fn lossless(count: usize, seed: u64) -> Self {
         Self::new(count, seed, Box::new(|_, _, _, _| 1))
     }
 
@@ -295,14 +295,14 @@
     /// Offers `times` the limit for some seconds, in requests of `cost` tokens at daemons chosen by
     /// `whom` (from a draw in 0.0..1.0 to a daemon's number). Returns the tokens admitted in each
     /// second, and the counts of all and of refused requests.
-    pub fn ask(
+    pub fn offer_load(
         &mut self,
         (times, cost): (f64, u32),
         seconds: u64,
         whom: impl Fn(f64) -> usize,
-    ) -> AskedTokens {
+    ) -> LoadOutcome {
         let gap = f64::from(cost) / (times * RATE as f64) * 1e6;
-        let mut asked = AskedTokens::default();
+        let mut asked = LoadOutcome::default();
         for _ in 0..seconds {
             let mut passed = 0;
             let start = self.now.0;
@@ -328,7 +328,7 @@
                 at += gap * self.rng.random_range(0.5..1.5);
             }
             self.now = Moment(start + 1_000_000);
-            asked.let_through.push(passed);
+            asked.admitted.push(passed);
         }
         asked
     }
@@ -336,22 +336,22 @@
 
 /// The outcome of an offered load.
 #[derive(Clone, Debug, Default)]
-pub struct AskedTokens {
+pub struct LoadOutcome {
     /// Tokens admitted, by second.
-    pub let_through: Vec<u64>,
+    pub admitted: Vec<u64>,
     pub requests: u64,
     pub refused: u64,
 }
 
-impl AskedTokens {
+impl LoadOutcome {
     /// The most tokens admitted in any `seconds` consecutive seconds.
-    pub fn worst(&self, seconds: usize) -> u64 {
-        self.let_through.windows(seconds).map(|window| window.iter().sum()).max().unwrap_or(0)
+    pub fn max_admitted(&self, seconds: usize) -> u64 {
+        self.admitted.windows(seconds).map(|window| window.iter().sum()).max().unwrap_or(0)
     }
 
     /// Mean tokens admitted per second, from the given second on.
-    pub fn mean_from(&self, second: usize) -> f64 {
-        let rest = &self.let_through[second..];
+    pub fn mean_admitted_from(&self, second: usize) -> f64 {
+        let rest = &self.admitted[second..];
         rest.iter().sum::<u64>() as f64 / rest.len() as f64
     }
 }
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons that are damaged, of another version, from an unknown sender, or
 //! implausible.
 
-use crate::fleet_play::{FleetPlay, address, hot};
+use crate::fleet_play::{FleetSimulation, address, hot};
 use proptest::prelude::*;
 use rstest::rstest;
 use tarragonknot::fleet_state::{
@@ -91,7 +91,7 @@
     #[case] requests: u32,
     #[case] address: std::net::SocketAddr,
 ) {
-    let mut play = FleetPlay::calm(3, 1);
+    let mut play = FleetSimulation::lossless(3, 1);
     play.run(800, true);
     let mut absurd = report(1, flow);
     absurd.work[0].1.requests = requests;
@@ -111,7 +111,7 @@
 /// taken unchecked.
 #[test]
 fn a_counter_that_falls_changes_nothing() {
-    let mut play = FleetPlay::calm(3, 1);
+    let mut play = FleetSimulation::lossless(3, 1);
     play.run(800, true);
     let daemon = &mut play.daemons[0];
     let mut take = |sequence, flow| {
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -1,7 +1,7 @@
 //! Fleet-wide sums: which daemons they cover, their age, their cost, and their behaviour under
 //! faults.
 
-use crate::fleet_play::{FleetPlay, RATE, address, hot, name};
+use crate::fleet_play::{FleetSimulation, RATE, address, hot, name};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -178,7 +178,7 @@
 
 /// Admits `tokens` at every daemon and returns, for each daemon, the tokens it then counts as
 /// admitted by the whole fleet.
-fn spread_tokens(play: &mut FleetPlay, tokens: u32) -> Vec<f64> {
+fn spread_tokens(play: &mut FleetSimulation, tokens: u32) -> Vec<f64> {
     let now = play.now;
     for daemon in &mut play.daemons {
         daemon.limits.release(tarragonknot::policy::OrganisationIndex(0), 0);
@@ -198,7 +198,7 @@
 #[case::hundreds(300)]
 #[case::a_thousand(1_000)]
 fn all_daemons_come_to_know_the_same_sum(#[case] count: usize) {
-    let mut play = FleetPlay::calm(count, 1);
+    let mut play = FleetSimulation::lossless(count, 1);
     play.run(2_400, true);
     let covered: Vec<usize> =
         play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
@@ -215,7 +215,7 @@
 
 /// Messages per second of a daemon, as mean and maximum, and mean bytes per second.
 fn cost(count: usize) -> (f64, f64, f64) {
-    let mut play = FleetPlay::calm(count, 2);
+    let mut play = FleetSimulation::lossless(count, 2);
     play.run(2_000, true);
     let before: Vec<(u64, u64)> =
         play.daemons.iter().map(|daemon| (daemon.sent + daemon.heard, daemon.bytes)).collect();
@@ -250,7 +250,7 @@
 #[case::hundreds(291, 200)]
 #[case::a_thousand(1_000, 400)]
 fn sums_are_fresh(#[case] count: usize, #[case] bound: u64) {
-    let mut play = FleetPlay::calm(count, 3);
+    let mut play = FleetSimulation::lossless(count, 3);
     play.run(2_400, true);
     let mut ages = Vec::new();
     for _ in 0..20 {
@@ -272,7 +272,7 @@
 #[case(60)]
 #[case(291)]
 fn others_take_the_place_of_aggregators_that_are_killed(#[case] count: usize) {
-    let mut play = FleetPlay::calm(count, 4);
+    let mut play = FleetSimulation::lossless(count, 4);
     play.run(2_000, true);
     let aggregators: Vec<usize> = (0..count)
         .filter(|number| play.daemons[*number].fleet.role(play.now) == FleetRole::Aggregator)
@@ -292,7 +292,7 @@
 /// only to daemons that report.
 #[test]
 fn a_daemon_that_starts_while_there_is_no_leader_finds_its_group() {
-    let mut play = FleetPlay::calm(100, 5);
+    let mut play = FleetSimulation::lossless(100, 5);
     play.run(2_000, true);
     let number = (0..100)
         .find(|number| play.daemons[*number].fleet.role(play.now) != FleetRole::Aggregator)
@@ -317,7 +317,7 @@
         draw if draw > 0.9 => 2,
         _ => 1,
     };
-    let mut play = FleetPlay::new(100, 6, Box::new(weather));
+    let mut play = FleetSimulation::new(100, 6, Box::new(weather));
     play.run(2_000, true);
     for number in (0..100).step_by(3) {
         play.daemons[number].has_left = true;
@@ -340,7 +340,7 @@
 #[test]
 fn one_daemon_reads_the_list_and_another_takes_over() {
     for count in [7, 60, 291] {
-        let mut play = FleetPlay::calm(count, 7);
+        let mut play = FleetSimulation::lossless(count, 7);
         play.run(2_400, true);
         for _ in 0..3 {
             let now = play.now;
@@ -367,7 +367,7 @@
 /// aggregator's sums include its own part, and so leaves places free.
 #[test]
 fn the_work_of_others_holds_nothing_of_ones_own() {
-    let mut play = FleetPlay::calm(64, 8);
+    let mut play = FleetSimulation::lossless(64, 8);
     play.daemons[1].work = vec![(engine(1), work(2, 0))];
     play.daemons[2].work = vec![(engine(1), work(3, 24_000))];
     play.daemons[60].work = vec![(engine(1), work(4, 0)), (engine(2), work(1, 0))];
@@ -388,7 +388,7 @@
 #[test]
 fn the_size_of_sums_does_not_grow_with_the_engines() {
     let bytes = |engines: usize| {
-        let mut play = FleetPlay::calm(64, 11);
+        let mut play = FleetSimulation::lossless(64, 11);
         for number in 0..64 {
             let rows = (0..engines).map(|at| (engine(number * engines + at), work(1, 0)));
             play.daemons[number].work = rows.collect();
@@ -412,7 +412,7 @@
 #[test]
 fn the_work_of_a_daemon_that_is_gone_is_forgotten() {
     for count in [7, 64] {
-        let mut play = FleetPlay::calm(count, 9);
+        let mut play = FleetSimulation::lossless(count, 9);
         play.daemons[1].work = vec![(engine(1), work(2, 0))];
         play.run(2_000, true);
         let before = play.daemons[2].fleet.others_work(play.now)[&engine(1)].requests;
@@ -427,7 +427,7 @@
 
 #[test]
 fn a_message_of_ones_own_that_comes_back_changes_nothing() {
-    let mut play = FleetPlay::calm(3, 10);
+    let mut play = FleetSimulation::lossless(3, 10);
     play.run(1_000, true);
     let daemon = &mut play.daemons[0];
     let before = daemon.fleet.covered_daemons(play.now);
--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::burst_pool::{BurstPool, arrived, sent};
-use crate::fleet_play::{AskedTokens, FleetPlay, HOT, RATE, Weather, hot_limits};
+use crate::fleet_play::{DeliveryRule, FleetSimulation, HOT, LoadOutcome, RATE, hot_limits};
 use crate::session::source;
 
 /// Tokens of one request.
@@ -23,14 +23,14 @@
     daemons: usize,
     seconds: u64,
     hears: impl Fn(usize, usize, u64) -> bool + 'static,
-) -> AskedTokens {
+) -> LoadOutcome {
     let began = 4_400;
-    let weather: Weather = Box::new(move |from, to, now: Moment, _| {
+    let weather: DeliveryRule = Box::new(move |from, to, now: Moment, _| {
         usize::from(hears(from, to, (now.0 / 1_000).saturating_sub(began)))
     });
-    let mut fleet = FleetPlay::new(daemons, 1, weather);
+    let mut fleet = FleetSimulation::new(daemons, 1, weather);
     fleet.run(began - 2_000, true);
-    fleet.ask((times, COST), seconds, |draw| (draw * daemons as f64) as usize)
+    fleet.offer_load((times, COST), seconds, |draw| (draw * daemons as f64) as usize)
 }
 
 /// Symptom: an organisation gets as many times its limit as there are daemons. Cause: each daemon applies it alone.
@@ -38,7 +38,7 @@
 fn daemons_that_hear_each_other_keep_one_limit() {
     let asked = play(8.0, 6, 10, |_, _, _| true);
 
-    let sum: u64 = asked.let_through.iter().sum();
+    let sum: u64 = asked.admitted.iter().sum();
     assert!(sum <= RATE * 11 + RATE / 2, "{asked:?}");
     assert!(sum >= RATE * 10, "{asked:?}");
 }
@@ -52,7 +52,7 @@
 
     let asked = play(8.0, 7, 12, move |from, to, at| !is_cut(from, at) && !is_cut(to, at));
 
-    assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
+    assert!(asked.max_admitted(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
 
 /// The same in a fleet with aggregators: a member, and an aggregator, are cut off.
@@ -62,7 +62,7 @@
 
     let asked = play(8.0, 64, 12, move |from, to, at| !is_cut(from, at) && !is_cut(to, at));
 
-    assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
+    assert!(asked.max_admitted(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
 
 /// Symptom: after a cut has healed one daemon refuses all and the others let all through.
@@ -74,7 +74,7 @@
 
     let asked = play(8.0, 4, 16, move |from, to, at| !is_cut(from, at) && !is_cut(to, at));
 
-    let late = asked.mean_from(10);
+    let late = asked.mean_admitted_from(10);
     assert!(late >= RATE as f64 * 0.8, "{asked:?}");
     assert!(late <= RATE as f64 * 1.2, "{asked:?}");
 }
@@ -104,22 +104,26 @@
     let asked = play(times, daemons, 16, |_, _, _| true);
 
     let tolerated = (RATE * 8 + RATE) * 11 / 10;
-    assert!(asked.worst(8) <= tolerated, "{} of {tolerated}: {asked:?}", asked.worst(8));
-    assert!(asked.mean_from(4) >= RATE as f64 * 0.9, "{asked:?}");
-    assert!(asked.mean_from(4) <= RATE as f64 * 1.1, "{asked:?}");
+    assert!(
+        asked.max_admitted(8) <= tolerated,
+        "{} of {tolerated}: {asked:?}",
+        asked.max_admitted(8)
+    );
+    assert!(asked.mean_admitted_from(4) >= RATE as f64 * 0.9, "{asked:?}");
+    assert!(asked.mean_admitted_from(4) <= RATE as f64 * 1.1, "{asked:?}");
 }
 
 /// Symptom: an organisation's limit is exceeded in the first second of a burst. Sequence: it asks for little, then for six
 /// times its limit at once, at all of 291 daemons. Cause: rates that are averaged over too long a time.
 #[test]
 fn a_sudden_burst_is_held_too() {
-    let mut fleet = FleetPlay::calm(291, 3);
+    let mut fleet = FleetSimulation::lossless(291, 3);
     fleet.run(2_400, true);
     let everywhere = |draw: f64| (draw * 291.0) as usize;
-    fleet.ask((0.2, COST), 4, everywhere);
-    let asked = fleet.ask((6.0, COST), 10, everywhere);
+    fleet.offer_load((0.2, COST), 4, everywhere);
+    let asked = fleet.offer_load((6.0, COST), 10, everywhere);
 
-    assert!(asked.worst(8) <= (RATE * 9) * 11 / 10, "{asked:?}");
+    assert!(asked.max_admitted(8) <= (RATE * 9) * 11 / 10, "{asked:?}");
 }
 
 /// Symptom: on a large fleet organisations below their limits are refused. Sequence: an organisation's callers are at
@@ -129,10 +133,10 @@
 #[case(74)]
 #[case(291)]
 fn a_large_fleet_refuses_nothing_to_callers_at_few_daemons(#[case] daemons: usize) {
-    let mut fleet = FleetPlay::calm(daemons, 2);
+    let mut fleet = FleetSimulation::lossless(daemons, 2);
     fleet.run(2_400, true);
 
-    let asked = fleet.ask((0.9, 1_000), 12, |draw| (draw * 6.0) as usize * daemons / 7);
+    let asked = fleet.offer_load((0.9, 1_000), 12, |draw| (draw * 6.0) as usize * daemons / 7);
 
     assert!(asked.requests > 900);
     assert!(asked.refused * 200 <= asked.requests, "{asked:?}");
--- a/tests/test_quarantine_fleet.rs
+++ b/tests/test_quarantine_fleet.rs
@@ -1,6 +1,6 @@
 //! Content under which upstreams end, known by whole fleets in virtual time.
 
-use crate::fleet_play::FleetPlay;
+use crate::fleet_play::FleetSimulation;
 use rstest::rstest;
 use tarragonknot::policy::{Moment, UpstreamHash};
 use tarragonknot::quarantine::RequestFingerprint;
@@ -12,7 +12,7 @@
 }
 
 /// Three daemons, far from each other in the fleet, see an upstream end each.
-fn crash_three(play: &mut FleetPlay) {
+fn crash_three(play: &mut FleetSimulation) {
     let count = play.daemons.len();
     for (number, daemon) in [0, count / 2, count - 1].into_iter().enumerate() {
         let now = play.now;
@@ -20,13 +20,13 @@
     }
 }
 
-fn holding(play: &FleetPlay) -> usize {
+fn holding(play: &FleetSimulation) -> usize {
     let now = play.now;
     let daemons = play.daemons.iter().filter(|daemon| daemon.is_running);
     daemons.filter(|daemon| daemon.crashes.held_for(CONTENT, now).is_some()).count()
 }
 
-fn running(play: &FleetPlay) -> usize {
+fn running(play: &FleetSimulation) -> usize {
     play.daemons.iter().filter(|daemon| daemon.is_running).count()
 }
 
@@ -42,7 +42,7 @@
     #[case] count: usize,
     #[case] millis: u64,
 ) {
-    let mut play = FleetPlay::calm(count, 1);
+    let mut play = FleetSimulation::lossless(count, 1);
     play.run(3_000, true);
 
     crash_three(&mut play);
@@ -54,7 +54,7 @@
 /// One message in five is lost.
 #[test]
 fn lost_messages_are_made_good() {
-    let mut play = FleetPlay::new(60, 3, Box::new(|_, _, _, draw| usize::from(draw > 0.2)));
+    let mut play = FleetSimulation::new(60, 3, Box::new(|_, _, _, draw| usize::from(draw > 0.2)));
     play.run(3_000, true);
 
     crash_three(&mut play);
@@ -69,7 +69,7 @@
 #[case::seven(7)]
 #[case::sixty(60)]
 fn daemons_that_start_anew_are_told(#[case] count: usize) {
-    let mut play = FleetPlay::calm(count, 5);
+    let mut play = FleetSimulation::lossless(count, 5);
     play.run(3_000, true);
     crash_three(&mut play);
     play.run(3_000, true);
@@ -87,7 +87,7 @@
 /// Those who saw the ends are gone a moment after they told.
 #[test]
 fn what_is_known_outlives_those_who_saw_it() {
-    let mut play = FleetPlay::calm(60, 7);
+    let mut play = FleetSimulation::lossless(60, 7);
     play.run(3_000, true);
     crash_three(&mut play);
     play.run(200, true);
@@ -107,7 +107,7 @@
         let is_cut = (Moment::from_millis(5_000)..Moment::from_millis(12_000)).contains(&now);
         usize::from(!(is_cut && (from < count / 2) != (to < count / 2)))
     };
-    let mut play = FleetPlay::new(count, 9, Box::new(cut));
+    let mut play = FleetSimulation::new(count, 9, Box::new(cut));
     play.run(5_000, true);
     crash_three(&mut play);
     play.run(4_000, true);
@@ -122,9 +122,10 @@
 /// Bytes and messages while a thousand contents are told of at once, and after it.
 #[test]
 fn a_thousand_contents_at_once_cost_a_bounded_number_of_bytes() {
-    let mut play = FleetPlay::calm(60, 11);
+    let mut play = FleetSimulation::lossless(60, 11);
     play.run(3_000, true);
-    let bytes = |play: &FleetPlay| play.daemons.iter().map(|daemon| daemon.bytes).sum::<u64>() / 60;
+    let bytes =
+        |play: &FleetSimulation| play.daemons.iter().map(|daemon| daemon.bytes).sum::<u64>() / 60;
     let start = bytes(&play);
     play.run(4_000, true);
     let calm = bytes(&play) - start;
