--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -19,7 +19,7 @@
 pub const RATE: u64 = 100_000;
 /// Least network delay of a message in microseconds: that between two data centres, with a slow
 /// timer.
-const WAY: u64 = 2_000;
+const MIN_NETWORK_DELAY_MICROS: u64 = 2_000;
 
 /// A daemon's limits, with buckets that are empty at `began`.
 pub fn hot_limits(began: Moment) -> LimitTable {
@@ -34,7 +34,7 @@
     limits
 }
 
-pub fn hot() -> OrganisationHash {
+pub fn hot_hash() -> OrganisationHash {
     OrganisationHash::of(&"hot".into())
 }
 
@@ -42,12 +42,12 @@
     SocketAddr::from(([10, (number / 250) as u8, 0, (number % 250) as u8 + 1], 7_600))
 }
 
-pub fn name(number: usize) -> String {
+pub fn daemon_name(number: usize) -> String {
     format!("entry-{number}")
 }
 
 /// A simulated daemon.
-pub struct PlayedDaemon {
+pub struct SimulatedDaemon {
     pub fleet: FleetState,
     pub limits: LimitTable,
     pub crashes: CrashTable,
@@ -56,17 +56,17 @@
     pub has_left: bool,
     /// Messages sent, messages received, and the bytes of both.
     pub sent: u64,
-    pub heard: u64,
+    pub received: u64,
     pub bytes: u64,
 }
 
-impl PlayedDaemon {
-    fn new(number: usize, boot: u64, draw: f64, now: Moment) -> Self {
-        let daemon = name(number).as_str().into();
+impl SimulatedDaemon {
+    fn new(number: usize, boot: u64, initial_credit: f64, now: Moment) -> Self {
+        let daemon = daemon_name(number).as_str().into();
         let identity = DaemonIdentity { daemon, boot, address: address(number) };
         let mut limits = hot_limits(now);
-        limits.set_initial_credit(draw);
-        PlayedDaemon {
+        limits.set_initial_credit(initial_credit);
+        SimulatedDaemon {
             fleet: FleetState::new(identity),
             limits,
             crashes: CrashTable::default(),
@@ -74,14 +74,14 @@
             is_running: true,
             has_left: false,
             sent: 0,
-            heard: 0,
+            received: 0,
             bytes: 0,
         }
     }
 
-    fn reading(&mut self, now: Moment) -> LocalState {
+    fn local_state(&mut self, now: Moment) -> LocalState {
         let flow = FlowRow {
-            organisation: hot(),
+            organisation: hot_hash(),
             taken: self.limits.admitted_tokens(HOT),
             asked: self.limits.requested_tokens(HOT),
             refill_ms: self.limits.time_to_full(HOT, now).as_millis() as u32,
@@ -97,12 +97,12 @@
         }
     }
 
-    fn settle(&mut self, now: Moment) {
+    fn apply_charges(&mut self, now: Moment) {
         for (organisation, tokens) in self.fleet.drain_charges() {
-            assert_eq!(organisation, hot());
+            assert_eq!(organisation, hot_hash());
             self.limits.charge(HOT, tokens, now);
         }
-        self.limits.set_forecast(HOT, self.fleet.forecasts(now)(hot()));
+        self.limits.set_forecast(HOT, self.fleet.forecasts(now)(hot_hash()));
     }
 }
 
@@ -119,39 +119,45 @@
 
 /// The simulated fleet and its event queue.
 pub struct FleetSimulation {
-    pub daemons: Vec<PlayedDaemon>,
+    pub daemons: Vec<SimulatedDaemon>,
     pub now: Moment,
-    due: BinaryHeap<Reverse<(u64, u64)>>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, DueEvent>,
-    next: u64,
-    boots: u64,
+    last_event_id: u64,
+    last_boot: u64,
     rng: ChaCha8Rng,
-    weather: DeliveryRule,
+    delivery_rule: DeliveryRule,
 }
 
 impl FleetSimulation {
     /// Starts `count` daemons within 300 ms of each other; a second later each receives the serving
     /// list.
-    pub fn new(count: usize, seed: u64, weather: DeliveryRule) -> Self {
-        let mut play = FleetSimulation {
+    pub fn new(count: usize, seed: u64, delivery_rule: DeliveryRule) -> Self {
+        let mut simulation = FleetSimulation {
             daemons: Vec::new(),
             now: Moment::from_millis(1_000),
-            due: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: HashMap::new(),
-            next: 0,
-            boots: 1,
+            last_event_id: 0,
+            last_boot: 1,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            weather,
+            delivery_rule,
         };
         for number in 0..count {
-            let draw = play.rng.random();
-            play.daemons.push(PlayedDaemon::new(number, 1, draw, play.now));
-            let at = play.now + Duration::from_micros(play.rng.random_range(0..300_000));
-            play.push(at, DueEvent::Tick { daemon: number, boot: 1 });
+            let initial_credit = simulation.rng.random();
+            simulation.daemons.push(SimulatedDaemon::new(
+                number,
+                1,
+                initial_credit,
+                simulation.now,
+            ));
+            let at =
+                simulation.now + Duration::from_micros(simulation.rng.random_range(0..300_000));
+            simulation.push(at, DueEvent::Tick { daemon: number, boot: 1 });
         }
-        play.run_for(1_000);
-        play.name_all();
-        play
+        simulation.run_for(1_000);
+        simulation.send_serving_list();
+        simulation
     }
 
     /// Like `new`, with every message delivered exactly once.
@@ -160,23 +166,23 @@
     }
 
     fn push(&mut self, at: Moment, event: DueEvent) {
-        self.next += 1;
-        self.due.push(Reverse((at.0, self.next)));
-        self.events.insert(self.next, event);
+        self.last_event_id += 1;
+        self.queue.push(Reverse((at.0, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
     /// Sends the leader's serving list, which holds the running daemons that have not left, to all
     /// running daemons.
-    pub fn name_all(&mut self) {
-        let running = |daemon: &PlayedDaemon| daemon.is_running && !daemon.has_left;
+    pub fn send_serving_list(&mut self) {
+        let is_serving = |daemon: &SimulatedDaemon| daemon.is_running && !daemon.has_left;
         let numbered = self.daemons.iter().enumerate();
-        let named: Vec<SocketAddr> = numbered
-            .filter(|(_, daemon)| running(daemon))
+        let serving: Vec<SocketAddr> = numbered
+            .filter(|(_, daemon)| is_serving(daemon))
             .map(|(number, _)| address(number))
             .collect();
         let now = self.now;
         let daemons = self.daemons.iter_mut().filter(|daemon| daemon.is_running);
-        daemons.for_each(|daemon| daemon.fleet.set_serving_list(named.clone(), now));
+        daemons.for_each(|daemon| daemon.fleet.set_serving_list(serving.clone(), now));
     }
 
     /// Stops a daemon without a departure message.
@@ -186,14 +192,14 @@
 
     /// Starts a daemon, for the first time or again, with no knowledge of its peers.
     pub fn start(&mut self, number: usize) {
-        self.boots += 1;
-        let draw = self.rng.random();
-        let daemon = PlayedDaemon::new(number, self.boots, draw, self.now);
+        self.last_boot += 1;
+        let initial_credit = self.rng.random();
+        let daemon = SimulatedDaemon::new(number, self.last_boot, initial_credit, self.now);
         match self.daemons.get_mut(number) {
             Some(known) => *known = daemon,
             None => self.daemons.push(daemon),
         }
-        self.push(self.now, DueEvent::Tick { daemon: number, boot: self.boots });
+        self.push(self.now, DueEvent::Tick { daemon: number, boot: self.last_boot });
     }
 
     /// Advances time; while `has_leader`, the serving list is sent every 400 ms.
@@ -201,7 +207,7 @@
         for _ in 0..millis.div_ceil(400) {
             self.run_for(400.min(millis));
             if has_leader {
-                self.name_all();
+                self.send_serving_list();
             }
         }
     }
@@ -210,9 +216,9 @@
     pub fn run_for(&mut self, millis: u64) {
         let until = self.now.0 + millis * 1_000;
         while let Some(Reverse((at, id))) =
-            self.due.peek().copied().filter(|next| next.0.0 <= until)
+            self.queue.peek().copied().filter(|next| next.0.0 <= until)
         {
-            self.due.pop();
+            self.queue.pop();
             self.now = Moment(at);
             if let Some(event) = self.events.remove(&id) {
                 self.handle(event);
@@ -234,22 +240,22 @@
             return;
         }
         let daemon = &mut self.daemons[number];
-        let rate = daemon.limits.rate(HOT).expect("a limit");
-        let reading = daemon.reading(now);
-        let outgoing = daemon.fleet.tick(reading, &[(hot(), rate)], now);
-        daemon.settle(now);
-        let pause = daemon.fleet.send_interval();
+        let rate = daemon.limits.rate(HOT).expect("HOT has a limit");
+        let local_state = daemon.local_state(now);
+        let outgoing = daemon.fleet.tick(local_state, &[(hot_hash(), rate)], now);
+        daemon.apply_charges(now);
+        let interval = daemon.fleet.send_interval();
         let mut deliveries = Vec::new();
         for out in outgoing {
-            let bytes = postcard::to_stdvec(&out.message).expect("written").len() as u64;
+            let bytes = postcard::to_stdvec(&out.message).expect("message is encoded").len() as u64;
             daemon.sent += out.to.len() as u64;
             daemon.bytes += bytes * out.to.len() as u64;
             deliveries.extend(out.to.into_iter().map(|to| (to, out.message.clone())));
         }
         // Timers fire slightly late.
-        let late = self.rng.random_range(0..3_000);
+        let timer_delay_micros = self.rng.random_range(0..3_000);
         self.push(
-            now + pause + Duration::from_micros(late),
+            now + interval + Duration::from_micros(timer_delay_micros),
             DueEvent::Tick { daemon: number, boot },
         );
         for (to, message) in deliveries {
@@ -261,13 +267,17 @@
         let Some(number) = (0..self.daemons.len()).find(|number| address(*number) == to) else {
             return;
         };
-        let copies = (self.weather)(from, number, self.now, self.rng.random());
+        let copies = (self.delivery_rule)(from, number, self.now, self.rng.random());
         for _ in 0..copies {
             // One message in fifty takes 60 ms longer and is overtaken by later ones.
-            let slow = if self.rng.random_bool(0.02) { 60_000 } else { 0 };
-            let way = WAY + self.rng.random_range(0..1_000) + slow;
+            let extra_micros = if self.rng.random_bool(0.02) { 60_000 } else { 0 };
+            let delay_micros =
+                MIN_NETWORK_DELAY_MICROS + self.rng.random_range(0..1_000) + extra_micros;
             let message = Box::new(message.clone());
-            self.push(self.now + Duration::from_micros(way), DueEvent::Message { to, message });
+            self.push(
+                self.now + Duration::from_micros(delay_micros),
+                DueEvent::Message { to, message },
+            );
         }
     }
 
@@ -277,15 +287,15 @@
         if !daemon.is_running {
             return;
         }
-        daemon.heard += 1;
-        daemon.bytes += postcard::to_stdvec(&message).expect("written").len() as u64;
+        daemon.received += 1;
+        daemon.bytes += postcard::to_stdvec(&message).expect("message is encoded").len() as u64;
         let (from, suspects) = (message.source().daemon.clone(), message.suspects().clone());
-        let taken = daemon.fleet.receive(message, self.now);
-        if taken.is_ok() {
+        let result = daemon.fleet.receive(message, self.now);
+        if result.is_ok() {
             daemon.crashes.merge_update(&from, &suspects, self.now);
         }
-        let estimates = taken.unwrap_or_default();
-        daemon.settle(self.now);
+        let estimates = result.unwrap_or_default();
+        daemon.apply_charges(self.now);
         for row in estimates.rows {
             let refill = Duration::from_millis(u64::from(row.refill_ms));
             daemon.limits.converge(HOT, refill, estimates.senders, self.now);
@@ -297,40 +307,40 @@
     /// second, and the counts of all and of refused requests.
     pub fn offer_load(
         &mut self,
-        (times, cost): (f64, u32),
+        (load_factor, cost): (f64, u32),
         seconds: u64,
-        whom: impl Fn(f64) -> usize,
+        choose_daemon: impl Fn(f64) -> usize,
     ) -> LoadOutcome {
-        let gap = f64::from(cost) / (times * RATE as f64) * 1e6;
-        let mut asked = LoadOutcome::default();
+        let interval_micros = f64::from(cost) / (load_factor * RATE as f64) * 1e6;
+        let mut outcome = LoadOutcome::default();
         for _ in 0..seconds {
-            let mut passed = 0;
+            let mut admitted_tokens = 0;
             let start = self.now.0;
             let mut at = 0.0;
-            let mut named = 0;
+            let mut lists_sent = 0;
             while at < 1e6 {
                 let until = start + at as u64;
                 self.run_for((until - self.now.0) / 1_000);
                 self.now = Moment(until);
-                if at >= f64::from(named) * 400_000.0 {
-                    self.name_all();
-                    named += 1;
+                if at >= f64::from(lists_sent) * 400_000.0 {
+                    self.send_serving_list();
+                    lists_sent += 1;
                 }
-                let number = whom(self.rng.random());
+                let number = choose_daemon(self.rng.random());
                 let now = self.now;
                 let daemon = &mut self.daemons[number];
                 if daemon.is_running {
                     let is_admitted = daemon.limits.admit(HOT, cost, now).is_ok();
-                    passed += u64::from(is_admitted) * u64::from(cost);
-                    asked.requests += 1;
-                    asked.refused += u64::from(!is_admitted);
+                    admitted_tokens += u64::from(is_admitted) * u64::from(cost);
+                    outcome.requests += 1;
+                    outcome.refused += u64::from(!is_admitted);
                 }
-                at += gap * self.rng.random_range(0.5..1.5);
+                at += interval_micros * self.rng.random_range(0.5..1.5);
             }
             self.now = Moment(start + 1_000_000);
-            asked.admitted.push(passed);
+            outcome.admitted.push(admitted_tokens);
         }
-        asked
+        outcome
     }
 }
 
--- a/tests/test_fleet_messages.rs
+++ b/tests/test_fleet_messages.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons that are damaged, of another version, from an unknown sender, or
 //! implausible.
 
-use crate::fleet_play::{FleetSimulation, address, hot};
+use crate::fleet_play::{FleetSimulation, address, hot_hash};
 use proptest::prelude::*;
 use rstest::rstest;
 use tarragonknot::fleet_state::{
@@ -14,7 +14,7 @@
 const KEY: &str = "the fleet's key";
 
 fn flow(taken: i64, asked: u64) -> FlowRow {
-    FlowRow { organisation: hot(), taken, asked, refill_ms: 7 }
+    FlowRow { organisation: hot_hash(), taken, asked, refill_ms: 7 }
 }
 
 fn report(sequence: u64, flow: FlowRow) -> MemberReport {
@@ -32,35 +32,37 @@
     }
 }
 
-fn bytes() -> Vec<u8> {
+fn encoded_report() -> Vec<u8> {
     let report = FleetMessage::Report(report(1, flow(5, 9)));
     encode_message(&DaemonMessage::State(report), KEY)
 }
 
 #[test]
 fn a_message_is_read_as_it_was_written() {
-    let read = decode_message(&bytes(), KEY).expect("a message");
+    let decoded = decode_message(&encoded_report(), KEY).expect("message is decoded");
 
-    let DaemonMessage::State(FleetMessage::Report(read)) = read else { panic!("{read:?}") };
-    assert_eq!(read, report(1, flow(5, 9)));
+    let DaemonMessage::State(FleetMessage::Report(decoded)) = decoded else {
+        panic!("{decoded:?}")
+    };
+    assert_eq!(decoded, report(1, flow(5, 9)));
 }
 
 #[test]
 fn a_message_of_a_stranger_is_dropped() {
-    assert_eq!(decode_message(&bytes(), "another key").err(), Some(DropCause::BadTag));
+    assert_eq!(decode_message(&encoded_report(), "another key").err(), Some(DropCause::BadTag));
 }
 
 proptest! {
     /// The authentication tag detects any truncation or bit flip; no message is decoded in part.
     #[test]
     fn a_damaged_message_is_dropped(length in 0_usize..200, at in 0_usize..200, bit in 0_u8..8) {
-        let whole = bytes();
-        let cut = &whole[..length.min(whole.len() - 1)];
+        let whole = encoded_report();
+        let truncated = &whole[..length.min(whole.len() - 1)];
         let mut changed = whole.clone();
         let at = at % changed.len();
         changed[at] ^= 1 << bit;
 
-        prop_assert_eq!(decode_message(cut, KEY).err(), Some(DropCause::BadTag));
+        prop_assert_eq!(decode_message(truncated, KEY).err(), Some(DropCause::BadTag));
         prop_assert_eq!(decode_message(&changed, KEY).err(), Some(DropCause::BadTag));
     }
 
@@ -71,11 +73,11 @@
         use sha2::{Digest, Sha256};
         let tag = Sha256::new().chain_update(KEY).chain_update(&body).chain_update(KEY).finalize();
         let bytes: Vec<u8> = tag[..8].iter().chain(&body).copied().collect();
-        let read = decode_message(&bytes, KEY);
-        let is_ours = body.first() == Some(&4);
-        match read {
-            Ok(_) => prop_assert!(is_ours),
-            Err(fault) => prop_assert_ne!(fault, DropCause::BadTag),
+        let decoded = decode_message(&bytes, KEY);
+        let has_known_version = body.first() == Some(&4);
+        match decoded {
+            Ok(_) => prop_assert!(has_known_version),
+            Err(cause) => prop_assert_ne!(cause, DropCause::BadTag),
         }
     }
 }
@@ -91,18 +93,18 @@
     #[case] requests: u32,
     #[case] address: std::net::SocketAddr,
 ) {
-    let mut play = FleetSimulation::lossless(3, 1);
-    play.run(800, true);
-    let mut absurd = report(1, flow);
-    absurd.work[0].1.requests = requests;
-    absurd.source.address = address;
-    let daemon = &mut play.daemons[0];
-    let before = daemon.fleet.covered_daemons(play.now);
+    let mut simulation = FleetSimulation::lossless(3, 1);
+    simulation.run(800, true);
+    let mut implausible = report(1, flow);
+    implausible.work[0].1.requests = requests;
+    implausible.source.address = address;
+    let daemon = &mut simulation.daemons[0];
+    let before = daemon.fleet.covered_daemons(simulation.now);
 
-    let refusal = daemon.fleet.receive(FleetMessage::Report(absurd), play.now);
+    let refusal = daemon.fleet.receive(FleetMessage::Report(implausible), simulation.now);
 
     assert_eq!(refusal.err(), Some(MessageRefusal::Implausible));
-    assert_eq!(daemon.fleet.covered_daemons(play.now), before);
+    assert_eq!(daemon.fleet.covered_daemons(simulation.now), before);
     assert_eq!(daemon.fleet.drain_charges(), []);
 }
 
@@ -111,18 +113,19 @@
 /// taken unchecked.
 #[test]
 fn a_counter_that_falls_changes_nothing() {
-    let mut play = FleetSimulation::lossless(3, 1);
-    play.run(800, true);
-    let daemon = &mut play.daemons[0];
-    let mut take = |sequence, flow| {
-        let word = daemon.fleet.receive(FleetMessage::Report(report(sequence, flow)), play.now);
-        (word.err(), daemon.fleet.drain_charges())
+    let mut simulation = FleetSimulation::lossless(3, 1);
+    simulation.run(800, true);
+    let daemon = &mut simulation.daemons[0];
+    let mut receive = |sequence, flow| {
+        let result =
+            daemon.fleet.receive(FleetMessage::Report(report(sequence, flow)), simulation.now);
+        (result.err(), daemon.fleet.drain_charges())
     };
-    let first = take(1, flow(500, 900));
-    let fallen = take(2, flow(400, 800));
-    let risen = take(3, flow(600, 1_000));
+    let first = receive(1, flow(500, 900));
+    let fallen = receive(2, flow(400, 800));
+    let risen = receive(3, flow(600, 1_000));
 
     assert_eq!(first, (None, vec![]));
     assert_eq!(fallen, (Some(MessageRefusal::FallingCounter), vec![]));
-    assert_eq!(risen, (None, vec![(hot(), 100)]));
+    assert_eq!(risen, (None, vec![(hot_hash(), 100)]));
 }
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -1,7 +1,7 @@
 //! Fleet-wide sums: which daemons they cover, their age, their cost, and their behaviour under
 //! faults.
 
-use crate::fleet_play::{FleetSimulation, RATE, address, hot, name};
+use crate::fleet_play::{FleetSimulation, RATE, address, daemon_name, hot_hash};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -38,7 +38,7 @@
 
 /// A flow row of a source that sends all of its rows with each message.
 fn row(taken: i64) -> FlowRow {
-    FlowRow { organisation: hot(), taken, asked: taken as u64, refill_ms: 0 }
+    FlowRow { organisation: hot_hash(), taken, asked: taken as u64, refill_ms: 0 }
 }
 
 fn stamp(boot: u64, sequence: u64) -> SourceStamp {
@@ -57,15 +57,15 @@
         let mut ledger = FlowLedger::default();
         let totals: Vec<i64> = steps.iter().scan(0, |sum, step| { *sum += step; Some(*sum) }).collect();
         let mut sum = 0;
-        let mut take = |at: usize| {
+        let mut apply = |at: usize| {
             let rows = [row(totals[at])];
             let now = Moment::from_millis(at as u64 * 50);
             let deltas = ledger.apply(&daemon, stamp(1, at as u64 + 1), (&rows, true), now);
             sum += deltas.into_iter().flatten().map(|delta| delta.taken).sum::<i64>();
         };
-        take(0);
-        order.into_iter().filter(|at| *at < totals.len()).for_each(&mut take);
-        take(totals.len() - 1);
+        apply(0);
+        order.into_iter().filter(|at| *at < totals.len()).for_each(&mut apply);
+        apply(totals.len() - 1);
         prop_assert_eq!(sum, totals[totals.len() - 1] - totals[0]);
     }
 }
@@ -111,26 +111,26 @@
     let daemon = DaemonName::from("entry-1");
     let mut ledger = FlowLedger::default();
     let mut rates = FlowRates::default();
-    let limits = [(hot(), RATE as f64)];
+    let limits = [(hot_hash(), RATE as f64)];
     let mut now = Moment::from_millis(0);
     for sequence in 1..=40 {
         now = Moment::from_millis(sequence * 50);
         let rows = [row(sequence as i64 * 1_000)];
         ledger.apply(&daemon, stamp(1, sequence), (&rows, true), now).expect("a new message");
-        rates.add(hot(), 2_000, now);
+        rates.add(hot_hash(), 2_000, now);
     }
     let after = Duration::from_millis(600);
     let soon = now + Duration::from_millis(500);
     let later = now + Duration::from_secs(5);
-    let heard_soon = ledger.estimate_silent(&limits, &rates, (0.1, after), soon);
-    rates.add(hot(), 200_000, later);
-    let assumed = ledger.estimate_silent(&limits, &rates, (0.1, after), later);
-    let back = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
-
-    assert_eq!(heard_soon, []);
-    assert!(assumed[0].taken > 0, "{assumed:?}");
-    let given_back = -back.expect("a new message")[0].taken;
-    assert!(given_back > 0 && given_back <= assumed[0].taken, "{given_back} of {assumed:?}");
+    let estimated_soon = ledger.estimate_silent(&limits, &rates, (0.1, after), soon);
+    rates.add(hot_hash(), 200_000, later);
+    let estimated = ledger.estimate_silent(&limits, &rates, (0.1, after), later);
+    let correction = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
+
+    assert_eq!(estimated_soon, []);
+    assert!(estimated[0].taken > 0, "{estimated:?}");
+    let given_back = -correction.expect("a new message")[0].taken;
+    assert!(given_back > 0 && given_back <= estimated[0].taken, "{given_back} of {estimated:?}");
 }
 
 #[test]
@@ -156,7 +156,7 @@
     assert_eq!(seen.len(), 300);
     let has = |rows: &[FlowRow]| rows.iter().any(|row| row.organisation == hash(7));
     assert!(sends[..4].iter().all(|rows| has(rows)));
-    assert!(sends.iter().all(|rows| rows.len() <= 10), "few rows where little changes");
+    assert!(sends.iter().all(|rows| rows.len() <= 10), "unchanged rows are sent in small batches");
 }
 
 #[test]
@@ -166,27 +166,27 @@
     let mut choice = AggregatorChoice::default();
     let at = Moment::from_millis;
     let first = choice.choose(&candidates, address(2), pause, at(1_000));
-    let patient = choice.choose(&candidates, address(2), pause, at(1_300));
+    let unchanged = choice.choose(&candidates, address(2), pause, at(1_300));
     let second = choice.choose(&candidates, address(2), pause, at(1_450));
     let third = choice.choose(&candidates, address(2), pause, at(1_750));
     choice.record_summary(address(0), at(1_800));
     let back = choice.choose(&candidates, address(2), pause, at(1_810));
 
-    assert_eq!((first, patient, second), (address(0), address(0), address(1)));
+    assert_eq!((first, unchanged, second), (address(0), address(0), address(1)));
     assert_eq!((third, back), (address(2), address(0)));
 }
 
 /// Admits `tokens` at every daemon and returns, for each daemon, the tokens it then counts as
 /// admitted by the whole fleet.
-fn spread_tokens(play: &mut FleetSimulation, tokens: u32) -> Vec<f64> {
-    let now = play.now;
-    for daemon in &mut play.daemons {
+fn admit_everywhere(simulation: &mut FleetSimulation, tokens: u32) -> Vec<f64> {
+    let now = simulation.now;
+    for daemon in &mut simulation.daemons {
         daemon.limits.release(tarragonknot::policy::OrganisationIndex(0), 0);
         assert!(daemon.limits.admit(crate::fleet_play::HOT, tokens, now).is_ok());
     }
-    play.run(1_500, true);
-    let now = play.now;
-    let refills = play.daemons.iter().map(|daemon| {
+    simulation.run(1_500, true);
+    let now = simulation.now;
+    let refills = simulation.daemons.iter().map(|daemon| {
         daemon.limits.time_to_full(crate::fleet_play::HOT, now).as_secs_f64() * RATE as f64
     });
     refills.collect()
@@ -198,29 +198,36 @@
 #[case::hundreds(300)]
 #[case::a_thousand(1_000)]
 fn all_daemons_come_to_know_the_same_sum(#[case] count: usize) {
-    let mut play = FleetSimulation::lossless(count, 1);
-    play.run(2_400, true);
-    let covered: Vec<usize> =
-        play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
+    let mut simulation = FleetSimulation::lossless(count, 1);
+    simulation.run(2_400, true);
+    let covered: Vec<usize> = simulation
+        .daemons
+        .iter()
+        .map(|daemon| daemon.fleet.covered_daemons(simulation.now))
+        .collect();
     let tokens = (RATE as usize * 4 / 10 / count) as u32;
 
-    let known = spread_tokens(&mut play, tokens);
+    let known = admit_everywhere(&mut simulation, tokens);
 
     assert!(covered.iter().all(|covers| *covers == count), "{covered:?}");
-    let (least, most) = known.iter().fold((f64::MAX, 0.0), |(least, most): (f64, f64), value| {
-        (least.min(*value), most.max(*value))
-    });
-    assert!(most - least <= RATE as f64 * 0.05, "{least}..{most}");
+    let (min, max) = known
+        .iter()
+        .fold((f64::MAX, 0.0), |(min, max): (f64, f64), value| (min.min(*value), max.max(*value)));
+    assert!(max - min <= RATE as f64 * 0.05, "{min}..{max}");
 }
 
 /// Messages per second of a daemon, as mean and maximum, and mean bytes per second.
-fn cost(count: usize) -> (f64, f64, f64) {
-    let mut play = FleetSimulation::lossless(count, 2);
-    play.run(2_000, true);
-    let before: Vec<(u64, u64)> =
-        play.daemons.iter().map(|daemon| (daemon.sent + daemon.heard, daemon.bytes)).collect();
-    play.run(2_000, true);
-    let after = play.daemons.iter().map(|daemon| (daemon.sent + daemon.heard, daemon.bytes));
+fn measure_cost(count: usize) -> (f64, f64, f64) {
+    let mut simulation = FleetSimulation::lossless(count, 2);
+    simulation.run(2_000, true);
+    let before: Vec<(u64, u64)> = simulation
+        .daemons
+        .iter()
+        .map(|daemon| (daemon.sent + daemon.received, daemon.bytes))
+        .collect();
+    simulation.run(2_000, true);
+    let after =
+        simulation.daemons.iter().map(|daemon| (daemon.sent + daemon.received, daemon.bytes));
     let differences: Vec<(f64, f64)> = after
         .zip(before)
         .map(|(after, before)| {
@@ -237,7 +244,7 @@
 /// as when each daemon reports to all others.
 #[test]
 fn the_cost_of_a_daemon_grows_no_faster_than_the_square_root_of_the_fleet() {
-    let costs: Vec<(f64, f64, f64)> = [60, 300, 1_000].into_iter().map(cost).collect();
+    let costs: Vec<(f64, f64, f64)> = [60, 300, 1_000].into_iter().map(measure_cost).collect();
 
     // From 60 to 1,000 daemons the square root grows by a factor of 4.1.
     assert!(costs[2].0 <= costs[0].0 * 4.1, "{costs:?}");
@@ -250,13 +257,15 @@
 #[case::hundreds(291, 200)]
 #[case::a_thousand(1_000, 400)]
 fn sums_are_fresh(#[case] count: usize, #[case] bound: u64) {
-    let mut play = FleetSimulation::lossless(count, 3);
-    play.run(2_400, true);
+    let mut simulation = FleetSimulation::lossless(count, 3);
+    simulation.run(2_400, true);
     let mut ages = Vec::new();
     for _ in 0..20 {
-        play.run_for(37);
+        simulation.run_for(37);
         // The ages of the parts range from 0 to that of the oldest one; half of it is the mean.
-        ages.extend(play.daemons.iter().map(|daemon| daemon.fleet.sums_age(play.now) / 2));
+        ages.extend(
+            simulation.daemons.iter().map(|daemon| daemon.fleet.sums_age(simulation.now) / 2),
+        );
     }
     ages.sort_unstable();
 
@@ -272,18 +281,20 @@
 #[case(60)]
 #[case(291)]
 fn others_take_the_place_of_aggregators_that_are_killed(#[case] count: usize) {
-    let mut play = FleetSimulation::lossless(count, 4);
-    play.run(2_000, true);
+    let mut simulation = FleetSimulation::lossless(count, 4);
+    simulation.run(2_000, true);
     let aggregators: Vec<usize> = (0..count)
-        .filter(|number| play.daemons[*number].fleet.role(play.now) == FleetRole::Aggregator)
+        .filter(|number| {
+            simulation.daemons[*number].fleet.role(simulation.now) == FleetRole::Aggregator
+        })
         .collect();
-    aggregators[2..].iter().for_each(|number| play.kill(*number));
-    play.run_for(1_500);
+    aggregators[2..].iter().for_each(|number| simulation.kill(*number));
+    simulation.run_for(1_500);
 
     let alive = count - (aggregators.len() - 2);
-    let covered = play.daemons.iter().filter(|daemon| daemon.is_running);
+    let covered = simulation.daemons.iter().filter(|daemon| daemon.is_running);
     let covered: Vec<usize> =
-        covered.map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
+        covered.map(|daemon| daemon.fleet.covered_daemons(simulation.now)).collect();
     assert!(covered.iter().all(|covers| *covers == alive), "{alive}: {covered:?}");
 }
 
@@ -292,18 +303,24 @@
 /// only to daemons that report.
 #[test]
 fn a_daemon_that_starts_while_there_is_no_leader_finds_its_group() {
-    let mut play = FleetSimulation::lossless(100, 5);
-    play.run(2_000, true);
+    let mut simulation = FleetSimulation::lossless(100, 5);
+    simulation.run(2_000, true);
     let number = (0..100)
-        .find(|number| play.daemons[*number].fleet.role(play.now) != FleetRole::Aggregator)
-        .expect("a member");
-    play.kill(number);
-    play.run_for(300);
-    play.start(number);
-    play.run_for(1_500);
-
-    let fleet = &play.daemons[number].fleet;
-    assert!(fleet.covered_daemons(play.now) >= 99, "{}", fleet.covered_daemons(play.now));
+        .find(|number| {
+            simulation.daemons[*number].fleet.role(simulation.now) != FleetRole::Aggregator
+        })
+        .expect("no member daemon");
+    simulation.kill(number);
+    simulation.run_for(300);
+    simulation.start(number);
+    simulation.run_for(1_500);
+
+    let fleet = &simulation.daemons[number].fleet;
+    assert!(
+        fleet.covered_daemons(simulation.now) >= 99,
+        "{}",
+        fleet.covered_daemons(simulation.now)
+    );
     assert!(fleet.limit_share() >= 1.0);
 }
 
@@ -312,23 +329,24 @@
 /// lost and one in ten is duplicated.
 #[test]
 fn everybody_is_counted_once_after_restarts_and_growth_under_loss() {
-    let weather = |_, _, _, draw: f64| match draw {
+    let delivery_rule = |_, _, _, draw: f64| match draw {
         draw if draw < 0.1 => 0,
         draw if draw > 0.9 => 2,
         _ => 1,
     };
-    let mut play = FleetSimulation::new(100, 6, Box::new(weather));
-    play.run(2_000, true);
+    let mut simulation = FleetSimulation::new(100, 6, Box::new(delivery_rule));
+    simulation.run(2_000, true);
     for number in (0..100).step_by(3) {
-        play.daemons[number].has_left = true;
-        play.run(400, true);
-        play.kill(number);
-        play.start(number);
+        simulation.daemons[number].has_left = true;
+        simulation.run(400, true);
+        simulation.kill(number);
+        simulation.start(number);
     }
-    (100..112).for_each(|number| play.start(number));
-    play.run(3_200, true);
+    (100..112).for_each(|number| simulation.start(number));
+    simulation.run(3_200, true);
 
-    let covered = play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now));
+    let covered =
+        simulation.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(simulation.now));
     let covered: Vec<usize> = covered.collect();
     let exact = covered.iter().filter(|covers| **covers == 112).count();
     assert!(exact >= 106, "{covered:?}");
@@ -340,26 +358,26 @@
 #[test]
 fn one_daemon_reads_the_list_and_another_takes_over() {
     for count in [7, 60, 291] {
-        let mut play = FleetSimulation::lossless(count, 7);
-        play.run(2_400, true);
+        let mut simulation = FleetSimulation::lossless(count, 7);
+        simulation.run(2_400, true);
         for _ in 0..3 {
-            let now = play.now;
+            let now = simulation.now;
             let readers: Vec<usize> = (0..count)
-                .filter(|number| play.daemons[*number].is_running)
-                .filter(|number| play.daemons[*number].fleet.is_list_reader(now))
+                .filter(|number| simulation.daemons[*number].is_running)
+                .filter(|number| simulation.daemons[*number].fleet.is_list_reader(now))
                 .collect();
             assert_eq!(readers.len(), 1, "{count}: {readers:?}");
-            play.kill(readers[0]);
-            play.run(1_200, true);
+            simulation.kill(readers[0]);
+            simulation.run(1_200, true);
         }
     }
 }
 
-fn work(requests: u32, gap_micros: u32) -> PeerWork {
+fn peer_work(requests: u32, gap_micros: u32) -> PeerWork {
     PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
-fn engine(number: usize) -> UpstreamHash {
+fn upstream_hash(number: usize) -> UpstreamHash {
     UpstreamHash::of(&"pool".into(), &format!("e{number}").as_str().into(), 1)
 }
 
@@ -367,19 +385,24 @@
 /// aggregator's sums include its own part, and so leaves places free.
 #[test]
 fn the_work_of_others_holds_nothing_of_ones_own() {
-    let mut play = FleetSimulation::lossless(64, 8);
-    play.daemons[1].work = vec![(engine(1), work(2, 0))];
-    play.daemons[2].work = vec![(engine(1), work(3, 24_000))];
-    play.daemons[60].work = vec![(engine(1), work(4, 0)), (engine(2), work(1, 0))];
-    play.run(2_000, true);
-
-    let seen = |number: usize| play.daemons[number].fleet.others_work(play.now);
-    let places =
-        |number: usize| (seen(number)[&engine(1)].requests, seen(number)[&engine(1)].hinted);
+    let mut simulation = FleetSimulation::lossless(64, 8);
+    simulation.daemons[1].work = vec![(upstream_hash(1), peer_work(2, 0))];
+    simulation.daemons[2].work = vec![(upstream_hash(1), peer_work(3, 24_000))];
+    simulation.daemons[60].work =
+        vec![(upstream_hash(1), peer_work(4, 0)), (upstream_hash(2), peer_work(1, 0))];
+    simulation.run(2_000, true);
+
+    let others_work = |number: usize| simulation.daemons[number].fleet.others_work(simulation.now);
+    let places = |number: usize| {
+        (
+            others_work(number)[&upstream_hash(1)].requests,
+            others_work(number)[&upstream_hash(1)].hinted,
+        )
+    };
     assert_eq!((places(0), places(1), places(2)), ((5, 4), (3, 4), (2, 4)));
     assert_eq!(places(60), (0, 5));
-    assert_eq!(seen(5)[&engine(2)].hinted, 1);
-    assert_eq!(seen(63)[&engine(1)].gap_micros, 24_000);
+    assert_eq!(others_work(5)[&upstream_hash(2)].hinted, 1);
+    assert_eq!(others_work(63)[&upstream_hash(1)].gap_micros, 24_000);
 }
 
 /// Guards against messages that grow with the number of engines: at 3,000 engines those of 300
@@ -388,18 +411,22 @@
 #[test]
 fn the_size_of_sums_does_not_grow_with_the_engines() {
     let bytes = |engines: usize| {
-        let mut play = FleetSimulation::lossless(64, 11);
+        let mut simulation = FleetSimulation::lossless(64, 11);
         for number in 0..64 {
-            let rows = (0..engines).map(|at| (engine(number * engines + at), work(1, 0)));
-            play.daemons[number].work = rows.collect();
+            let rows =
+                (0..engines).map(|at| (upstream_hash(number * engines + at), peer_work(1, 0)));
+            simulation.daemons[number].work = rows.collect();
         }
-        play.run(2_000, true);
-        let before = play.daemons[0].bytes;
-        play.run(1_200, true);
-        let seen = play.daemons[5].fleet.others_work(play.now);
-        let far = seen.values().filter(|work| work.hinted > 0).count();
-        assert!(far >= (64 - 8) * engines * 9 / 10, "{far} of {engines} a daemon are known");
-        play.daemons[0].bytes - before
+        simulation.run(2_000, true);
+        let before = simulation.daemons[0].bytes;
+        simulation.run(1_200, true);
+        let seen = simulation.daemons[5].fleet.others_work(simulation.now);
+        let hinted_count = seen.values().filter(|work| work.hinted > 0).count();
+        assert!(
+            hinted_count >= (64 - 8) * engines * 9 / 10,
+            "{hinted_count} upstreams are hinted at; each daemon uses {engines}"
+        );
+        simulation.daemons[0].bytes - before
     };
 
     let (few, many) = (bytes(2), bytes(16));
@@ -412,28 +439,32 @@
 #[test]
 fn the_work_of_a_daemon_that_is_gone_is_forgotten() {
     for count in [7, 64] {
-        let mut play = FleetSimulation::lossless(count, 9);
-        play.daemons[1].work = vec![(engine(1), work(2, 0))];
-        play.run(2_000, true);
-        let before = play.daemons[2].fleet.others_work(play.now)[&engine(1)].requests;
-        play.kill(1);
-        play.run_for(2_500);
-        let after = play.daemons[2].fleet.others_work(play.now);
+        let mut simulation = FleetSimulation::lossless(count, 9);
+        simulation.daemons[1].work = vec![(upstream_hash(1), peer_work(2, 0))];
+        simulation.run(2_000, true);
+        let before =
+            simulation.daemons[2].fleet.others_work(simulation.now)[&upstream_hash(1)].requests;
+        simulation.kill(1);
+        simulation.run_for(2_500);
+        let after = simulation.daemons[2].fleet.others_work(simulation.now);
 
         assert_eq!(before, 2, "{count}");
-        assert!(after.get(&engine(1)).is_none_or(|work| work.requests == 0), "{count}: {after:?}");
+        assert!(
+            after.get(&upstream_hash(1)).is_none_or(|work| work.requests == 0),
+            "{count}: {after:?}"
+        );
     }
 }
 
 #[test]
 fn a_message_of_ones_own_that_comes_back_changes_nothing() {
-    let mut play = FleetSimulation::lossless(3, 10);
-    play.run(1_000, true);
-    let daemon = &mut play.daemons[0];
-    let before = daemon.fleet.covered_daemons(play.now);
-    let outgoing = daemon.fleet.tick(Default::default(), &[], play.now);
-    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, play.now));
-
-    assert_eq!(daemon.fleet.covered_daemons(play.now), before);
-    assert!(name(0).starts_with("entry"));
+    let mut simulation = FleetSimulation::lossless(3, 10);
+    simulation.run(1_000, true);
+    let daemon = &mut simulation.daemons[0];
+    let before = daemon.fleet.covered_daemons(simulation.now);
+    let outgoing = daemon.fleet.tick(Default::default(), &[], simulation.now);
+    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, simulation.now));
+
+    assert_eq!(daemon.fleet.covered_daemons(simulation.now), before);
+    assert!(daemon_name(0).starts_with("entry"));
 }
--- a/tests/test_list_freshness.rs
+++ b/tests/test_list_freshness.rs
@@ -10,14 +10,14 @@
 
 /// When each of `count` daemons reads the list, in milliseconds, if no other one does; polled every
 /// 10 ms.
-fn readings(count: usize, has_table_at: u64, confirmed: Option<u64>) -> Vec<u64> {
-    let reading = |number: usize| {
+fn read_times(count: usize, has_table_at: u64, confirmed_at: Option<u64>) -> Vec<u64> {
+    let read_time = |number: usize| {
         let mut freshness = ListFreshness::new((number as f64 + 0.5) / count as f64);
-        confirmed.into_iter().for_each(|millis| freshness.confirm(at(millis)));
+        confirmed_at.into_iter().for_each(|millis| freshness.confirm(at(millis)));
         let due = |millis: &u64| freshness.is_overdue(count, *millis >= has_table_at, at(*millis));
         (0..10_000).step_by(10).find(due).unwrap_or(u64::MAX)
     };
-    (0..count).map(reading).collect()
+    (0..count).map(read_time).collect()
 }
 
 /// Guards against callers that are refused for three seconds after the whole fleet was lost, since
@@ -26,16 +26,16 @@
 /// them.
 #[test]
 fn daemons_that_know_of_nobody_read_the_list_soon_once_they_have_a_table() {
-    let readings = readings(6, 1_000, None);
+    let read_times = read_times(6, 1_000, None);
 
-    assert!(readings.iter().all(|millis| (1_200..=1_800).contains(millis)), "{readings:?}");
+    assert!(read_times.iter().all(|millis| (1_200..=1_800).contains(millis)), "{read_times:?}");
 }
 
 /// Guards against 291 daemons that each read the list at the start of a fleet, at four calls each.
 /// A reading before there is a table is useless, since no request is served without one.
 #[test]
 fn nobody_reads_the_list_before_there_is_a_table() {
-    assert!(readings(291, u64::MAX, None).iter().all(|millis| *millis == u64::MAX));
+    assert!(read_times(291, u64::MAX, None).iter().all(|millis| *millis == u64::MAX));
 }
 
 /// Guards against 33,000 calls to the platform in 42 s after the reader's death. With a fixed
@@ -43,12 +43,16 @@
 /// it.
 #[test]
 fn overdue_lists_are_read_one_after_the_other() {
-    let mut readings = readings(291, 0, Some(0));
-    readings.sort_unstable();
-    let first_half_second = readings.iter().filter(|millis| **millis < readings[0] + 500).count();
+    let mut read_times = read_times(291, 0, Some(0));
+    read_times.sort_unstable();
+    let first_half_second =
+        read_times.iter().filter(|millis| **millis < read_times[0] + 500).count();
 
-    assert!(readings[0] >= 1_800, "{readings:?}");
-    assert!(readings[290] <= 4_800, "an upstream that leaves gets no work for longer");
+    assert!(read_times[0] >= 1_800, "{read_times:?}");
+    assert!(
+        read_times[290] <= 4_800,
+        "an upstream that is leaving gets new requests for too long: {read_times:?}"
+    );
     assert!(first_half_second <= 60, "{first_half_second}");
 }
 
--- a/tests/test_shared_list.rs
+++ b/tests/test_shared_list.rs
@@ -3,7 +3,7 @@
 use tarragonknot::policy::{ChangeVerdict, ListChange, ListedUpstream, SharedList};
 
 /// Number of upstreams in the reference deployment after its growth.
-const UPSTREAMS: u16 = 143;
+const UPSTREAM_COUNT: u16 = 143;
 
 fn upstream(number: u16, is_leaving: bool) -> ListedUpstream {
     ListedUpstream {
@@ -17,20 +17,20 @@
     }
 }
 
-fn reading(leaving: Option<u16>) -> impl Iterator<Item = ListedUpstream> {
-    (0..UPSTREAMS).map(move |number| upstream(number, Some(number) == leaving))
+fn listed_upstreams(leaving: Option<u16>) -> impl Iterator<Item = ListedUpstream> {
+    (0..UPSTREAM_COUNT).map(move |number| upstream(number, Some(number) == leaving))
 }
 
 /// A reader, and a daemon that holds the same list.
-fn pair() -> (SharedList, SharedList) {
-    let (mut reader, mut other) = (SharedList::default(), SharedList::default());
-    reader.replace(reading(None));
-    reader.parts().into_iter().for_each(|part| _ = other.add_part(part));
-    (reader, other)
+fn synced_pair() -> (SharedList, SharedList) {
+    let (mut reader, mut peer) = (SharedList::default(), SharedList::default());
+    reader.replace(listed_upstreams(None));
+    reader.parts().into_iter().for_each(|part| _ = peer.add_part(part));
+    (reader, peer)
 }
 
-fn bytes(change: &ListChange) -> usize {
-    postcard::to_stdvec(change).expect("a change is written").len()
+fn encoded_len(change: &ListChange) -> usize {
+    postcard::to_stdvec(change).expect("change is encoded").len()
 }
 
 /// Guards against an unchanged list that is sent whole. Without faults, 64 daemons made 9,413 calls
@@ -39,29 +39,29 @@
 /// the list themselves.
 #[test]
 fn a_reading_that_changed_nothing_is_told_in_a_few_bytes() {
-    let (mut reader, mut other) = pair();
-    let change = reader.replace(reading(None));
-    let size = bytes(&change);
-    assert_eq!(other.apply(&change), ChangeVerdict::Known);
+    let (mut reader, mut peer) = synced_pair();
+    let change = reader.replace(listed_upstreams(None));
+    let size = encoded_len(&change);
+    assert_eq!(peer.apply(&change), ChangeVerdict::Known);
     assert!(size <= 32, "{size} bytes");
 }
 
 #[test]
 fn a_change_is_told_alone() {
-    let (mut reader, mut other) = pair();
-    let change = reader.replace(reading(Some(7)));
-    let size = bytes(&change);
-    assert_eq!(other.apply(&change), ChangeVerdict::Applied);
-    assert!(other.rows().eq(reader.rows()));
+    let (mut reader, mut peer) = synced_pair();
+    let change = reader.replace(listed_upstreams(Some(7)));
+    let size = encoded_len(&change);
+    assert_eq!(peer.apply(&change), ChangeVerdict::Applied);
+    assert!(peer.rows().eq(reader.rows()));
     assert!(size <= 100, "{size} bytes");
 }
 
 #[test]
 fn an_upstream_that_is_gone_goes_everywhere() {
-    let (mut reader, mut other) = pair();
-    let change = reader.replace(reading(None).skip(1));
-    assert_eq!(other.apply(&change), ChangeVerdict::Applied);
-    assert_eq!(other.rows().count(), usize::from(UPSTREAMS) - 1);
+    let (mut reader, mut peer) = synced_pair();
+    let change = reader.replace(listed_upstreams(None).skip(1));
+    assert_eq!(peer.apply(&change), ChangeVerdict::Applied);
+    assert_eq!(peer.rows().count(), usize::from(UPSTREAM_COUNT) - 1);
 }
 
 /// Guards against an upstream that is leaving but still gets new requests from one daemon. The
@@ -69,33 +69,34 @@
 /// applied to a list other than the one it was made from.
 #[test]
 fn a_daemon_that_missed_a_change_asks_for_the_whole() {
-    let (mut reader, mut other) = pair();
-    reader.replace(reading(Some(7)));
-    let next = reader.replace(reading(Some(7)));
-    let verdict = other.apply(&next);
+    let (mut reader, mut peer) = synced_pair();
+    reader.replace(listed_upstreams(Some(7)));
+    let next = reader.replace(listed_upstreams(Some(7)));
+    let verdict = peer.apply(&next);
     assert_eq!(verdict, ChangeVerdict::Unknown);
-    let whole: Vec<bool> = reader.parts().into_iter().map(|part| other.add_part(part)).collect();
+    let whole: Vec<bool> = reader.parts().into_iter().map(|part| peer.add_part(part)).collect();
     assert_eq!(whole.iter().filter(|is_whole| **is_whole).count(), 1);
-    assert!(other.rows().eq(reader.rows()));
+    assert!(peer.rows().eq(reader.rows()));
 }
 
 #[test]
 fn a_whole_list_comes_in_parts_of_one_packet_and_in_any_order() {
-    let (mut reader, mut other) = pair();
-    reader.replace(reading(Some(7)));
+    let (mut reader, mut peer) = synced_pair();
+    reader.replace(listed_upstreams(Some(7)));
     let mut parts = reader.parts();
-    let largest = parts.iter().map(|part| postcard::to_stdvec(part).expect("written").len()).max();
+    let largest =
+        parts.iter().map(|part| postcard::to_stdvec(part).expect("part is encoded").len()).max();
     parts.reverse();
-    parts.into_iter().for_each(|part| _ = other.add_part(part));
-    assert!(other.rows().eq(reader.rows()));
+    parts.into_iter().for_each(|part| _ = peer.add_part(part));
+    assert!(peer.rows().eq(reader.rows()));
     assert!(largest.is_some_and(|bytes| bytes <= 1_300), "{largest:?} bytes");
 }
 
 #[test]
 fn a_daemon_without_a_list_never_takes_a_change_for_one() {
-    let (mut reader, _) = pair();
-    let first = SharedList::default().replace(reading(None));
-    let later = reader.replace(reading(Some(7)));
+    let (mut reader, _) = synced_pair();
+    let first = SharedList::default().replace(listed_upstreams(None));
+    let later = reader.replace(listed_upstreams(Some(7)));
     let mut fresh = SharedList::default();
     assert_eq!(fresh.apply(&first), ChangeVerdict::Unknown);
     assert_eq!(fresh.apply(&later), ChangeVerdict::Unknown);
