--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -1,5 +1,5 @@
-//! The fleet's agreement, leader's book and daemons' members together, under a seeded schedule of lost
-//! and late messages, pauses, deaths, restarts and changes of leader. Invariants are checked after
+//! Drives the leader's registry and the daemons' members together under a seeded schedule of lost
+//! and late messages, pauses, crashes, restarts and changes of leader. Invariants are checked after
 //! every step.
 
 use rand::{Rng, SeedableRng};
@@ -18,17 +18,17 @@
 const STEP: u64 = 2_000;
 const RANKS: [TierRank; 4] = [TierRank(0), TierRank(1), TierRank(2), TierRank(3)];
 
-/// A rule broken by hand, to show that the checks can fail.
+/// A rule that is broken on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
     Nothing,
-    /// A new leader gives out shares as if nobody else held any.
+    /// A new leader assigns shares as if no other daemon held any.
     ForgetUnheardMembers,
-    /// A daemon takes orders that answer an earlier report.
+    /// A daemon applies orders that answer an earlier report.
     TakeLateOrders,
-    /// A daemon goes on after its lease.
+    /// A daemon continues after its lease has expired.
     IgnoreLease,
-    /// A leader takes reports that were made for an earlier leader.
+    /// A leader accepts reports that were made for an earlier leader.
     IgnoreTerm,
 }
 
@@ -40,7 +40,7 @@
     share: f64,
     limit_share: f64,
     current_until: Moment,
-    /// What it kept in the step before, if it held a lease then.
+    /// Lowest admitted tier in the step before, if the daemon held a lease then.
     kept_before: Option<Option<TierRank>>,
     speed: f64,
     paused_until: u64,
@@ -55,7 +55,7 @@
     Term { to: usize, boot: u64, sequence: u64, term: u64 },
 }
 
-/// The whole schedule.
+/// A leader's registry, its daemons and the messages in flight between them.
 pub struct FleetSchedule {
     rng: ChaCha8Rng,
     rule: BrokenRule,
@@ -65,7 +65,7 @@
     book: FleetRegistry,
     table: VersionedTable,
     flights: Vec<(u64, Message)>,
-    /// Steps in which nearly the whole of the shares was in use.
+    /// Steps in which more than 0.9 of the shares was in use.
     pub full_shares: u64,
     /// Steps in which a daemon could shed a tier above the lowest.
     pub sheds: u64,
@@ -172,7 +172,8 @@
         }
     }
 
-    /// The leader: an unknown boot is put on the replicated list first; then it gets orders.
+    /// Handles a report as the leader: an unknown boot is first added to the replicated members and
+    /// gets orders only for a later report.
     fn lead(&mut self, report: DaemonReport) {
         let now = Moment(self.now);
         let (daemon, boot, sequence) = (report.daemon.clone(), report.boot, report.sequence);
@@ -239,7 +240,7 @@
         daemon.report_at = self.now;
     }
 
-    /// A daemon reports, wants floors and lets them go.
+    /// Steps one daemon: raises floors at random, relaxes them and sends reports.
     fn act(&mut self, number: usize) {
         if !self.is_awake(number) {
             return;
@@ -270,7 +271,7 @@
             service: ORGANISATION_LIMITS_POOL.into(),
             wanted: None,
             guaranteed: None,
-            // Without a draw of its own, so that the seeds' schedules stay as they are.
+            // Uses no random draw, so that the schedules of existing seeds do not change.
             demand: self.now / STEP % 10,
             utilisation: 0.0,
         };
@@ -324,7 +325,8 @@
         Ok(())
     }
 
-    /// A daemon that has just dropped tiers shed what waited of them: nobody may admit below them.
+    /// A daemon that has just raised its floor has shed the waiting requests of the dropped tiers,
+    /// so no daemon may admit a tier below them.
     fn check_drops(&mut self, current: &[usize]) -> Result<(), String> {
         for number in 0..DAEMONS {
             let kept = self.daemons[number].floor.lowest_admitted();
--- a/tests/schedule.rs
+++ b/tests/schedule.rs
@@ -1,6 +1,6 @@
-//! A plain event loop over the pure replicas, under a seeded schedule of loss, delay, reordering,
-//! doubling, crash, restart, pause, partition, wiped disks and clocks that run at different speeds.
-//! Invariants are checked after every step.
+//! An event loop that drives the pure replicas under a seeded schedule of message loss, delay,
+//! reordering and duplication, crashes, restarts, pauses, partitions, wiped disks and clocks of
+//! different speeds. Invariants are checked after every step.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,22 +21,22 @@
 const STEP: Duration = Duration::from_millis(5);
 const FLEET: FleetId = FleetId(7);
 
-/// A rule broken by hand, to show that the checks can fail.
+/// A rule that is broken on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
-    /// None: the code as it is.
+    /// No rule is broken.
     Nothing,
-    /// What must be synced is lost in a crash.
+    /// Writes that need a sync are lost in a crash.
     SkipSync,
-    /// The lease is taken as valid whenever the role is leader.
+    /// The lease counts as valid whenever the role is leader.
     SkipLeaseCheck,
-    /// A wiped voter comes back under its old identity.
+    /// A wiped voter rejoins under its old identity.
     KeepWipedIdentity,
-    /// Resent edits are applied again under a new id.
+    /// Resent edits get a new id and are applied again.
     ForgetEditIds,
 }
 
-/// What a voter's disk holds.
+/// Contents of a voter's disk.
 #[derive(Clone)]
 struct VoterDisk {
     hard: HardState,
@@ -47,13 +47,13 @@
 struct TestVoter {
     id: VoterId,
     disk: VoterDisk,
-    /// What survives a crash; the same as the disk, unless the rule of syncing is broken.
+    /// The part that survives a crash; equal to `disk` unless the sync rule is broken.
     synced: VoterDisk,
     core: Option<ReplicaCore<ControlCommand>>,
     ledger: ControlLedger,
     paused_until: u64,
     down_until: u64,
-    /// The voter's clock against true time.
+    /// Speed of the voter's clock relative to true time.
     speed: f64,
     version: u64,
 }
@@ -63,7 +63,7 @@
     envelope: ReplicaEnvelope<ControlCommand>,
 }
 
-/// The whole schedule.
+/// A set of voters, the messages in flight between them and the facts that must not change.
 pub struct Schedule {
     rng: ChaCha8Rng,
     rule: BrokenRule,
@@ -79,11 +79,11 @@
     granted: BTreeMap<String, ClaimOwner>,
     next: u64,
     next_folder: u32,
-    /// Faults are sent for the first part only, so that the end shows recovery.
+    /// End of fault injection; the rest of the run must show recovery.
     quiet_after: u64,
 }
 
-/// What a run came to.
+/// Counts of a completed run.
 #[derive(Debug, Default)]
 pub struct ScheduleEnd {
     pub commits: u64,
@@ -147,7 +147,8 @@
         schedule
     }
 
-    /// Runs `seconds` of faults and then some of quiet; at the end the fleet must be working again.
+    /// Runs with faults for `seconds` and then without for 8 s; at the end the fleet must have
+    /// recovered.
     pub fn run(mut self, seconds: u64) -> Result<ScheduleEnd, String> {
         self.quiet_after = self.now + seconds * 1_000_000;
         let end = self.quiet_after + 8_000_000;
@@ -206,7 +207,7 @@
             dice if dice < 0.011 => {
                 let other = self.rng.random_range(0..VOTERS);
                 self.cuts.insert((position, other));
-                // Sometimes only one way: silence that the sender does not notice.
+                // Some partitions cut one direction only, which the sender does not notice.
                 if self.rng.random_bool(0.6) {
                     self.cuts.insert((other, position));
                 }
@@ -220,8 +221,9 @@
         }
     }
 
-    /// A disk is lost. The voter comes back as somebody new, unless the rule is broken. The next disk is
-    /// lost only after the repair is complete: with two of three gone at once no protocol keeps all.
+    /// Wipes a disk. The voter rejoins under a new identity, unless that rule is broken. The next
+    /// disk is wiped only after the repair is complete: if two of three were lost at once, no
+    /// protocol could keep all data.
     fn wipe(&mut self, position: usize) {
         let ids: BTreeSet<VoterId> = self.voters.iter().map(|voter| voter.id.clone()).collect();
         let is_whole = |voter: &TestVoter| {
@@ -280,7 +282,7 @@
                 continue;
             };
             if !self.is_awake(position) {
-                // A paused process finds the message when it wakes.
+                // A paused process receives the message when it resumes.
                 self.flights.push(Flight {
                     at: self.voters[position].paused_until + 1,
                     envelope: flight.envelope,
@@ -386,12 +388,13 @@
         Ok(())
     }
 
-    /// What operators and callers were told; told once, it must stay true.
+    /// Checks that an outcome that was reported to an operator or a caller never changes.
     fn note_reply(&mut self, command: &ControlCommand, reply: &ControlReply) -> Result<(), String> {
         match (command, reply) {
             (ControlCommand::Edit(edit), ControlReply::Edit(outcome)) => {
                 let EditOutcome::Accepted(record) = outcome.as_ref() else { return Ok(()) };
-                // The operator of the edit, not its id: a forgotten id must not hide a second application.
+                // Keyed by operator, not by edit id: a forgotten id must not hide a second
+                // application.
                 let key = edit.operator.clone();
                 match self.accepted.insert(key, record.version) {
                     Some(version) if version != record.version => {
@@ -429,7 +432,8 @@
         voter.synced = voter.disk.clone();
     }
 
-    /// Operators and callers use whichever replica believes that it leads; the leader changes voters.
+    /// Sends commands to every replica that believes it is the leader, and lets it change the
+    /// voters.
     fn use_leader(&mut self) -> Result<(), String> {
         for position in 0..VOTERS {
             if !self.is_awake(position) {
@@ -469,7 +473,7 @@
             .collect()
     }
 
-    /// A new edit, or the resend of an earlier one; often from a base that is no longer in force.
+    /// Returns a new edit or resends an earlier one; its base version is often out of date.
     fn some_edit(&mut self, position: usize) -> ControlCommand {
         let number = if self.rng.random_bool(0.4) {
             self.rng.random_range(1..=self.next)
@@ -493,7 +497,7 @@
         }))
     }
 
-    /// A take, resent by others, or a settlement.
+    /// Returns a request to acquire a claim, possibly repeated for another owner, or to settle one.
     fn some_claim(&mut self) -> ControlCommand {
         let number = self.rng.random_range(1..200);
         let key = ClaimKey { organisation: "org".into(), key: format!("key-{number}") };
@@ -515,7 +519,7 @@
         ControlCommand::Claim(command)
     }
 
-    /// The leader's own change of voters, as the control loop makes it.
+    /// Returns the leader's next membership change, chosen as the control loop does.
     fn next_membership(&self, position: usize) -> Option<FleetMembership> {
         let core = self.voters[position].core.as_ref()?;
         let membership = core.membership();
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -1,10 +1,11 @@
-//! Shares and floors of the fleet under seeded schedules, and the proof that the checks can fail.
+//! Shares and floors of the fleet under seeded schedules, and proof that the checks detect broken
+//! rules.
 
 use crate::fleet_schedule::{BrokenRule, FleetSchedule};
 
-/// Symptom: engines are overrun by seven daemons that each think a large share theirs; a tier is shed
-/// here while a lower one is admitted there. Sequence: as the seed has it. Cause: an order counted too
-/// early or too late.
+/// Guards against engines that are overloaded by seven daemons that each assume a large share, and
+/// against a tier that is shed at one daemon while another admits a lower one. Both come from
+/// orders that are counted too early or too late; the seed determines the sequence.
 #[test]
 fn shares_and_floors_hold_under_fixed_seeds() {
     let (mut full, mut sheds) = (0, 0);
@@ -40,10 +41,10 @@
     println!("{rule:?}: {}", caught.unwrap_or_default());
 }
 
-/// Symptom: shares add up to more than the whole (seeds 731, 1901, 7277 and 9354 of the long run).
-/// Sequence: a report is long under way; its sender gives it up and is answered by the old leader with a
-/// larger share; a new leader gets the late report first and takes the smaller share in it for true.
-/// Cause: a report that did not say which leader it was made for.
+/// Guards against shares that add up to more than the whole (seeds 731, 1901, 7277 and 9354 of the
+/// long run). A report is delayed; its sender abandons it and gets a larger share from the old
+/// leader; a new leader then receives the late report first and takes the smaller share in it as
+/// current. Reports therefore name the leader that they were made for.
 #[test]
 fn a_report_for_another_leader_is_caught_when_taken() {
     let seeds = [731, 1901, 7277, 9354];
