--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -178,15 +178,15 @@
 
 /// Admits `tokens` at every daemon and returns, for each daemon, the tokens it then counts as
 /// admitted by the whole fleet.
-fn admit_everywhere(simulation: &mut FleetSimulation, tokens: u32) -> Vec<f64> {
-    let now = simulation.now;
-    for daemon in &mut simulation.daemons {
+fn admit_everywhere(fleet: &mut FleetSimulation, tokens: u32) -> Vec<f64> {
+    let now = fleet.now;
+    for daemon in &mut fleet.daemons {
         daemon.limits.release(tarragonknot::policy::OrganisationIndex(0), 0);
         assert!(daemon.limits.admit(crate::fleet_play::HOT, tokens, now).is_ok());
     }
-    simulation.run(1_500, true);
-    let now = simulation.now;
-    let refills = simulation.daemons.iter().map(|daemon| {
+    fleet.run(1_500, true);
+    let now = fleet.now;
+    let refills = fleet.daemons.iter().map(|daemon| {
         daemon.limits.time_to_full(crate::fleet_play::HOT, now).as_secs_f64() * RATE as f64
     });
     refills.collect()
@@ -198,36 +198,30 @@
 #[case::hundreds(300)]
 #[case::a_thousand(1_000)]
 fn all_daemons_come_to_know_the_same_sum(#[case] count: usize) {
-    let mut simulation = FleetSimulation::lossless(count, 1);
-    simulation.run(2_400, true);
-    let covered: Vec<usize> = simulation
-        .daemons
-        .iter()
-        .map(|daemon| daemon.fleet.covered_daemons(simulation.now))
-        .collect();
+    let mut fleet = FleetSimulation::lossless(count, 1);
+    fleet.run(2_400, true);
+    let covered: Vec<usize> =
+        fleet.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(fleet.now)).collect();
     let tokens = (RATE as usize * 4 / 10 / count) as u32;
 
-    let known = admit_everywhere(&mut simulation, tokens);
+    let known = admit_everywhere(&mut fleet, tokens);
 
     assert!(covered.iter().all(|covers| *covers == count), "{covered:?}");
-    let (min, max) = known
-        .iter()
-        .fold((f64::MAX, 0.0), |(min, max): (f64, f64), value| (min.min(*value), max.max(*value)));
-    assert!(max - min <= RATE as f64 * 0.05, "{min}..{max}");
+    let (lowest, highest) =
+        known.iter().fold((f64::MAX, 0.0), |(lowest, highest): (f64, f64), value| {
+            (lowest.min(*value), highest.max(*value))
+        });
+    assert!(highest - lowest <= RATE as f64 * 0.05, "{lowest}..{highest}");
 }
 
 /// Messages per second of a daemon, as mean and maximum, and mean bytes per second.
 fn measure_cost(count: usize) -> (f64, f64, f64) {
-    let mut simulation = FleetSimulation::lossless(count, 2);
-    simulation.run(2_000, true);
-    let before: Vec<(u64, u64)> = simulation
-        .daemons
-        .iter()
-        .map(|daemon| (daemon.sent + daemon.received, daemon.bytes))
-        .collect();
-    simulation.run(2_000, true);
-    let after =
-        simulation.daemons.iter().map(|daemon| (daemon.sent + daemon.received, daemon.bytes));
+    let mut fleet = FleetSimulation::lossless(count, 2);
+    fleet.run(2_000, true);
+    let before: Vec<(u64, u64)> =
+        fleet.daemons.iter().map(|daemon| (daemon.sent + daemon.received, daemon.bytes)).collect();
+    fleet.run(2_000, true);
+    let after = fleet.daemons.iter().map(|daemon| (daemon.sent + daemon.received, daemon.bytes));
     let differences: Vec<(f64, f64)> = after
         .zip(before)
         .map(|(after, before)| {
@@ -257,15 +251,13 @@
 #[case::hundreds(291, 200)]
 #[case::a_thousand(1_000, 400)]
 fn sums_are_fresh(#[case] count: usize, #[case] bound: u64) {
-    let mut simulation = FleetSimulation::lossless(count, 3);
-    simulation.run(2_400, true);
+    let mut fleet = FleetSimulation::lossless(count, 3);
+    fleet.run(2_400, true);
     let mut ages = Vec::new();
     for _ in 0..20 {
-        simulation.run_for(37);
+        fleet.run_for(37);
         // The ages of the parts range from 0 to that of the oldest one; half of it is the mean.
-        ages.extend(
-            simulation.daemons.iter().map(|daemon| daemon.fleet.sums_age(simulation.now) / 2),
-        );
+        ages.extend(fleet.daemons.iter().map(|daemon| daemon.fleet.sums_age(fleet.now) / 2));
     }
     ages.sort_unstable();
 
@@ -281,20 +273,18 @@
 #[case(60)]
 #[case(291)]
 fn others_take_the_place_of_aggregators_that_are_killed(#[case] count: usize) {
-    let mut simulation = FleetSimulation::lossless(count, 4);
-    simulation.run(2_000, true);
+    let mut fleet = FleetSimulation::lossless(count, 4);
+    fleet.run(2_000, true);
     let aggregators: Vec<usize> = (0..count)
-        .filter(|number| {
-            simulation.daemons[*number].fleet.role(simulation.now) == FleetRole::Aggregator
-        })
+        .filter(|number| fleet.daemons[*number].fleet.role(fleet.now) == FleetRole::Aggregator)
         .collect();
-    aggregators[2..].iter().for_each(|number| simulation.kill(*number));
-    simulation.run_for(1_500);
+    aggregators[2..].iter().for_each(|number| fleet.kill(*number));
+    fleet.run_for(1_500);
 
     let alive = count - (aggregators.len() - 2);
-    let covered = simulation.daemons.iter().filter(|daemon| daemon.is_running);
+    let covered = fleet.daemons.iter().filter(|daemon| daemon.is_running);
     let covered: Vec<usize> =
-        covered.map(|daemon| daemon.fleet.covered_daemons(simulation.now)).collect();
+        covered.map(|daemon| daemon.fleet.covered_daemons(fleet.now)).collect();
     assert!(covered.iter().all(|covers| *covers == alive), "{alive}: {covered:?}");
 }
 
@@ -303,25 +293,19 @@
 /// only to daemons that report.
 #[test]
 fn a_daemon_that_starts_while_there_is_no_leader_finds_its_group() {
-    let mut simulation = FleetSimulation::lossless(100, 5);
-    simulation.run(2_000, true);
+    let mut fleet = FleetSimulation::lossless(100, 5);
+    fleet.run(2_000, true);
     let number = (0..100)
-        .find(|number| {
-            simulation.daemons[*number].fleet.role(simulation.now) != FleetRole::Aggregator
-        })
+        .find(|number| fleet.daemons[*number].fleet.role(fleet.now) != FleetRole::Aggregator)
         .expect("no member daemon");
-    simulation.kill(number);
-    simulation.run_for(300);
-    simulation.start(number);
-    simulation.run_for(1_500);
-
-    let fleet = &simulation.daemons[number].fleet;
-    assert!(
-        fleet.covered_daemons(simulation.now) >= 99,
-        "{}",
-        fleet.covered_daemons(simulation.now)
-    );
-    assert!(fleet.limit_share() >= 1.0);
+    fleet.kill(number);
+    fleet.run_for(300);
+    fleet.start(number);
+    fleet.run_for(1_500);
+
+    let state = &fleet.daemons[number].fleet;
+    assert!(state.covered_daemons(fleet.now) >= 99, "{}", state.covered_daemons(fleet.now));
+    assert!(state.limit_share() >= 1.0);
 }
 
 /// Guards against sums that miss daemons or count some twice after a rolling restart. Daemons
@@ -334,19 +318,18 @@
         draw if draw > 0.9 => 2,
         _ => 1,
     };
-    let mut simulation = FleetSimulation::new(100, 6, Box::new(delivery_rule));
-    simulation.run(2_000, true);
+    let mut fleet = FleetSimulation::new(100, 6, Box::new(delivery_rule));
+    fleet.run(2_000, true);
     for number in (0..100).step_by(3) {
-        simulation.daemons[number].has_left = true;
-        simulation.run(400, true);
-        simulation.kill(number);
-        simulation.start(number);
+        fleet.daemons[number].has_left = true;
+        fleet.run(400, true);
+        fleet.kill(number);
+        fleet.start(number);
     }
-    (100..112).for_each(|number| simulation.start(number));
-    simulation.run(3_200, true);
+    (100..112).for_each(|number| fleet.start(number));
+    fleet.run(3_200, true);
 
-    let covered =
-        simulation.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(simulation.now));
+    let covered = fleet.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(fleet.now));
     let covered: Vec<usize> = covered.collect();
     let exact = covered.iter().filter(|covers| **covers == 112).count();
     assert!(exact >= 106, "{covered:?}");
@@ -358,17 +341,17 @@
 #[test]
 fn one_daemon_reads_the_list_and_another_takes_over() {
     for count in [7, 60, 291] {
-        let mut simulation = FleetSimulation::lossless(count, 7);
-        simulation.run(2_400, true);
+        let mut fleet = FleetSimulation::lossless(count, 7);
+        fleet.run(2_400, true);
         for _ in 0..3 {
-            let now = simulation.now;
+            let now = fleet.now;
             let readers: Vec<usize> = (0..count)
-                .filter(|number| simulation.daemons[*number].is_running)
-                .filter(|number| simulation.daemons[*number].fleet.is_list_reader(now))
+                .filter(|number| fleet.daemons[*number].is_running)
+                .filter(|number| fleet.daemons[*number].fleet.is_list_reader(now))
                 .collect();
             assert_eq!(readers.len(), 1, "{count}: {readers:?}");
-            simulation.kill(readers[0]);
-            simulation.run(1_200, true);
+            fleet.kill(readers[0]);
+            fleet.run(1_200, true);
         }
     }
 }
@@ -377,7 +360,7 @@
     PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
-fn upstream_hash(number: usize) -> UpstreamHash {
+fn upstream(number: usize) -> UpstreamHash {
     UpstreamHash::of(&"pool".into(), &format!("e{number}").as_str().into(), 1)
 }
 
@@ -385,24 +368,19 @@
 /// aggregator's sums include its own part, and so leaves places free.
 #[test]
 fn the_work_of_others_holds_nothing_of_ones_own() {
-    let mut simulation = FleetSimulation::lossless(64, 8);
-    simulation.daemons[1].work = vec![(upstream_hash(1), peer_work(2, 0))];
-    simulation.daemons[2].work = vec![(upstream_hash(1), peer_work(3, 24_000))];
-    simulation.daemons[60].work =
-        vec![(upstream_hash(1), peer_work(4, 0)), (upstream_hash(2), peer_work(1, 0))];
-    simulation.run(2_000, true);
-
-    let others_work = |number: usize| simulation.daemons[number].fleet.others_work(simulation.now);
-    let places = |number: usize| {
-        (
-            others_work(number)[&upstream_hash(1)].requests,
-            others_work(number)[&upstream_hash(1)].hinted,
-        )
-    };
+    let mut fleet = FleetSimulation::lossless(64, 8);
+    fleet.daemons[1].work = vec![(upstream(1), peer_work(2, 0))];
+    fleet.daemons[2].work = vec![(upstream(1), peer_work(3, 24_000))];
+    fleet.daemons[60].work = vec![(upstream(1), peer_work(4, 0)), (upstream(2), peer_work(1, 0))];
+    fleet.run(2_000, true);
+
+    let work = |number: usize| fleet.daemons[number].fleet.others_work(fleet.now);
+    let places =
+        |number: usize| (work(number)[&upstream(1)].requests, work(number)[&upstream(1)].hinted);
     assert_eq!((places(0), places(1), places(2)), ((5, 4), (3, 4), (2, 4)));
     assert_eq!(places(60), (0, 5));
-    assert_eq!(others_work(5)[&upstream_hash(2)].hinted, 1);
-    assert_eq!(others_work(63)[&upstream_hash(1)].gap_micros, 24_000);
+    assert_eq!(work(5)[&upstream(2)].hinted, 1);
+    assert_eq!(work(63)[&upstream(1)].gap_micros, 24_000);
 }
 
 /// Guards against messages that grow with the number of engines: at 3,000 engines those of 300
@@ -411,22 +389,21 @@
 #[test]
 fn the_size_of_sums_does_not_grow_with_the_engines() {
     let bytes = |engines: usize| {
-        let mut simulation = FleetSimulation::lossless(64, 11);
+        let mut fleet = FleetSimulation::lossless(64, 11);
         for number in 0..64 {
-            let rows =
-                (0..engines).map(|at| (upstream_hash(number * engines + at), peer_work(1, 0)));
-            simulation.daemons[number].work = rows.collect();
+            let rows = (0..engines).map(|at| (upstream(number * engines + at), peer_work(1, 0)));
+            fleet.daemons[number].work = rows.collect();
         }
-        simulation.run(2_000, true);
-        let before = simulation.daemons[0].bytes;
-        simulation.run(1_200, true);
-        let seen = simulation.daemons[5].fleet.others_work(simulation.now);
+        fleet.run(2_000, true);
+        let before = fleet.daemons[0].bytes;
+        fleet.run(1_200, true);
+        let seen = fleet.daemons[5].fleet.others_work(fleet.now);
         let hinted_count = seen.values().filter(|work| work.hinted > 0).count();
         assert!(
             hinted_count >= (64 - 8) * engines * 9 / 10,
             "{hinted_count} upstreams are hinted at; each daemon uses {engines}"
         );
-        simulation.daemons[0].bytes - before
+        fleet.daemons[0].bytes - before
     };
 
     let (few, many) = (bytes(2), bytes(16));
@@ -439,18 +416,17 @@
 #[test]
 fn the_work_of_a_daemon_that_is_gone_is_forgotten() {
     for count in [7, 64] {
-        let mut simulation = FleetSimulation::lossless(count, 9);
-        simulation.daemons[1].work = vec![(upstream_hash(1), peer_work(2, 0))];
-        simulation.run(2_000, true);
-        let before =
-            simulation.daemons[2].fleet.others_work(simulation.now)[&upstream_hash(1)].requests;
-        simulation.kill(1);
-        simulation.run_for(2_500);
-        let after = simulation.daemons[2].fleet.others_work(simulation.now);
+        let mut fleet = FleetSimulation::lossless(count, 9);
+        fleet.daemons[1].work = vec![(upstream(1), peer_work(2, 0))];
+        fleet.run(2_000, true);
+        let before = fleet.daemons[2].fleet.others_work(fleet.now)[&upstream(1)].requests;
+        fleet.kill(1);
+        fleet.run_for(2_500);
+        let after = fleet.daemons[2].fleet.others_work(fleet.now);
 
         assert_eq!(before, 2, "{count}");
         assert!(
-            after.get(&upstream_hash(1)).is_none_or(|work| work.requests == 0),
+            after.get(&upstream(1)).is_none_or(|work| work.requests == 0),
             "{count}: {after:?}"
         );
     }
@@ -458,13 +434,13 @@
 
 #[test]
 fn a_message_of_ones_own_that_comes_back_changes_nothing() {
-    let mut simulation = FleetSimulation::lossless(3, 10);
-    simulation.run(1_000, true);
-    let daemon = &mut simulation.daemons[0];
-    let before = daemon.fleet.covered_daemons(simulation.now);
-    let outgoing = daemon.fleet.tick(Default::default(), &[], simulation.now);
-    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, simulation.now));
-
-    assert_eq!(daemon.fleet.covered_daemons(simulation.now), before);
+    let mut fleet = FleetSimulation::lossless(3, 10);
+    fleet.run(1_000, true);
+    let daemon = &mut fleet.daemons[0];
+    let before = daemon.fleet.covered_daemons(fleet.now);
+    let outgoing = daemon.fleet.tick(Default::default(), &[], fleet.now);
+    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, fleet.now));
+
+    assert_eq!(daemon.fleet.covered_daemons(fleet.now), before);
     assert!(daemon_name(0).starts_with("entry"));
 }
