--- a/tests/fleet_schedule.rs
+++ b/tests/fleet_schedule.rs
@@ -15,7 +15,7 @@
 
 const DAEMONS: usize = 4;
 const LEASE: Duration = Duration::from_millis(600);
-const STEP: u64 = 2_000;
+const STEP_MICROS: u64 = 2_000;
 const RANKS: [TierRank; 4] = [TierRank(0), TierRank(1), TierRank(2), TierRank(3)];
 
 /// A rule that is broken on purpose, to show that the checks detect it.
@@ -41,10 +41,10 @@
     limit_share: f64,
     current_until: Moment,
     /// Lowest admitted tier in the step before, if the daemon held a lease then.
-    kept_before: Option<Option<TierRank>>,
+    lowest_admitted_before: Option<Option<TierRank>>,
     speed: f64,
     paused_until: u64,
-    dead_until: u64,
+    down_until: u64,
     sequence: u64,
     report_at: u64,
 }
@@ -62,13 +62,13 @@
     now: u64,
     daemons: Vec<TestDaemon>,
     members: BTreeMap<DaemonName, u64>,
-    book: FleetRegistry,
+    leader: FleetRegistry,
     table: VersionedTable,
-    flights: Vec<(u64, Message)>,
+    in_flight: Vec<(u64, Message)>,
     /// Steps in which more than 0.9 of the shares was in use.
-    pub full_shares: u64,
+    pub full_share_steps: u64,
     /// Steps in which a daemon could shed a tier above the lowest.
-    pub sheds: u64,
+    pub shed_steps: u64,
 }
 
 fn table() -> VersionedTable {
@@ -77,7 +77,7 @@
         "organisations": [],
         "services": [{"service": "pack-llm", "kind": "model", "default_tier": "only", "deadline_ms": 1000}]
     }"#;
-    VersionedTable::new(1, read_table(text).expect("a good table"))
+    VersionedTable::new(1, read_table(text).expect("table is valid"))
 }
 
 impl FleetSchedule {
@@ -90,69 +90,69 @@
             rng,
             rule,
             now: 5_000_000,
-            book: FleetRegistry::new(1, LEASE, Moment(5_000_000), &members),
+            leader: FleetRegistry::new(1, LEASE, Moment(5_000_000), &members),
             daemons,
             members,
             table: table(),
-            flights: Vec::new(),
-            full_shares: 0,
-            sheds: 0,
+            in_flight: Vec::new(),
+            full_share_steps: 0,
+            shed_steps: 0,
         }
     }
 
     pub fn run(&mut self, seconds: u64) -> Result<(), String> {
         let end = self.now + seconds * 1_000_000;
         while self.now < end {
-            self.now += STEP;
-            self.hurt();
+            self.now += STEP_MICROS;
+            self.inject_fault();
             self.deliver();
-            (0..DAEMONS).for_each(|number| self.act(number));
+            (0..DAEMONS).for_each(|number| self.step_daemon(number));
             self.check()?;
         }
         Ok(())
     }
 
-    fn hurt(&mut self) {
-        let dice: f64 = self.rng.random();
+    fn inject_fault(&mut self) {
+        let draw: f64 = self.rng.random();
         let number = self.rng.random_range(0..DAEMONS);
-        if dice < 0.0008 {
+        if draw < 0.0008 {
             self.daemons[number].paused_until = self.now + self.rng.random_range(50_000..1_200_000);
-        } else if dice < 0.0014 {
+        } else if draw < 0.0014 {
             let boot = self.daemons[number].boot + 1;
             self.daemons[number] = daemon(number, boot, &mut self.rng);
-            self.daemons[number].dead_until = self.now + self.rng.random_range(50_000..1_500_000);
-        } else if dice < 0.0022 {
+            self.daemons[number].down_until = self.now + self.rng.random_range(50_000..1_500_000);
+        } else if draw < 0.0022 {
             let mut members = self.members.clone();
             if self.rule == BrokenRule::ForgetUnheardMembers {
                 members.clear();
             }
-            let term = self.book.term() + 1;
-            self.book = FleetRegistry::new(term, LEASE, Moment(self.now), &members);
+            let term = self.leader.term() + 1;
+            self.leader = FleetRegistry::new(term, LEASE, Moment(self.now), &members);
         }
     }
 
-    fn local(&self, number: usize) -> Moment {
+    fn local_time(&self, number: usize) -> Moment {
         Moment((self.now as f64 * self.daemons[number].speed) as u64)
     }
 
     fn is_awake(&self, number: usize) -> bool {
-        self.daemons[number].paused_until <= self.now && self.daemons[number].dead_until <= self.now
+        self.daemons[number].paused_until <= self.now && self.daemons[number].down_until <= self.now
     }
 
     fn send(&mut self, message: Message) {
         if !self.rng.random_bool(0.05) {
             let at = self.now + self.rng.random_range(500..30_000);
-            self.flights.push((at, message));
+            self.in_flight.push((at, message));
         }
     }
 
     fn deliver(&mut self) {
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.flights).into_iter().partition(|(at, _)| *at <= self.now);
-        self.flights = later;
+            std::mem::take(&mut self.in_flight).into_iter().partition(|(at, _)| *at <= self.now);
+        self.in_flight = later;
         for (_, message) in due {
             match message {
-                Message::Report(report) => self.lead(*report),
+                Message::Report(report) => self.handle_report(*report),
                 Message::Term { to, boot, sequence, term } => {
                     let report_at = self.now;
                     let daemon = &mut self.daemons[to];
@@ -162,11 +162,11 @@
                     }
                 }
                 Message::Orders { to, boot, sequence, orders } if self.is_awake(to) => {
-                    self.obey(to, boot, sequence, *orders)
+                    self.apply_orders(to, boot, sequence, *orders)
                 }
                 Message::Orders { to, boot, sequence, orders } => {
-                    let at = self.daemons[to].paused_until.max(self.daemons[to].dead_until) + 1;
-                    self.flights.push((at, Message::Orders { to, boot, sequence, orders }));
+                    let at = self.daemons[to].paused_until.max(self.daemons[to].down_until) + 1;
+                    self.in_flight.push((at, Message::Orders { to, boot, sequence, orders }));
                 }
             }
         }
@@ -174,23 +174,23 @@
 
     /// Handles a report as the leader: an unknown boot is first added to the replicated members and
     /// gets orders only for a later report.
-    fn lead(&mut self, report: DaemonReport) {
+    fn handle_report(&mut self, report: DaemonReport) {
         let now = Moment(self.now);
         let (daemon, boot, sequence) = (report.daemon.clone(), report.boot, report.sequence);
         let has_lease = report.has_lease;
         let outcome = match self.rule {
             BrokenRule::IgnoreTerm => {
-                self.book.record(DaemonReport { term: self.book.term(), ..report.clone() }, now)
+                self.leader.record(DaemonReport { term: self.leader.term(), ..report.clone() }, now)
             }
-            _ => self.book.record(report.clone(), now),
+            _ => self.leader.record(report.clone(), now),
         };
         if outcome == ReportOutcome::TermMismatch {
             let to = self
                 .daemons
                 .iter()
                 .position(|known| known.name == daemon)
-                .expect("a daemon of the test");
-            let term = self.book.term();
+                .expect("report comes from a known daemon");
+            let term = self.leader.term();
             return self.send(Message::Term { to, boot, sequence, term });
         }
         if outcome == ReportOutcome::UnknownBoot {
@@ -202,61 +202,61 @@
                 } else {
                     self.members.clone()
                 };
-                self.book.set_members(&known);
+                self.leader.set_members(&known);
             }
             return;
         }
-        if !has_lease && !self.book.has_heard_all(now) {
+        if !has_lease && !self.leader.has_heard_all(now) {
             return;
         }
-        let orders = self.book.orders(&daemon, &self.table, now);
-        self.book.record_sent_orders(&daemon, &orders.pools);
+        let orders = self.leader.orders(&daemon, &self.table, now);
+        self.leader.record_sent_orders(&daemon, &orders.pools);
         let to = self
             .daemons
             .iter()
             .position(|known| known.name == daemon)
-            .expect("a daemon of the test");
+            .expect("report comes from a known daemon");
         self.send(Message::Orders { to, boot, sequence, orders: Box::new(orders) });
     }
 
-    fn obey(&mut self, to: usize, boot: u64, sequence: u64, orders: DaemonOrders) {
+    fn apply_orders(&mut self, to: usize, boot: u64, sequence: u64, orders: DaemonOrders) {
         let daemon = &mut self.daemons[to];
-        let is_last = sequence == daemon.sequence || self.rule == BrokenRule::TakeLateOrders;
-        if daemon.boot != boot || !is_last {
+        let is_current = sequence == daemon.sequence || self.rule == BrokenRule::TakeLateOrders;
+        if daemon.boot != boot || !is_current {
             return;
         }
         let now = Moment((self.now as f64 * daemon.speed) as u64);
-        let Some(moves) = daemon.member.apply(orders, now) else { return };
-        for step in moves.pools {
-            match step.service.as_str() {
-                ORGANISATION_LIMITS_POOL => daemon.limit_share = step.share,
+        let Some(changes) = daemon.member.apply(orders, now) else { return };
+        for change in changes.pools {
+            match change.service.as_str() {
+                ORGANISATION_LIMITS_POOL => daemon.limit_share = change.share,
                 _ => {
-                    daemon.share = step.share;
-                    daemon.floor.apply(step.floor);
+                    daemon.share = change.share;
+                    daemon.floor.apply(change.floor);
                 }
             }
         }
-        daemon.current_until = moves.current_until;
+        daemon.current_until = changes.current_until;
         daemon.report_at = self.now;
     }
 
     /// Steps one daemon: raises floors at random, relaxes them and sends reports.
-    fn act(&mut self, number: usize) {
+    fn step_daemon(&mut self, number: usize) {
         if !self.is_awake(number) {
             return;
         }
-        let now = self.local(number);
-        let wants = self.rng.random_bool(0.002);
+        let now = self.local_time(number);
+        let raises_floor = self.rng.random_bool(0.002);
         let tier = RANKS[self.rng.random_range(0..RANKS.len())];
         let daemon = &mut self.daemons[number];
         let before = (daemon.floor.wanted(), daemon.floor.lowest_admitted());
-        if wants {
+        if raises_floor {
             daemon.floor.raise(tier, now);
         }
         daemon.floor.relax(now);
         let after = (daemon.floor.wanted(), daemon.floor.lowest_admitted());
-        let is_news = before != after;
-        if !is_news && self.now < daemon.report_at {
+        let has_changed = before != after;
+        if !has_changed && self.now < daemon.report_at {
             return;
         }
         daemon.report_at = self.now + 100_000;
@@ -272,7 +272,7 @@
             wanted: None,
             guaranteed: None,
             // Uses no random draw, so that the schedules of existing seeds do not change.
-            demand: self.now / STEP % 10,
+            demand: self.now / STEP_MICROS % 10,
             utilisation: 0.0,
         };
         let report = daemon.member.report(1, vec![pool, limits], false, now);
@@ -281,10 +281,10 @@
     }
 
     fn has_lease(&self, number: usize) -> bool {
-        let is_alive = self.daemons[number].dead_until <= self.now;
+        let is_alive = self.daemons[number].down_until <= self.now;
         is_alive
             && (self.rule == BrokenRule::IgnoreLease
-                || self.local(number) < self.daemons[number].current_until)
+                || self.local_time(number) < self.daemons[number].current_until)
     }
 
     fn check(&mut self) -> Result<(), String> {
@@ -297,12 +297,12 @@
         if sum > 1.0 + 1.0 / f64::from(SHARE_UNITS) {
             return Err(format!("shares add up to {sum}"));
         }
-        self.full_shares += u64::from(sum > 0.9);
+        self.full_share_steps += u64::from(sum > 0.9);
         self.check_drops(&current)?;
         for shedding in &current {
             for tier in RANKS {
                 let floor = &self.daemons[*shedding].floor;
-                let sheds =
+                let may_shed =
                     floor.wanted().is_some_and(|wanted| wanted <= tier) && floor.may_shed(tier);
                 let admits = |number: &&usize| {
                     self.daemons[**number]
@@ -310,9 +310,9 @@
                         .lowest_admitted()
                         .is_none_or(|lowest| lowest > tier)
                 };
-                let lowest_tier = tier == RANKS[RANKS.len() - 1];
-                if sheds && !lowest_tier {
-                    self.sheds += 1;
+                let is_lowest = tier == RANKS[RANKS.len() - 1];
+                if may_shed && !is_lowest {
+                    self.shed_steps += 1;
                     if let Some(other) = current.iter().find(admits) {
                         return Err(format!(
                             "daemon {shedding} may shed tier {} while {other} admits below it",
@@ -329,12 +329,13 @@
     /// so no daemon may admit a tier below them.
     fn check_drops(&mut self, current: &[usize]) -> Result<(), String> {
         for number in 0..DAEMONS {
-            let kept = self.daemons[number].floor.lowest_admitted();
-            let before = self.daemons[number].kept_before;
-            self.daemons[number].kept_before = current.contains(&number).then_some(kept);
-            let (Some(before), Some(kept)) = (before, kept) else { continue };
+            let floor = self.daemons[number].floor.lowest_admitted();
+            let before = self.daemons[number].lowest_admitted_before;
+            self.daemons[number].lowest_admitted_before =
+                current.contains(&number).then_some(floor);
+            let (Some(before), Some(floor)) = (before, floor) else { continue };
             let dropped =
-                |rank: &&TierRank| **rank > kept && before.is_none_or(|before| **rank <= before);
+                |rank: &&TierRank| **rank > floor && before.is_none_or(|before| **rank <= before);
             for tier in RANKS.iter().filter(dropped) {
                 let admits = |other: &&usize| {
                     self.daemons[**other]
@@ -369,10 +370,10 @@
         share: 0.0,
         limit_share: 0.0,
         current_until: Moment(0),
-        kept_before: None,
+        lowest_admitted_before: None,
         speed: rng.random_range(0.97..1.03),
         paused_until: 0,
-        dead_until: 0,
+        down_until: 0,
         sequence: 0,
         report_at: 0,
     }
--- a/tests/schedule.rs
+++ b/tests/schedule.rs
@@ -19,7 +19,7 @@
 
 const VOTERS: usize = 3;
 const STEP: Duration = Duration::from_millis(5);
-const FLEET: FleetId = FleetId(7);
+const FLEET_ID: FleetId = FleetId(7);
 
 /// A rule that is broken on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     version: u64,
 }
 
-struct Flight {
+struct InFlightMessage {
     at: u64,
     envelope: ReplicaEnvelope<ControlCommand>,
 }
@@ -69,18 +69,18 @@
     rule: BrokenRule,
     now: u64,
     voters: Vec<TestVoter>,
-    flights: Vec<Flight>,
-    cuts: BTreeSet<(usize, usize)>,
+    in_flight: Vec<InFlightMessage>,
+    blocked_links: BTreeSet<(usize, usize)>,
     heal_at: u64,
-    leaders: BTreeMap<u64, VoterId>,
+    leaders_by_term: BTreeMap<u64, VoterId>,
     committed: BTreeMap<u64, (u64, ControlCommand)>,
-    acked: u64,
-    accepted: BTreeMap<String, u64>,
-    granted: BTreeMap<String, ClaimOwner>,
-    next: u64,
+    acked_index: u64,
+    edit_versions: BTreeMap<String, u64>,
+    claim_owners: BTreeMap<String, ClaimOwner>,
+    next_edit: u64,
     next_folder: u32,
     /// End of fault injection; the rest of the run must show recovery.
-    quiet_after: u64,
+    faults_end: u64,
 }
 
 /// Counts of a completed run.
@@ -107,7 +107,7 @@
             daemon: format!("entry-{position}").as_str().into(),
             folder_id: position as u32,
         };
-        let mut membership = FleetMembership { fleet: FLEET, ..FleetMembership::default() };
+        let mut membership = FleetMembership { fleet: FLEET_ID, ..FleetMembership::default() };
         membership.voters =
             (0..VOTERS).map(|position| (id(position), member_address(position))).collect();
         let snapshot =
@@ -131,17 +131,17 @@
             rule,
             now: 1_000,
             voters,
-            flights: Vec::new(),
-            cuts: BTreeSet::new(),
+            in_flight: Vec::new(),
+            blocked_links: BTreeSet::new(),
             heal_at: 0,
-            leaders: BTreeMap::new(),
+            leaders_by_term: BTreeMap::new(),
             committed: BTreeMap::new(),
-            acked: 0,
-            accepted: BTreeMap::new(),
-            granted: BTreeMap::new(),
-            next: 1,
+            acked_index: 0,
+            edit_versions: BTreeMap::new(),
+            claim_owners: BTreeMap::new(),
+            next_edit: 1,
             next_folder: 100,
-            quiet_after: 0,
+            faults_end: 0,
         };
         (0..VOTERS).for_each(|position| schedule.restart(position));
         schedule
@@ -150,23 +150,23 @@
     /// Runs with faults for `seconds` and then without for 8 s; at the end the fleet must have
     /// recovered.
     pub fn run(mut self, seconds: u64) -> Result<ScheduleEnd, String> {
-        self.quiet_after = self.now + seconds * 1_000_000;
-        let end = self.quiet_after + 8_000_000;
+        self.faults_end = self.now + seconds * 1_000_000;
+        let end = self.faults_end + 8_000_000;
         while self.now < end {
             self.now += STEP.as_micros() as u64;
-            if self.now < self.quiet_after {
-                self.hurt();
+            if self.now < self.faults_end {
+                self.inject_fault();
             } else {
-                self.cuts.clear();
+                self.blocked_links.clear();
             }
             self.deliver()?;
-            self.pass_time()?;
-            self.use_leader()?;
+            self.tick_voters()?;
+            self.drive_leaders()?;
             self.check()?;
         }
-        let before = self.acked;
-        if before == 0 {
-            return Err("nothing was ever committed".to_owned());
+        let acked_index = self.acked_index;
+        if acked_index == 0 {
+            return Err("no command was committed".to_owned());
         }
         let leaders = self.voters.iter().filter(|voter| {
             voter.core.as_ref().is_some_and(|core| core.role() == ReplicaRole::Leader)
@@ -175,14 +175,14 @@
             return Err("the fleet did not recover after the faults".to_owned());
         }
         Ok(ScheduleEnd {
-            commits: self.acked,
-            edits: self.accepted.len(),
-            claims: self.granted.len(),
-            terms: self.leaders.len(),
+            commits: self.acked_index,
+            edits: self.edit_versions.len(),
+            claims: self.claim_owners.len(),
+            terms: self.leaders_by_term.len(),
         })
     }
 
-    fn local(&self, position: usize) -> Moment {
+    fn local_time(&self, position: usize) -> Moment {
         Moment((self.now as f64 * self.voters[position].speed) as u64)
     }
 
@@ -191,33 +191,35 @@
         voter.core.is_some() && voter.paused_until <= self.now
     }
 
-    fn hurt(&mut self) {
-        let dice: f64 = self.rng.random();
+    fn inject_fault(&mut self) {
+        let draw: f64 = self.rng.random();
         let position = self.rng.random_range(0..VOTERS);
-        let span = |rng: &mut ChaCha8Rng, most: u64| rng.random_range(10_000..most);
-        match dice {
-            dice if dice < 0.004 => {
+        let random_span =
+            |rng: &mut ChaCha8Rng, max_micros: u64| rng.random_range(10_000..max_micros);
+        match draw {
+            draw if draw < 0.004 => {
                 self.voters[position].core = None;
                 self.voters[position].disk = self.voters[position].synced.clone();
-                self.voters[position].down_until = self.now + span(&mut self.rng, 1_500_000);
+                self.voters[position].down_until = self.now + random_span(&mut self.rng, 1_500_000);
             }
-            dice if dice < 0.007 => {
-                self.voters[position].paused_until = self.now + span(&mut self.rng, 2_000_000)
+            draw if draw < 0.007 => {
+                self.voters[position].paused_until =
+                    self.now + random_span(&mut self.rng, 2_000_000)
             }
-            dice if dice < 0.011 => {
+            draw if draw < 0.011 => {
                 let other = self.rng.random_range(0..VOTERS);
-                self.cuts.insert((position, other));
+                self.blocked_links.insert((position, other));
                 // Some partitions cut one direction only, which the sender does not notice.
                 if self.rng.random_bool(0.6) {
-                    self.cuts.insert((other, position));
+                    self.blocked_links.insert((other, position));
                 }
-                self.heal_at = self.now + span(&mut self.rng, 2_500_000);
+                self.heal_at = self.now + random_span(&mut self.rng, 2_500_000);
             }
-            dice if dice < 0.0125 => self.wipe(position),
+            draw if draw < 0.0125 => self.wipe(position),
             _ => {}
         }
         if self.now >= self.heal_at {
-            self.cuts.clear();
+            self.blocked_links.clear();
         }
     }
 
@@ -242,7 +244,7 @@
         }
         let membership = match self.rule {
             BrokenRule::KeepWipedIdentity => voter.disk.snapshot.membership.clone(),
-            _ => FleetMembership { fleet: FLEET, ..FleetMembership::default() },
+            _ => FleetMembership { fleet: FLEET_ID, ..FleetMembership::default() },
         };
         let snapshot =
             SnapshotRecord { at: LogPosition::default(), membership, state: Arc::from("") };
@@ -254,10 +256,11 @@
     }
 
     fn restart(&mut self, position: usize) {
-        let now = self.local(position);
+        let now = self.local_time(position);
         let voter = &mut self.voters[position];
         let disk = voter.disk.clone();
-        voter.ledger = ControlLedger::from_json(&disk.snapshot.state).expect("our own text");
+        voter.ledger =
+            ControlLedger::from_json(&disk.snapshot.state).expect("ledger JSON is valid");
         let start = InitialState {
             id: voter.id.clone(),
             hard_state: disk.hard,
@@ -269,35 +272,35 @@
     }
 
     fn deliver(&mut self) -> Result<(), String> {
-        let due: Vec<Flight> = {
-            let (due, later) = std::mem::take(&mut self.flights)
+        let due: Vec<InFlightMessage> = {
+            let (due, later) = std::mem::take(&mut self.in_flight)
                 .into_iter()
-                .partition(|flight| flight.at <= self.now);
-            self.flights = later;
+                .partition(|message| message.at <= self.now);
+            self.in_flight = later;
             due
         };
-        for flight in due {
-            let to = self.voters.iter().position(|voter| voter.id == flight.envelope.to);
+        for message in due {
+            let to = self.voters.iter().position(|voter| voter.id == message.envelope.to);
             let Some(position) = to.filter(|position| self.voters[*position].core.is_some()) else {
                 continue;
             };
             if !self.is_awake(position) {
                 // A paused process receives the message when it resumes.
-                self.flights.push(Flight {
+                self.in_flight.push(InFlightMessage {
                     at: self.voters[position].paused_until + 1,
-                    envelope: flight.envelope,
+                    envelope: message.envelope,
                 });
                 continue;
             }
-            let now = self.local(position);
+            let now = self.local_time(position);
             let Some(core) = &mut self.voters[position].core else { continue };
-            let output = core.receive(flight.envelope, now, &mut self.rng);
-            self.settle(position, output)?;
+            let output = core.receive(message.envelope, now, &mut self.rng);
+            self.apply_output(position, output)?;
         }
         Ok(())
     }
 
-    fn pass_time(&mut self) -> Result<(), String> {
+    fn tick_voters(&mut self) -> Result<(), String> {
         for position in 0..VOTERS {
             if self.voters[position].core.is_none() && self.voters[position].down_until <= self.now
             {
@@ -306,15 +309,15 @@
             if !self.is_awake(position) {
                 continue;
             }
-            let now = self.local(position);
+            let now = self.local_time(position);
             let Some(core) = &mut self.voters[position].core else { continue };
             let output = core.tick(now, &mut self.rng);
-            self.settle(position, output)?;
+            self.apply_output(position, output)?;
         }
         Ok(())
     }
 
-    fn settle(
+    fn apply_output(
         &mut self,
         position: usize,
         output: ReplicaOutput<ControlCommand>,
@@ -356,16 +359,17 @@
     fn send(&mut self, from: usize, envelope: ReplicaEnvelope<ControlCommand>) {
         let to = self.voters.iter().position(|voter| voter.id == envelope.to);
         let Some(to) = to else { return };
-        let is_hurt = self.now < self.quiet_after;
-        let is_lost = self.cuts.contains(&(from, to)) || (is_hurt && self.rng.random_bool(0.02));
+        let has_faults = self.now < self.faults_end;
+        let is_lost =
+            self.blocked_links.contains(&(from, to)) || (has_faults && self.rng.random_bool(0.02));
         if is_lost {
             return;
         }
-        let most = if is_hurt { 30_000 } else { 3_000 };
-        let copies = if is_hurt && self.rng.random_bool(0.02) { 2 } else { 1 };
+        let max_delay_micros = if has_faults { 30_000 } else { 3_000 };
+        let copies = if has_faults && self.rng.random_bool(0.02) { 2 } else { 1 };
         for _ in 0..copies {
-            let at = self.now + self.rng.random_range(500..most);
-            self.flights.push(Flight { at, envelope: envelope.clone() });
+            let at = self.now + self.rng.random_range(500..max_delay_micros);
+            self.in_flight.push(InFlightMessage { at, envelope: envelope.clone() });
         }
     }
 
@@ -379,24 +383,28 @@
                 return Err(format!("entry {index} changed from {known:?} to {command:?}"));
             }
         }
-        let is_first = index > self.acked;
+        let is_first = index > self.acked_index;
         let reply = self.voters[position].ledger.apply(&command);
         if is_first {
-            self.acked = index;
-            self.note_reply(&command, &reply)?;
+            self.acked_index = index;
+            self.check_reply(&command, &reply)?;
         }
         Ok(())
     }
 
     /// Checks that an outcome that was reported to an operator or a caller never changes.
-    fn note_reply(&mut self, command: &ControlCommand, reply: &ControlReply) -> Result<(), String> {
+    fn check_reply(
+        &mut self,
+        command: &ControlCommand,
+        reply: &ControlReply,
+    ) -> Result<(), String> {
         match (command, reply) {
             (ControlCommand::Edit(edit), ControlReply::Edit(outcome)) => {
                 let EditOutcome::Accepted(record) = outcome.as_ref() else { return Ok(()) };
                 // Keyed by operator, not by edit id: a forgotten id must not hide a second
                 // application.
                 let key = edit.operator.clone();
-                match self.accepted.insert(key, record.version) {
+                match self.edit_versions.insert(key, record.version) {
                     Some(version) if version != record.version => {
                         return Err(format!(
                             "edit {} was applied as version {version} and {}",
@@ -409,7 +417,7 @@
             (
                 ControlCommand::Claim(ClaimCommand::Acquire { key, owner, .. }),
                 ControlReply::Claim(ClaimReply::Granted),
-            ) => match self.granted.insert(key.to_string(), owner.clone()) {
+            ) => match self.claim_owners.insert(key.to_string(), owner.clone()) {
                 Some(known) if known != *owner => {
                     return Err(format!("claim {key} granted to {known:?} and {owner:?}"));
                 }
@@ -434,53 +442,57 @@
 
     /// Sends commands to every replica that believes it is the leader, and lets it change the
     /// voters.
-    fn use_leader(&mut self) -> Result<(), String> {
+    fn drive_leaders(&mut self) -> Result<(), String> {
         for position in 0..VOTERS {
             if !self.is_awake(position) {
                 continue;
             }
-            let now = self.local(position);
-            let leads = self.voters[position]
+            let now = self.local_time(position);
+            let is_leader = self.voters[position]
                 .core
                 .as_ref()
                 .is_some_and(|core| core.role() == ReplicaRole::Leader);
-            if !leads {
+            if !is_leader {
                 continue;
             }
             if self.rng.random_bool(0.08) {
-                let commands = self.some_commands(position);
+                let commands = self.random_commands(position);
                 let Some(core) = &mut self.voters[position].core else { continue };
                 if let Ok((_, output)) = core.propose(commands, now) {
-                    self.settle(position, output)?;
+                    self.apply_output(position, output)?;
                 }
             }
             if let Some(membership) = self.next_membership(position) {
                 let Some(core) = &mut self.voters[position].core else { continue };
                 if let Ok(output) = core.change_membership(membership, now) {
-                    self.settle(position, output)?;
+                    self.apply_output(position, output)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn some_commands(&mut self, position: usize) -> Vec<ControlCommand> {
+    fn random_commands(&mut self, position: usize) -> Vec<ControlCommand> {
         let count = self.rng.random_range(1..4);
         (0..count)
             .map(|_| {
-                if self.rng.random_bool(0.5) { self.some_edit(position) } else { self.some_claim() }
+                if self.rng.random_bool(0.5) {
+                    self.random_edit(position)
+                } else {
+                    self.random_claim()
+                }
             })
             .collect()
     }
 
     /// Returns a new edit or resends an earlier one; its base version is often out of date.
-    fn some_edit(&mut self, position: usize) -> ControlCommand {
+    fn random_edit(&mut self, position: usize) -> ControlCommand {
         let number = if self.rng.random_bool(0.4) {
-            self.rng.random_range(1..=self.next)
+            self.rng.random_range(1..=self.next_edit)
         } else {
-            self.next
+            self.next_edit
         };
-        self.next = self.next.max(number + 1);
+        self.next_edit = self.next_edit.max(number + 1);
         let base = self.voters[position].ledger.table().clone();
         let tier = TierRow { tier: "only".into(), rank: 0, weight: number as u32 };
         let edit_id = match self.rule {
@@ -498,7 +510,7 @@
     }
 
     /// Returns a request to acquire a claim, possibly repeated for another owner, or to settle one.
-    fn some_claim(&mut self) -> ControlCommand {
+    fn random_claim(&mut self) -> ControlCommand {
         let number = self.rng.random_range(1..200);
         let key = ClaimKey { organisation: "org".into(), key: format!("key-{number}") };
         let owner = ClaimOwner {
@@ -544,12 +556,12 @@
 
     fn check(&mut self) -> Result<(), String> {
         for position in 0..VOTERS {
-            let now = self.local(position);
+            let now = self.local_time(position);
             let is_awake = self.is_awake(position);
             let voter = &mut self.voters[position];
             let Some(core) = &voter.core else { continue };
             if core.role() == ReplicaRole::Leader {
-                match self.leaders.insert(core.term(), voter.id.clone()) {
+                match self.leaders_by_term.insert(core.term(), voter.id.clone()) {
                     Some(known) if known != voter.id => {
                         return Err(format!(
                             "term {} has leaders {known} and {}",
@@ -560,22 +572,22 @@
                     _ => {}
                 }
             }
-            let claims_lease = match self.rule {
+            let is_lease_holder = match self.rule {
                 BrokenRule::SkipLeaseCheck => core.role() == ReplicaRole::Leader,
                 _ => core.has_lease(now),
             };
-            if is_awake && claims_lease && core.applied_index() < self.acked {
+            if is_awake && is_lease_holder && core.applied_index() < self.acked_index {
                 return Err(format!(
                     "{} holds the lease at entry {} of {}",
                     voter.id,
                     core.applied_index(),
-                    self.acked
+                    self.acked_index
                 ));
             }
             let version = voter.ledger.table().version;
-            if version < voter.version && core.applied_index() >= self.acked {
+            if version < voter.version && core.applied_index() >= self.acked_index {
                 return Err(format!(
-                    "{} went back from version {} to {version}",
+                    "{} went back from table version {} to {version}",
                     voter.id, voter.version
                 ));
             }
--- a/tests/test_fleet.rs
+++ b/tests/test_fleet.rs
@@ -8,14 +8,14 @@
 /// orders that are counted too early or too late; the seed determines the sequence.
 #[test]
 fn shares_and_floors_hold_under_fixed_seeds() {
-    let (mut full, mut sheds) = (0, 0);
+    let (mut full_share_steps, mut shed_steps) = (0, 0);
 
     let failures: Vec<String> = (0..200)
         .filter_map(|seed| {
             let mut schedule = FleetSchedule::new(seed, BrokenRule::Nothing);
             let result = schedule.run(20);
-            full += schedule.full_shares;
-            sheds += schedule.sheds;
+            full_share_steps += schedule.full_share_steps;
+            shed_steps += schedule.shed_steps;
             result.err().map(|fault| format!("seed {seed}: {fault}"))
         })
         .collect();
@@ -26,8 +26,8 @@
         "{} seeds",
         failures.len()
     );
-    assert!(full > 200 * 2_000, "shares were in full use in {full} steps");
-    assert!(sheds > 200 * 20, "a tier could be shed in {sheds} steps");
+    assert!(full_share_steps > 200 * 2_000, "shares were in full use in {full_share_steps} steps");
+    assert!(shed_steps > 200 * 20, "a tier could be shed in {shed_steps} steps");
 }
 
 #[rstest::rstest]
@@ -37,7 +37,7 @@
 fn a_broken_rule_of_the_fleet_is_caught(#[case] rule: BrokenRule) {
     let caught = (0..200).find_map(|seed| FleetSchedule::new(seed, rule).run(20).err());
 
-    assert!(caught.is_some(), "{rule:?} was not caught");
+    assert!(caught.is_some(), "{rule:?} was not detected");
     println!("{rule:?}: {}", caught.unwrap_or_default());
 }
 
