--- a/tests/fleet_play.rs
+++ b/tests/fleet_play.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: daemons with their limits, messages that take a while, are lost, or come twice.
+//! A simulation of a fleet in virtual time: daemons with their limits, and messages that are
+//! delayed, lost or duplicated.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,14 +13,15 @@
 use tarragonknot::policy::{LimitTable, Moment, OrganisationIndex, OrganisationLimit};
 use tarragonknot::quarantine::CrashTable;
 
-/// The organisation of these tests.
+/// The organisation whose limit is under test.
 pub const HOT: OrganisationIndex = OrganisationIndex(0);
-/// Tokens a second and burst of its limit.
+/// Rate in tokens per second and burst size in tokens of the limit of `HOT`.
 pub const RATE: u64 = 100_000;
-/// Time on the way of a message, in microseconds: between two data centres, with a slow timer.
-const WAY: u64 = 2_000;
+/// Least network delay of a message in microseconds: that between two data centres, with a slow
+/// timer.
+const MIN_NETWORK_DELAY_MICROS: u64 = 2_000;
 
-/// One daemon's limits, with empty buckets since `began`.
+/// A daemon's limits, with buckets that are empty at `began`.
 pub fn hot_limits(began: Moment) -> LimitTable {
     let mut limits = LimitTable::default();
     let limit = OrganisationLimit {
@@ -32,7 +34,7 @@
     limits
 }
 
-pub fn hot() -> OrganisationHash {
+pub fn hot_hash() -> OrganisationHash {
     OrganisationHash::of(&"hot".into())
 }
 
@@ -40,31 +42,31 @@
     SocketAddr::from(([10, (number / 250) as u8, 0, (number % 250) as u8 + 1], 7_600))
 }
 
-pub fn name(number: usize) -> String {
+pub fn daemon_name(number: usize) -> String {
     format!("entry-{number}")
 }
 
-/// One daemon.
-pub struct PlayedDaemon {
+/// A simulated daemon.
+pub struct SimulatedDaemon {
     pub fleet: FleetState,
     pub limits: LimitTable,
     pub crashes: CrashTable,
     pub work: Vec<WorkRow>,
     pub is_running: bool,
     pub has_left: bool,
-    /// Messages sent and heard, and bytes of both.
+    /// Messages sent, messages received, and the bytes of both.
     pub sent: u64,
-    pub heard: u64,
+    pub received: u64,
     pub bytes: u64,
 }
 
-impl PlayedDaemon {
-    fn new(number: usize, boot: u64, draw: f64, now: Moment) -> Self {
-        let daemon = name(number).as_str().into();
+impl SimulatedDaemon {
+    fn new(number: usize, boot: u64, initial_credit: f64, now: Moment) -> Self {
+        let daemon = daemon_name(number).as_str().into();
         let identity = DaemonIdentity { daemon, boot, address: address(number) };
         let mut limits = hot_limits(now);
-        limits.set_initial_credit(draw);
-        PlayedDaemon {
+        limits.set_initial_credit(initial_credit);
+        SimulatedDaemon {
             fleet: FleetState::new(identity),
             limits,
             crashes: CrashTable::default(),
@@ -72,14 +74,14 @@
             is_running: true,
             has_left: false,
             sent: 0,
-            heard: 0,
+            received: 0,
             bytes: 0,
         }
     }
 
-    fn reading(&mut self, now: Moment) -> LocalState {
+    fn local_state(&mut self, now: Moment) -> LocalState {
         let flow = FlowRow {
-            organisation: hot(),
+            organisation: hot_hash(),
             taken: self.limits.admitted_tokens(HOT),
             asked: self.limits.requested_tokens(HOT),
             refill_ms: self.limits.time_to_full(HOT, now).as_millis() as u32,
@@ -95,119 +97,128 @@
         }
     }
 
-    fn settle(&mut self, now: Moment) {
+    fn apply_charges(&mut self, now: Moment) {
         for (organisation, tokens) in self.fleet.drain_charges() {
-            assert_eq!(organisation, hot());
+            assert_eq!(organisation, hot_hash());
             self.limits.charge(HOT, tokens, now);
         }
-        self.limits.set_forecast(HOT, self.fleet.forecasts(now)(hot()));
+        self.limits.set_forecast(HOT, self.fleet.forecasts(now)(hot_hash()));
     }
 }
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 enum DueEvent {
     Tick { daemon: usize, boot: u64 },
     Message { to: SocketAddr, message: Box<FleetMessage> },
 }
 
-/// What becomes of a message from one daemon to another at a time: how many copies arrive.
-pub type Weather = Box<dyn Fn(usize, usize, Moment, f64) -> usize>;
+/// Decides how many copies of a message arrive, from the sender, the receiver, the time and a
+/// uniform random draw in 0.0..1.0.
+pub type DeliveryRule = Box<dyn Fn(usize, usize, Moment, f64) -> usize>;
 
-/// The fleet.
-pub struct FleetPlay {
-    pub daemons: Vec<PlayedDaemon>,
+/// The simulated fleet and its event queue.
+pub struct FleetSimulation {
+    pub daemons: Vec<SimulatedDaemon>,
     pub now: Moment,
-    due: BinaryHeap<Reverse<(u64, u64)>>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, DueEvent>,
-    next: u64,
-    boots: u64,
+    last_event_id: u64,
+    last_boot: u64,
     rng: ChaCha8Rng,
-    weather: Weather,
+    delivery_rule: DeliveryRule,
 }
 
-impl FleetPlay {
-    /// `count` daemons that start within 300 ms of each other and are told of each other a second later.
-    pub fn new(count: usize, seed: u64, weather: Weather) -> Self {
-        let mut play = FleetPlay {
+impl FleetSimulation {
+    /// Starts `count` daemons within 300 ms of each other; a second later each receives the serving
+    /// list.
+    pub fn new(count: usize, seed: u64, delivery_rule: DeliveryRule) -> Self {
+        let mut simulation = FleetSimulation {
             daemons: Vec::new(),
             now: Moment::from_millis(1_000),
-            due: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: HashMap::new(),
-            next: 0,
-            boots: 1,
+            last_event_id: 0,
+            last_boot: 1,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            weather,
+            delivery_rule,
         };
         for number in 0..count {
-            let draw = play.rng.random();
-            play.daemons.push(PlayedDaemon::new(number, 1, draw, play.now));
-            let at = play.now + Duration::from_micros(play.rng.random_range(0..300_000));
-            play.push(at, DueEvent::Tick { daemon: number, boot: 1 });
+            let initial_credit = simulation.rng.random();
+            simulation.daemons.push(SimulatedDaemon::new(
+                number,
+                1,
+                initial_credit,
+                simulation.now,
+            ));
+            let at =
+                simulation.now + Duration::from_micros(simulation.rng.random_range(0..300_000));
+            simulation.push(at, DueEvent::Tick { daemon: number, boot: 1 });
         }
-        play.run_for(1_000);
-        play.name_all();
-        play
+        simulation.run_for(1_000);
+        simulation.send_serving_list();
+        simulation
     }
 
-    /// The same where no message is lost.
-    pub fn calm(count: usize, seed: u64) -> Self {
+    /// Like `new`, with every message delivered exactly once.
+    pub fn lossless(count: usize, seed: u64) -> Self {
         Self::new(count, seed, Box::new(|_, _, _, _| 1))
     }
 
     fn push(&mut self, at: Moment, event: DueEvent) {
-        self.next += 1;
-        self.due.push(Reverse((at.0, self.next)));
-        self.events.insert(self.next, event);
+        self.last_event_id += 1;
+        self.queue.push(Reverse((at.0, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
-    /// The leader names those who run to those who run.
-    pub fn name_all(&mut self) {
-        let running = |daemon: &PlayedDaemon| daemon.is_running && !daemon.has_left;
+    /// Sends the leader's serving list, which holds the running daemons that have not left, to all
+    /// running daemons.
+    pub fn send_serving_list(&mut self) {
+        let is_serving = |daemon: &SimulatedDaemon| daemon.is_running && !daemon.has_left;
         let numbered = self.daemons.iter().enumerate();
-        let named: Vec<SocketAddr> = numbered
-            .filter(|(_, daemon)| running(daemon))
+        let serving: Vec<SocketAddr> = numbered
+            .filter(|(_, daemon)| is_serving(daemon))
             .map(|(number, _)| address(number))
             .collect();
         let now = self.now;
         let daemons = self.daemons.iter_mut().filter(|daemon| daemon.is_running);
-        daemons.for_each(|daemon| daemon.fleet.set_serving_list(named.clone(), now));
+        daemons.for_each(|daemon| daemon.fleet.set_serving_list(serving.clone(), now));
     }
 
-    /// A daemon stops without a word.
+    /// Stops a daemon without a departure message.
     pub fn kill(&mut self, number: usize) {
         self.daemons[number].is_running = false;
     }
 
-    /// A daemon starts again, or for the first time, and knows of nobody.
+    /// Starts a daemon, for the first time or again, with no knowledge of its peers.
     pub fn start(&mut self, number: usize) {
-        self.boots += 1;
-        let draw = self.rng.random();
-        let daemon = PlayedDaemon::new(number, self.boots, draw, self.now);
+        self.last_boot += 1;
+        let initial_credit = self.rng.random();
+        let daemon = SimulatedDaemon::new(number, self.last_boot, initial_credit, self.now);
         match self.daemons.get_mut(number) {
             Some(known) => *known = daemon,
             None => self.daemons.push(daemon),
         }
-        self.push(self.now, DueEvent::Tick { daemon: number, boot: self.boots });
+        self.push(self.now, DueEvent::Tick { daemon: number, boot: self.last_boot });
     }
 
-    /// Lets time pass; the leader names all each 400 ms while `has_leader`.
+    /// Advances time; while `has_leader`, the serving list is sent every 400 ms.
     pub fn run(&mut self, millis: u64, has_leader: bool) {
         for _ in 0..millis.div_ceil(400) {
             self.run_for(400.min(millis));
             if has_leader {
-                self.name_all();
+                self.send_serving_list();
             }
         }
     }
 
-    /// Lets time pass without a word of the leader.
+    /// Advances time without a serving list from the leader.
     pub fn run_for(&mut self, millis: u64) {
         let until = self.now.0 + millis * 1_000;
         while let Some(Reverse((at, id))) =
-            self.due.peek().copied().filter(|next| next.0.0 <= until)
+            self.queue.peek().copied().filter(|next| next.0.0 <= until)
         {
-            self.due.pop();
+            self.queue.pop();
             self.now = Moment(at);
             if let Some(event) = self.events.remove(&id) {
                 self.handle(event);
@@ -229,22 +240,22 @@
             return;
         }
         let daemon = &mut self.daemons[number];
-        let rate = daemon.limits.rate(HOT).expect("a limit");
-        let reading = daemon.reading(now);
-        let outgoing = daemon.fleet.tick(reading, &[(hot(), rate)], now);
-        daemon.settle(now);
-        let pause = daemon.fleet.send_interval();
+        let rate = daemon.limits.rate(HOT).expect("HOT has a limit");
+        let local_state = daemon.local_state(now);
+        let outgoing = daemon.fleet.tick(local_state, &[(hot_hash(), rate)], now);
+        daemon.apply_charges(now);
+        let interval = daemon.fleet.send_interval();
         let mut deliveries = Vec::new();
         for out in outgoing {
-            let bytes = postcard::to_stdvec(&out.message).expect("written").len() as u64;
+            let bytes = postcard::to_stdvec(&out.message).expect("message is encoded").len() as u64;
             daemon.sent += out.to.len() as u64;
             daemon.bytes += bytes * out.to.len() as u64;
             deliveries.extend(out.to.into_iter().map(|to| (to, out.message.clone())));
         }
         // Timers fire slightly late.
-        let late = self.rng.random_range(0..3_000);
+        let timer_delay_micros = self.rng.random_range(0..3_000);
         self.push(
-            now + pause + Duration::from_micros(late),
+            now + interval + Duration::from_micros(timer_delay_micros),
             DueEvent::Tick { daemon: number, boot },
         );
         for (to, message) in deliveries {
@@ -256,13 +267,17 @@
         let Some(number) = (0..self.daemons.len()).find(|number| address(*number) == to) else {
             return;
         };
-        let copies = (self.weather)(from, number, self.now, self.rng.random());
+        let copies = (self.delivery_rule)(from, number, self.now, self.rng.random());
         for _ in 0..copies {
-            // One in fifty takes far longer and is overtaken.
-            let slow = if self.rng.random_bool(0.02) { 60_000 } else { 0 };
-            let way = WAY + self.rng.random_range(0..1_000) + slow;
+            // One message in fifty takes 60 ms longer and is overtaken by later ones.
+            let extra_micros = if self.rng.random_bool(0.02) { 60_000 } else { 0 };
+            let delay_micros =
+                MIN_NETWORK_DELAY_MICROS + self.rng.random_range(0..1_000) + extra_micros;
             let message = Box::new(message.clone());
-            self.push(self.now + Duration::from_micros(way), DueEvent::Message { to, message });
+            self.push(
+                self.now + Duration::from_micros(delay_micros),
+                DueEvent::Message { to, message },
+            );
         }
     }
 
@@ -272,81 +287,81 @@
         if !daemon.is_running {
             return;
         }
-        daemon.heard += 1;
-        daemon.bytes += postcard::to_stdvec(&message).expect("written").len() as u64;
+        daemon.received += 1;
+        daemon.bytes += postcard::to_stdvec(&message).expect("message is encoded").len() as u64;
         let (from, suspects) = (message.source().daemon.clone(), message.suspects().clone());
-        let taken = daemon.fleet.receive(message, self.now);
-        if taken.is_ok() {
+        let result = daemon.fleet.receive(message, self.now);
+        if result.is_ok() {
             daemon.crashes.merge_update(&from, &suspects, self.now);
         }
-        let estimates = taken.unwrap_or_default();
-        daemon.settle(self.now);
+        let estimates = result.unwrap_or_default();
+        daemon.apply_charges(self.now);
         for row in estimates.rows {
             let refill = Duration::from_millis(u64::from(row.refill_ms));
             daemon.limits.converge(HOT, refill, estimates.senders, self.now);
         }
     }
 
-    /// Callers ask for `times` the limit for some seconds, in requests of `cost` tokens at daemons drawn by `whom` (from
-    /// 0.0..1.0 to a daemon's number). Returns tokens let through in each second, and how many requests of all were
-    /// refused.
-    pub fn ask(
+    /// Offers `times` the limit for some seconds, in requests of `cost` tokens at daemons chosen by
+    /// `whom` (from a draw in 0.0..1.0 to a daemon's number). Returns the tokens admitted in each
+    /// second, and the counts of all and of refused requests.
+    pub fn offer_load(
         &mut self,
-        (times, cost): (f64, u32),
+        (load_factor, cost): (f64, u32),
         seconds: u64,
-        whom: impl Fn(f64) -> usize,
-    ) -> AskedTokens {
-        let gap = f64::from(cost) / (times * RATE as f64) * 1e6;
-        let mut asked = AskedTokens::default();
+        choose_daemon: impl Fn(f64) -> usize,
+    ) -> LoadOutcome {
+        let interval_micros = f64::from(cost) / (load_factor * RATE as f64) * 1e6;
+        let mut outcome = LoadOutcome::default();
         for _ in 0..seconds {
-            let mut passed = 0;
+            let mut admitted_tokens = 0;
             let start = self.now.0;
             let mut at = 0.0;
-            let mut named = 0;
+            let mut lists_sent = 0;
             while at < 1e6 {
                 let until = start + at as u64;
                 self.run_for((until - self.now.0) / 1_000);
                 self.now = Moment(until);
-                if at >= f64::from(named) * 400_000.0 {
-                    self.name_all();
-                    named += 1;
+                if at >= f64::from(lists_sent) * 400_000.0 {
+                    self.send_serving_list();
+                    lists_sent += 1;
                 }
-                let number = whom(self.rng.random());
+                let number = choose_daemon(self.rng.random());
                 let now = self.now;
                 let daemon = &mut self.daemons[number];
                 if daemon.is_running {
                     let is_admitted = daemon.limits.admit(HOT, cost, now).is_ok();
-                    passed += u64::from(is_admitted) * u64::from(cost);
-                    asked.requests += 1;
-                    asked.refused += u64::from(!is_admitted);
+                    admitted_tokens += u64::from(is_admitted) * u64::from(cost);
+                    outcome.requests += 1;
+                    outcome.refused += u64::from(!is_admitted);
                 }
-                at += gap * self.rng.random_range(0.5..1.5);
+                at += interval_micros * self.rng.random_range(0.5..1.5);
             }
             self.now = Moment(start + 1_000_000);
-            asked.let_through.push(passed);
+            outcome.admitted.push(admitted_tokens);
         }
-        asked
+        outcome
     }
 }
 
-/// What came of asking.
+/// The outcome of an offered load.
 #[derive(Clone, Debug, Default)]
-pub struct AskedTokens {
-    /// Tokens let through, by second.
-    pub let_through: Vec<u64>,
+pub struct LoadOutcome {
+    /// Tokens admitted, by second.
+    pub admitted: Vec<u64>,
     pub requests: u64,
     pub refused: u64,
 }
 
-impl AskedTokens {
-    /// The most that was let through in `seconds` in a row.
-    pub fn worst(&self, seconds: usize) -> u64 {
-        self.let_through.windows(seconds).map(|window| window.iter().sum()).max().unwrap_or(0)
+impl LoadOutcome {
+    /// The most tokens admitted in any `seconds` consecutive seconds.
+    pub fn max_admitted(&self, seconds: usize) -> u64 {
+        self.admitted.windows(seconds).map(|window| window.iter().sum()).max().unwrap_or(0)
     }
 
-    /// Tokens let through from a second on, each second in the mean.
-    pub fn mean_from(&self, second: usize) -> f64 {
-        let rest = &self.let_through[second..];
+    /// Mean tokens admitted per second, from the given second on.
+    pub fn mean_admitted_from(&self, second: usize) -> f64 {
+        let rest = &self.admitted[second..];
         rest.iter().sum::<u64>() as f64 / rest.len() as f64
     }
 }
--- a/tests/test_fleet_state.rs
+++ b/tests/test_fleet_state.rs
@@ -1,6 +1,7 @@
-//! The fleet's sums: who is counted, how old they are, what they cost, and what becomes of them under faults.
+//! Fleet-wide sums: which daemons they cover, their age, their cost, and their behaviour under
+//! faults.
 
-use crate::fleet_play::{FleetPlay, RATE, address, hot, name};
+use crate::fleet_play::{FleetSimulation, RATE, address, daemon_name, hot_hash};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -35,9 +36,9 @@
     assert!((0..groups).all(|group| at(group).all(|index| index == group)));
 }
 
-/// Where all rows of a source come with each message.
+/// A flow row of a source that sends all of its rows with each message.
 fn row(taken: i64) -> FlowRow {
-    FlowRow { organisation: hot(), taken, asked: taken as u64, refill_ms: 0 }
+    FlowRow { organisation: hot_hash(), taken, asked: taken as u64, refill_ms: 0 }
 }
 
 fn stamp(boot: u64, sequence: u64) -> SourceStamp {
@@ -45,7 +46,8 @@
 }
 
 proptest! {
-    /// Any order, repetition and loss of messages ends in the same sum, once the last message has come.
+    /// Messages may be reordered, duplicated and lost: once the last one has arrived, the sum is
+    /// the same.
     #[test]
     fn a_sum_does_not_depend_on_the_way_of_messages(
         steps in proptest::collection::vec(0_i64..5_000, 2..40),
@@ -55,21 +57,21 @@
         let mut ledger = FlowLedger::default();
         let totals: Vec<i64> = steps.iter().scan(0, |sum, step| { *sum += step; Some(*sum) }).collect();
         let mut sum = 0;
-        let mut take = |at: usize| {
+        let mut apply = |at: usize| {
             let rows = [row(totals[at])];
             let now = Moment::from_millis(at as u64 * 50);
             let deltas = ledger.apply(&daemon, stamp(1, at as u64 + 1), (&rows, true), now);
             sum += deltas.into_iter().flatten().map(|delta| delta.taken).sum::<i64>();
         };
-        take(0);
-        order.into_iter().filter(|at| *at < totals.len()).for_each(&mut take);
-        take(totals.len() - 1);
+        apply(0);
+        order.into_iter().filter(|at| *at < totals.len()).for_each(&mut apply);
+        apply(totals.len() - 1);
         prop_assert_eq!(sum, totals[totals.len() - 1] - totals[0]);
     }
 }
 
-/// Symptom: a burst is charged twice, or not at all. Sequence: a daemon is killed and starts again; its counters begin at
-/// nought. Cause: a difference between the counters of two starts.
+/// Guards against a burst that is charged twice or not at all. A daemon that is killed and
+/// restarted counts from 0 again, so a difference between the counters of two starts is wrong.
 #[test]
 fn a_daemon_that_starts_again_counts_from_nought() {
     let daemon = DaemonName::from("entry-1");
@@ -84,9 +86,9 @@
     assert_eq!(late, Err(MessageRefusal::Overtaken));
 }
 
-/// Symptom: after an aggregator is replaced every bucket of the fleet is empty for seconds. Sequence: the new aggregator
-/// hears counters that began long ago, one organisation after the other. Cause: taking counters heard for the first
-/// time for tokens let through just now.
+/// Guards against buckets that are empty across the fleet for seconds after an aggregator is
+/// replaced. The new aggregator receives counters that began long ago, one organisation after the
+/// other, and must not take the first value of each for tokens admitted just now.
 #[test]
 fn what_a_new_source_let_through_before_is_not_counted() {
     let daemon = DaemonName::from("entry-1");
@@ -100,34 +102,35 @@
     assert_eq!(third.map(|deltas| deltas[0].taken), Ok(500));
 }
 
-/// Symptom: an organisation exceeds its limit while a daemon is cut off, or is refused for long after the cut has healed.
-/// Sequence: a daemon with half of an organisation's callers falls silent for five seconds, and had let nothing through.
-/// Cause: a silent daemon taken for idle; and nothing given back when it is heard again.
+/// Guards against an organisation that exceeds its limit while a daemon is partitioned, or is
+/// refused for long after the partition heals. A daemon with half of an organisation's callers is
+/// silent for five seconds and has admitted nothing. It must not be taken for idle, and part of the
+/// estimate must be given back when it is heard again.
 #[test]
 fn a_silent_source_is_taken_to_use_its_part_and_some_is_given_back() {
     let daemon = DaemonName::from("entry-1");
     let mut ledger = FlowLedger::default();
     let mut rates = FlowRates::default();
-    let limits = [(hot(), RATE as f64)];
+    let limits = [(hot_hash(), RATE as f64)];
     let mut now = Moment::from_millis(0);
     for sequence in 1..=40 {
         now = Moment::from_millis(sequence * 50);
         let rows = [row(sequence as i64 * 1_000)];
         ledger.apply(&daemon, stamp(1, sequence), (&rows, true), now).expect("a new message");
-        rates.add(hot(), 2_000, now);
+        rates.add(hot_hash(), 2_000, now);
     }
     let after = Duration::from_millis(600);
     let soon = now + Duration::from_millis(500);
     let later = now + Duration::from_secs(5);
-    let heard_soon = ledger.estimate_silent(&limits, &rates, (0.1, after), soon);
-    rates.add(hot(), 200_000, later);
-    let assumed = ledger.estimate_silent(&limits, &rates, (0.1, after), later);
-    let back = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
-
-    assert_eq!(heard_soon, []);
-    assert!(assumed[0].taken > 0, "{assumed:?}");
-    let given_back = -back.expect("a new message")[0].taken;
-    assert!(given_back > 0 && given_back <= assumed[0].taken, "{given_back} of {assumed:?}");
+    let estimated_soon = ledger.estimate_silent(&limits, &rates, (0.1, after), soon);
+    rates.add(hot_hash(), 200_000, later);
+    let estimated = ledger.estimate_silent(&limits, &rates, (0.1, after), later);
+    let correction = ledger.apply(&daemon, stamp(1, 41), (&[row(40_000)], true), later);
+
+    assert_eq!(estimated_soon, []);
+    assert!(estimated[0].taken > 0, "{estimated:?}");
+    let given_back = -correction.expect("a new message")[0].taken;
+    assert!(given_back > 0 && given_back <= estimated[0].taken, "{given_back} of {estimated:?}");
 }
 
 #[test]
@@ -153,7 +156,7 @@
     assert_eq!(seen.len(), 300);
     let has = |rows: &[FlowRow]| rows.iter().any(|row| row.organisation == hash(7));
     assert!(sends[..4].iter().all(|rows| has(rows)));
-    assert!(sends.iter().all(|rows| rows.len() <= 10), "few rows where little changes");
+    assert!(sends.iter().all(|rows| rows.len() <= 10), "unchanged rows are sent in small batches");
 }
 
 #[test]
@@ -163,26 +166,27 @@
     let mut choice = AggregatorChoice::default();
     let at = Moment::from_millis;
     let first = choice.choose(&candidates, address(2), pause, at(1_000));
-    let patient = choice.choose(&candidates, address(2), pause, at(1_300));
+    let unchanged = choice.choose(&candidates, address(2), pause, at(1_300));
     let second = choice.choose(&candidates, address(2), pause, at(1_450));
     let third = choice.choose(&candidates, address(2), pause, at(1_750));
     choice.record_summary(address(0), at(1_800));
     let back = choice.choose(&candidates, address(2), pause, at(1_810));
 
-    assert_eq!((first, patient, second), (address(0), address(0), address(1)));
+    assert_eq!((first, unchanged, second), (address(0), address(0), address(1)));
     assert_eq!((third, back), (address(2), address(0)));
 }
 
-/// Tokens that all daemons know the others to have let through, after each of them let some through.
-fn spread_tokens(play: &mut FleetPlay, tokens: u32) -> Vec<f64> {
-    let now = play.now;
-    for daemon in &mut play.daemons {
+/// Admits `tokens` at every daemon and returns, for each daemon, the tokens it then counts as
+/// admitted by the whole fleet.
+fn admit_everywhere(fleet: &mut FleetSimulation, tokens: u32) -> Vec<f64> {
+    let now = fleet.now;
+    for daemon in &mut fleet.daemons {
         daemon.limits.release(tarragonknot::policy::OrganisationIndex(0), 0);
         assert!(daemon.limits.admit(crate::fleet_play::HOT, tokens, now).is_ok());
     }
-    play.run(1_500, true);
-    let now = play.now;
-    let refills = play.daemons.iter().map(|daemon| {
+    fleet.run(1_500, true);
+    let now = fleet.now;
+    let refills = fleet.daemons.iter().map(|daemon| {
         daemon.limits.time_to_full(crate::fleet_play::HOT, now).as_secs_f64() * RATE as f64
     });
     refills.collect()
@@ -194,29 +198,30 @@
 #[case::hundreds(300)]
 #[case::a_thousand(1_000)]
 fn all_daemons_come_to_know_the_same_sum(#[case] count: usize) {
-    let mut play = FleetPlay::calm(count, 1);
-    play.run(2_400, true);
+    let mut fleet = FleetSimulation::lossless(count, 1);
+    fleet.run(2_400, true);
     let covered: Vec<usize> =
-        play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
+        fleet.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(fleet.now)).collect();
     let tokens = (RATE as usize * 4 / 10 / count) as u32;
 
-    let known = spread_tokens(&mut play, tokens);
+    let known = admit_everywhere(&mut fleet, tokens);
 
     assert!(covered.iter().all(|covers| *covers == count), "{covered:?}");
-    let (least, most) = known.iter().fold((f64::MAX, 0.0), |(least, most): (f64, f64), value| {
-        (least.min(*value), most.max(*value))
-    });
-    assert!(most - least <= RATE as f64 * 0.05, "{least}..{most}");
+    let (lowest, highest) =
+        known.iter().fold((f64::MAX, 0.0), |(lowest, highest): (f64, f64), value| {
+            (lowest.min(*value), highest.max(*value))
+        });
+    assert!(highest - lowest <= RATE as f64 * 0.05, "{lowest}..{highest}");
 }
 
-/// A daemon's messages and bytes in a second, in the mean and at most.
-fn cost(count: usize) -> (f64, f64, f64) {
-    let mut play = FleetPlay::calm(count, 2);
-    play.run(2_000, true);
+/// Messages per second of a daemon, as mean and maximum, and mean bytes per second.
+fn measure_cost(count: usize) -> (f64, f64, f64) {
+    let mut fleet = FleetSimulation::lossless(count, 2);
+    fleet.run(2_000, true);
     let before: Vec<(u64, u64)> =
-        play.daemons.iter().map(|daemon| (daemon.sent + daemon.heard, daemon.bytes)).collect();
-    play.run(2_000, true);
-    let after = play.daemons.iter().map(|daemon| (daemon.sent + daemon.heard, daemon.bytes));
+        fleet.daemons.iter().map(|daemon| (daemon.sent + daemon.received, daemon.bytes)).collect();
+    fleet.run(2_000, true);
+    let after = fleet.daemons.iter().map(|daemon| (daemon.sent + daemon.received, daemon.bytes));
     let differences: Vec<(f64, f64)> = after
         .zip(before)
         .map(|(after, before)| {
@@ -229,13 +234,13 @@
     (messages, most, bytes)
 }
 
-/// Symptom: the larger the fleet, the older what its daemons know, and the more processor time they spend on it. Cause:
-/// each daemon tells all others.
+/// Guards against state that grows older, and costs more processor time, the larger the fleet is,
+/// as when each daemon reports to all others.
 #[test]
 fn the_cost_of_a_daemon_grows_no_faster_than_the_square_root_of_the_fleet() {
-    let costs: Vec<(f64, f64, f64)> = [60, 300, 1_000].into_iter().map(cost).collect();
+    let costs: Vec<(f64, f64, f64)> = [60, 300, 1_000].into_iter().map(measure_cost).collect();
 
-    // From 60 to 1,000 the square root grows 4.1 times.
+    // From 60 to 1,000 daemons the square root grows by a factor of 4.1.
     assert!(costs[2].0 <= costs[0].0 * 4.1, "{costs:?}");
     assert!(costs[2].1 <= costs[0].1 * 4.1, "{costs:?}");
     assert!(costs.iter().all(|(mean, most, _)| *mean <= 120.0 && *most <= 1_200.0), "{costs:?}");
@@ -246,13 +251,13 @@
 #[case::hundreds(291, 200)]
 #[case::a_thousand(1_000, 400)]
 fn sums_are_fresh(#[case] count: usize, #[case] bound: u64) {
-    let mut play = FleetPlay::calm(count, 3);
-    play.run(2_400, true);
+    let mut fleet = FleetSimulation::lossless(count, 3);
+    fleet.run(2_400, true);
     let mut ages = Vec::new();
     for _ in 0..20 {
-        play.run_for(37);
-        // Parts are of any age up to the oldest one's.
-        ages.extend(play.daemons.iter().map(|daemon| daemon.fleet.sums_age(play.now) / 2));
+        fleet.run_for(37);
+        // The ages of the parts range from 0 to that of the oldest one; half of it is the mean.
+        ages.extend(fleet.daemons.iter().map(|daemon| daemon.fleet.sums_age(fleet.now) / 2));
     }
     ages.sort_unstable();
 
@@ -261,136 +266,144 @@
     assert!(age <= Duration::from_millis(bound), "{age:?}");
 }
 
-/// Symptom: limits are exceeded, or refuse everything, for as long as an aggregator is gone. Sequence: the aggregators of all
-/// groups but two are killed at once. Cause: nobody takes their place, or both are counted.
+/// Guards against limits that are exceeded, or refuse everything, while aggregators are gone. The
+/// aggregators of all groups but two are killed at once; others must replace them, and a group must
+/// not be counted twice.
 #[rstest]
 #[case(60)]
 #[case(291)]
 fn others_take_the_place_of_aggregators_that_are_killed(#[case] count: usize) {
-    let mut play = FleetPlay::calm(count, 4);
-    play.run(2_000, true);
+    let mut fleet = FleetSimulation::lossless(count, 4);
+    fleet.run(2_000, true);
     let aggregators: Vec<usize> = (0..count)
-        .filter(|number| play.daemons[*number].fleet.role(play.now) == FleetRole::Aggregator)
+        .filter(|number| fleet.daemons[*number].fleet.role(fleet.now) == FleetRole::Aggregator)
         .collect();
-    aggregators[2..].iter().for_each(|number| play.kill(*number));
-    play.run_for(1_500);
+    aggregators[2..].iter().for_each(|number| fleet.kill(*number));
+    fleet.run_for(1_500);
 
     let alive = count - (aggregators.len() - 2);
-    let covered = play.daemons.iter().filter(|daemon| daemon.is_running);
+    let covered = fleet.daemons.iter().filter(|daemon| daemon.is_running);
     let covered: Vec<usize> =
-        covered.map(|daemon| daemon.fleet.covered_daemons(play.now)).collect();
+        covered.map(|daemon| daemon.fleet.covered_daemons(fleet.now)).collect();
     assert!(covered.iter().all(|covers| *covers == alive), "{alive}: {covered:?}");
 }
 
-/// Symptom: a daemon that was started again while the voters are away lets a whole limit through by itself. Sequence: it
-/// knows of nobody and nobody names it. Cause: sums that are sent to those only who report.
+/// Guards against a daemon that admits a whole limit by itself after a restart while the voters are
+/// away. It knows no peers and no serving list names it, so it would receive no sums if they went
+/// only to daemons that report.
 #[test]
 fn a_daemon_that_starts_while_there_is_no_leader_finds_its_group() {
-    let mut play = FleetPlay::calm(100, 5);
-    play.run(2_000, true);
+    let mut fleet = FleetSimulation::lossless(100, 5);
+    fleet.run(2_000, true);
     let number = (0..100)
-        .find(|number| play.daemons[*number].fleet.role(play.now) != FleetRole::Aggregator)
-        .expect("a member");
-    play.kill(number);
-    play.run_for(300);
-    play.start(number);
-    play.run_for(1_500);
-
-    let fleet = &play.daemons[number].fleet;
-    assert!(fleet.covered_daemons(play.now) >= 99, "{}", fleet.covered_daemons(play.now));
-    assert!(fleet.limit_share() >= 1.0);
+        .find(|number| fleet.daemons[*number].fleet.role(fleet.now) != FleetRole::Aggregator)
+        .expect("no member daemon");
+    fleet.kill(number);
+    fleet.run_for(300);
+    fleet.start(number);
+    fleet.run_for(1_500);
+
+    let state = &fleet.daemons[number].fleet;
+    assert!(state.covered_daemons(fleet.now) >= 99, "{}", state.covered_daemons(fleet.now));
+    assert!(state.limit_share() >= 1.0);
 }
 
-/// Symptom: after a rolling restart sums lack daemons or hold some twice. Sequence: daemons drain and stop, start again under
-/// their addresses, others are added; a message in ten is lost and one in ten comes twice.
+/// Guards against sums that miss daemons or count some twice after a rolling restart. Daemons
+/// drain, stop and restart under the same addresses while others are added; one message in ten is
+/// lost and one in ten is duplicated.
 #[test]
 fn everybody_is_counted_once_after_restarts_and_growth_under_loss() {
-    let weather = |_, _, _, draw: f64| match draw {
+    let delivery_rule = |_, _, _, draw: f64| match draw {
         draw if draw < 0.1 => 0,
         draw if draw > 0.9 => 2,
         _ => 1,
     };
-    let mut play = FleetPlay::new(100, 6, Box::new(weather));
-    play.run(2_000, true);
+    let mut fleet = FleetSimulation::new(100, 6, Box::new(delivery_rule));
+    fleet.run(2_000, true);
     for number in (0..100).step_by(3) {
-        play.daemons[number].has_left = true;
-        play.run(400, true);
-        play.kill(number);
-        play.start(number);
+        fleet.daemons[number].has_left = true;
+        fleet.run(400, true);
+        fleet.kill(number);
+        fleet.start(number);
     }
-    (100..112).for_each(|number| play.start(number));
-    play.run(3_200, true);
+    (100..112).for_each(|number| fleet.start(number));
+    fleet.run(3_200, true);
 
-    let covered = play.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(play.now));
+    let covered = fleet.daemons.iter().map(|daemon| daemon.fleet.covered_daemons(fleet.now));
     let covered: Vec<usize> = covered.collect();
     let exact = covered.iter().filter(|covers| **covers == 112).count();
     assert!(exact >= 106, "{covered:?}");
     assert!(covered.iter().all(|covers| (100..=118).contains(covers)), "{covered:?}");
 }
 
-/// Symptom: nobody reads the platform's list, or many do. Sequence: the reader is killed; then the two that follow it.
+/// Guards against no reader of the platform's list, or several. The reader is killed, then its two
+/// successors.
 #[test]
 fn one_daemon_reads_the_list_and_another_takes_over() {
     for count in [7, 60, 291] {
-        let mut play = FleetPlay::calm(count, 7);
-        play.run(2_400, true);
+        let mut fleet = FleetSimulation::lossless(count, 7);
+        fleet.run(2_400, true);
         for _ in 0..3 {
-            let now = play.now;
+            let now = fleet.now;
             let readers: Vec<usize> = (0..count)
-                .filter(|number| play.daemons[*number].is_running)
-                .filter(|number| play.daemons[*number].fleet.is_list_reader(now))
+                .filter(|number| fleet.daemons[*number].is_running)
+                .filter(|number| fleet.daemons[*number].fleet.is_list_reader(now))
                 .collect();
             assert_eq!(readers.len(), 1, "{count}: {readers:?}");
-            play.kill(readers[0]);
-            play.run(1_200, true);
+            fleet.kill(readers[0]);
+            fleet.run(1_200, true);
         }
     }
 }
 
-fn work(requests: u32, gap_micros: u32) -> PeerWork {
+fn peer_work(requests: u32, gap_micros: u32) -> PeerWork {
     PeerWork { requests, gap_micros, ..PeerWork::default() }
 }
 
-fn engine(number: usize) -> UpstreamHash {
+fn upstream(number: usize) -> UpstreamHash {
     UpstreamHash::of(&"pool".into(), &format!("e{number}").as_str().into(), 1)
 }
 
-/// Symptom: a daemon takes its own requests for another one's, and leaves places free. Sequence: the sums of its aggregator
-/// come back with its own part.
+/// Guards against a daemon that counts its own requests as those of others, because its
+/// aggregator's sums include its own part, and so leaves places free.
 #[test]
 fn the_work_of_others_holds_nothing_of_ones_own() {
-    let mut play = FleetPlay::calm(64, 8);
-    play.daemons[1].work = vec![(engine(1), work(2, 0))];
-    play.daemons[2].work = vec![(engine(1), work(3, 24_000))];
-    play.daemons[60].work = vec![(engine(1), work(4, 0)), (engine(2), work(1, 0))];
-    play.run(2_000, true);
+    let mut fleet = FleetSimulation::lossless(64, 8);
+    fleet.daemons[1].work = vec![(upstream(1), peer_work(2, 0))];
+    fleet.daemons[2].work = vec![(upstream(1), peer_work(3, 24_000))];
+    fleet.daemons[60].work = vec![(upstream(1), peer_work(4, 0)), (upstream(2), peer_work(1, 0))];
+    fleet.run(2_000, true);
 
-    let seen = |number: usize| play.daemons[number].fleet.others_work(play.now);
+    let work = |number: usize| fleet.daemons[number].fleet.others_work(fleet.now);
     let places =
-        |number: usize| (seen(number)[&engine(1)].requests, seen(number)[&engine(1)].hinted);
+        |number: usize| (work(number)[&upstream(1)].requests, work(number)[&upstream(1)].hinted);
     assert_eq!((places(0), places(1), places(2)), ((5, 4), (3, 4), (2, 4)));
     assert_eq!(places(60), (0, 5));
-    assert_eq!(seen(5)[&engine(2)].hinted, 1);
-    assert_eq!(seen(63)[&engine(1)].gap_micros, 24_000);
+    assert_eq!(work(5)[&upstream(2)].hinted, 1);
+    assert_eq!(work(63)[&upstream(1)].gap_micros, 24_000);
 }
 
-/// Symptom: at 3,000 engines the messages of 300 daemons fill a quarter of their links. Sequence: each sum holds a row for
-/// each engine that a group uses. Cause: rows that have not changed, sent each time, to those for whom they are hints.
+/// Guards against messages that grow with the number of engines: at 3,000 engines those of 300
+/// daemons filled a quarter of their links. Each sum held a row for every engine that a group uses,
+/// and unchanged rows were sent each time to daemons that use them only as hints.
 #[test]
 fn the_size_of_sums_does_not_grow_with_the_engines() {
     let bytes = |engines: usize| {
-        let mut play = FleetPlay::calm(64, 11);
+        let mut fleet = FleetSimulation::lossless(64, 11);
         for number in 0..64 {
-            let rows = (0..engines).map(|at| (engine(number * engines + at), work(1, 0)));
-            play.daemons[number].work = rows.collect();
+            let rows = (0..engines).map(|at| (upstream(number * engines + at), peer_work(1, 0)));
+            fleet.daemons[number].work = rows.collect();
         }
-        play.run(2_000, true);
-        let before = play.daemons[0].bytes;
-        play.run(1_200, true);
-        let seen = play.daemons[5].fleet.others_work(play.now);
-        let far = seen.values().filter(|work| work.hinted > 0).count();
-        assert!(far >= (64 - 8) * engines * 9 / 10, "{far} of {engines} a daemon are known");
-        play.daemons[0].bytes - before
+        fleet.run(2_000, true);
+        let before = fleet.daemons[0].bytes;
+        fleet.run(1_200, true);
+        let seen = fleet.daemons[5].fleet.others_work(fleet.now);
+        let hinted_count = seen.values().filter(|work| work.hinted > 0).count();
+        assert!(
+            hinted_count >= (64 - 8) * engines * 9 / 10,
+            "{hinted_count} upstreams are hinted at; each daemon uses {engines}"
+        );
+        fleet.daemons[0].bytes - before
     };
 
     let (few, many) = (bytes(2), bytes(16));
@@ -398,32 +411,36 @@
     assert!(many <= 4 * few, "{few} bytes of an aggregator, then {many}");
 }
 
-/// Symptom: engines are taken for full whose requests have long ended. Sequence: a daemon is killed with requests running.
+/// Guards against engines that count as full because of requests that ended when their daemon was
+/// killed.
 #[test]
 fn the_work_of_a_daemon_that_is_gone_is_forgotten() {
     for count in [7, 64] {
-        let mut play = FleetPlay::calm(count, 9);
-        play.daemons[1].work = vec![(engine(1), work(2, 0))];
-        play.run(2_000, true);
-        let before = play.daemons[2].fleet.others_work(play.now)[&engine(1)].requests;
-        play.kill(1);
-        play.run_for(2_500);
-        let after = play.daemons[2].fleet.others_work(play.now);
+        let mut fleet = FleetSimulation::lossless(count, 9);
+        fleet.daemons[1].work = vec![(upstream(1), peer_work(2, 0))];
+        fleet.run(2_000, true);
+        let before = fleet.daemons[2].fleet.others_work(fleet.now)[&upstream(1)].requests;
+        fleet.kill(1);
+        fleet.run_for(2_500);
+        let after = fleet.daemons[2].fleet.others_work(fleet.now);
 
         assert_eq!(before, 2, "{count}");
-        assert!(after.get(&engine(1)).is_none_or(|work| work.requests == 0), "{count}: {after:?}");
+        assert!(
+            after.get(&upstream(1)).is_none_or(|work| work.requests == 0),
+            "{count}: {after:?}"
+        );
     }
 }
 
 #[test]
 fn a_message_of_ones_own_that_comes_back_changes_nothing() {
-    let mut play = FleetPlay::calm(3, 10);
-    play.run(1_000, true);
-    let daemon = &mut play.daemons[0];
-    let before = daemon.fleet.covered_daemons(play.now);
-    let outgoing = daemon.fleet.tick(Default::default(), &[], play.now);
-    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, play.now));
-
-    assert_eq!(daemon.fleet.covered_daemons(play.now), before);
-    assert!(name(0).starts_with("entry"));
+    let mut fleet = FleetSimulation::lossless(3, 10);
+    fleet.run(1_000, true);
+    let daemon = &mut fleet.daemons[0];
+    let before = daemon.fleet.covered_daemons(fleet.now);
+    let outgoing = daemon.fleet.tick(Default::default(), &[], fleet.now);
+    outgoing.into_iter().for_each(|out| _ = daemon.fleet.receive(out.message, fleet.now));
+
+    assert_eq!(daemon.fleet.covered_daemons(fleet.now), before);
+    assert!(daemon_name(0).starts_with("entry"));
 }
--- a/tests/test_limits.rs
+++ b/tests/test_limits.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::burst_pool::{BurstPool, arrived, dispatched_ids};
-use crate::fleet_play::{AskedTokens, FleetPlay, HOT, RATE, Weather, hot_limits};
+use crate::fleet_play::{DeliveryRule, FleetSimulation, HOT, LoadOutcome, RATE, hot_limits};
 use crate::session::source;
 
 /// Tokens of one request.
@@ -25,14 +25,14 @@
     daemons: usize,
     seconds: u64,
     is_received: impl Fn(usize, usize, u64) -> bool + 'static,
-) -> AskedTokens {
+) -> LoadOutcome {
     let start_millis = 4_400;
-    let weather: Weather = Box::new(move |from, to, now: Moment, _| {
+    let weather: DeliveryRule = Box::new(move |from, to, now: Moment, _| {
         usize::from(is_received(from, to, (now.0 / 1_000).saturating_sub(start_millis)))
     });
-    let mut fleet = FleetPlay::new(daemons, 1, weather);
+    let mut fleet = FleetSimulation::new(daemons, 1, weather);
     fleet.run(start_millis - 2_000, true);
-    fleet.ask((times, COST), seconds, |draw| (draw * daemons as f64) as usize)
+    fleet.offer_load((times, COST), seconds, |draw| (draw * daemons as f64) as usize)
 }
 
 /// Guards against each daemon applying the limit alone, which multiplies an organisation's limit by
@@ -41,7 +41,7 @@
 fn daemons_that_hear_each_other_keep_one_limit() {
     let asked = play(8.0, 6, 10, |_, _, _| true);
 
-    let sum: u64 = asked.let_through.iter().sum();
+    let sum: u64 = asked.admitted.iter().sum();
     assert!(sum <= RATE * 11 + RATE / 2, "{asked:?}");
     assert!(sum >= RATE * 10, "{asked:?}");
 }
@@ -56,7 +56,7 @@
     let asked =
         play(8.0, 7, 12, move |from, to, at| !is_partitioned(from, at) && !is_partitioned(to, at));
 
-    assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
+    assert!(asked.max_admitted(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
 
 /// The same in a fleet with aggregators: a member and an aggregator are partitioned.
@@ -67,7 +67,7 @@
     let asked =
         play(8.0, 64, 12, move |from, to, at| !is_partitioned(from, at) && !is_partitioned(to, at));
 
-    assert!(asked.worst(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
+    assert!(asked.max_admitted(8) <= (RATE * 9) * 11 / 10 + 95_000, "{asked:?}");
 }
 
 /// Guards against one daemon refusing everything and the others admitting everything after a
@@ -81,7 +81,7 @@
     let asked =
         play(8.0, 4, 16, move |from, to, at| !is_partitioned(from, at) && !is_partitioned(to, at));
 
-    let late = asked.mean_from(10);
+    let late = asked.mean_admitted_from(10);
     assert!(late >= RATE as f64 * 0.8, "{asked:?}");
     assert!(late <= RATE as f64 * 1.2, "{asked:?}");
 }
@@ -112,9 +112,13 @@
     let asked = play(times, daemons, 16, |_, _, _| true);
 
     let tolerated = (RATE * 8 + RATE) * 11 / 10;
-    assert!(asked.worst(8) <= tolerated, "{} of {tolerated}: {asked:?}", asked.worst(8));
-    assert!(asked.mean_from(4) >= RATE as f64 * 0.9, "{asked:?}");
-    assert!(asked.mean_from(4) <= RATE as f64 * 1.1, "{asked:?}");
+    assert!(
+        asked.max_admitted(8) <= tolerated,
+        "{} of {tolerated}: {asked:?}",
+        asked.max_admitted(8)
+    );
+    assert!(asked.mean_admitted_from(4) >= RATE as f64 * 0.9, "{asked:?}");
+    assert!(asked.mean_admitted_from(4) <= RATE as f64 * 1.1, "{asked:?}");
 }
 
 /// Guards against exceeding the limit in the first second of a burst. An organisation requests
@@ -122,13 +126,13 @@
 /// time missed the rise.
 #[test]
 fn a_sudden_burst_is_held_too() {
-    let mut fleet = FleetPlay::calm(291, 3);
+    let mut fleet = FleetSimulation::lossless(291, 3);
     fleet.run(2_400, true);
     let any_daemon = |draw: f64| (draw * 291.0) as usize;
-    fleet.ask((0.2, COST), 4, any_daemon);
-    let asked = fleet.ask((6.0, COST), 10, any_daemon);
+    fleet.offer_load((0.2, COST), 4, any_daemon);
+    let asked = fleet.offer_load((6.0, COST), 10, any_daemon);
 
-    assert!(asked.worst(8) <= (RATE * 9) * 11 / 10, "{asked:?}");
+    assert!(asked.max_admitted(8) <= (RATE * 9) * 11 / 10, "{asked:?}");
 }
 
 /// Guards against a large fleet refusing organisations below their limits. The callers use a few
@@ -138,10 +142,10 @@
 #[case(74)]
 #[case(291)]
 fn a_large_fleet_refuses_nothing_to_callers_at_few_daemons(#[case] daemons: usize) {
-    let mut fleet = FleetPlay::calm(daemons, 2);
+    let mut fleet = FleetSimulation::lossless(daemons, 2);
     fleet.run(2_400, true);
 
-    let asked = fleet.ask((0.9, 1_000), 12, |draw| (draw * 6.0) as usize * daemons / 7);
+    let asked = fleet.offer_load((0.9, 1_000), 12, |draw| (draw * 6.0) as usize * daemons / 7);
 
     assert!(asked.requests > 900);
     assert!(asked.refused * 200 <= asked.requests, "{asked:?}");
